--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -11,7 +11,7 @@
 from headcross_facts.following import daemon_pace
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import LoadedModel, Replica, Topic
-from headcross_renewal.confirmation import Standing
+from headcross_renewal.confirmation import LoadStatus
 from headcross_renewal.digestbook import DigestBook
 from headcross_renewal.fetching import Fetching, Place
 from headcross_renewal.goalchoice import GoalChoice
@@ -196,7 +196,7 @@
             "orders": self._orders.given,
             "orders_refused": self._orders.refused,
             "loaded": {m.model: m.version for m in report.loaded} if report else None,
-            "load": self._reporter.confirmation.standing.value,
+            "load": self._reporter.confirmation.status.value,
             "weights": {a.digest[:12]: round(a.progress, 3) for a in self._store.artifacts()},
             "swarm": dict(self._swarm.counts),
             "uploads": {"sent": self._swarm.uploads.sent, "refused": self._swarm.uploads.refused},
@@ -294,7 +294,9 @@
         match incoming.message:
             case Subscribe() as subscription:
                 if subscription.wants_load:
-                    self._reporter.listen(subscription.host, incoming.reply, subscription.sent_ms)
+                    self._reporter.add_listener(
+                        subscription.host, incoming.reply, subscription.sent_ms
+                    )
                 if subscription.plan is not None:
                     self._plans.hear(subscription.plan)
                 hear_versions(self.process.facts, subscription.named)
@@ -329,23 +331,23 @@
         for item in news.items:
             listed = self.process.facts.replicas.get(item.replica)
             if item.leaving and listed is not None and listed.address == address:
-                self._reporter.receive_leaving(item.started_ms)
+                self._reporter.receive_shutdown_notice(item.started_ms)
 
     def _hear_of_earlier_process(self, subscription: Subscribe) -> None:
         """Take an entry's word for what was here before this process began."""
         now = monotonic()
         for news in subscription.loaded:
             held = LoadedModel(news.model, news.version)
-            self._orders.in_doubt.hear_loaded(held, now - news.age)
+            self._orders.in_doubt.record_loaded_at(held, now - news.age)
         if subscription.first_heard_age is not None:
-            self._orders.in_doubt.hear_process(now - subscription.first_heard_age)
-        self._orders.in_doubt.hear_entry()
+            self._orders.in_doubt.record_process_seen(now - subscription.first_heard_age)
+        self._orders.in_doubt.record_entry_reply()
 
     def _samples(self) -> Samples:
         samples = self.process.samples()
         samples[sample("orders_total")] = self._orders.given
         samples[sample("orders_refused_total")] = self._orders.refused
-        suspect = self._reporter.confirmation.standing is Standing.SUSPECT
+        suspect = self._reporter.confirmation.status is LoadStatus.SUSPECT
         samples[sample("load_suspect")] = float(suspect)
         samples[sample("weights_bytes")] = self._store.used_bytes
         for name, count in self._swarm.counts.items():
--- a/libs/renewal/src/headcross_renewal/indoubt.py
+++ b/libs/renewal/src/headcross_renewal/indoubt.py
@@ -1,16 +1,17 @@
-"""What was sent to a replica and may still take effect, though it was not answered.
+"""Tracks calls to a replica that were not answered and may still take effect.
 
-An order or a put without an answer is neither done nor lost: replicas took orders 10 s and more
-after they had been sent, with whatever lay beside them by then. So while an order for one version
-is in doubt nothing of another version is put beside the replica, and while a put of one version
-is in doubt no other version is ordered. An order goes with the number of orders taken so far, so
-that of any number of repeated ones the replica takes one at most: once that number has changed,
-none of them can be taken any more.
+An order or a put without an answer is in doubt: replicas have accepted orders 10 s and more after
+they were sent, and then loaded whatever was staged by that time. So while an order for one version
+is in doubt, no chunk of another version is staged, and while a put of one version is in doubt, no
+other version is ordered. An order carries the number of orders that the replica had accepted when
+it was sent, so the replica accepts at most one of any number of repeats: once the number has
+changed, it rejects all of them.
 
-The same holds for what an earlier process of this daemon sent. It tells the later one nothing, so
-that goes by what lies beside the replica and by which versions were named lately.
+The same applies to calls sent by an earlier process of this daemon. No record of them is left, so
+they are inferred from the chunks staged at the replica and from the versions named recently.
 
-Answers the load of versions that are named seconds apart while replicas answer late or not at all.
+This keeps loads from mixing versions that are named seconds apart while the replica answers late
+or not at all.
 """
 
 from collections.abc import Iterable
@@ -21,13 +22,14 @@
 from headcross_ports.published import LoadedModel
 from headcross_ports.replicas import ReplicaReport
 
-# How long after it was sent something without an answer may still take effect.
+# For how long after it was sent a call without an answer may still take effect.
 LATE_SECONDS: Final = 15.0
-# Entries that live tell a process within so long of its start which versions were named lately.
-HEARD_SECONDS: Final = 2.0
-# An order goes only if the read-back of its chunks began so lately. Chunks turn bad at any time,
-# and one that is bad for 3 s must not be loaded; giving the order takes 1 s at most.
-READ_BACK_SECONDS: Final = 1.5
+# Within this time of a process's start, running entries send it the recently named versions.
+ENTRY_NOTICE_SECONDS: Final = 2.0
+# An order is sent only if the read-back of its chunks began at most this long ago. Chunks can turn
+# bad at any time, and one that has been bad for 3 s must not be loaded; sending the order takes at
+# most 1 s.
+READ_BACK_VALID_SECONDS: Final = 1.5
 
 
 @dataclass(frozen=True, slots=True)
@@ -35,184 +37,191 @@
     """An order to load a version, as it was sent."""
 
     goal: LoadedModel
-    sequence: int  # orders that the replica had taken
-    started_ms: int | None  # the life of the replica, if it tells that
+    sequence: int  # number of orders that the replica had accepted
+    started_ms: int | None  # start time of the replica's incarnation, None if it reports none
 
 
-class InDoubt:
-    """The orders and puts of one replica that are in doubt; all times are monotonic.
+class InDoubtCalls:
+    """The orders and puts of one replica that are in doubt; all times are monotonic, in seconds.
 
     >>> report = ReplicaReport((), False, 0, 0, 0, 0, 0, 1.0)
-    >>> doubt = InDoubt(0.0)
-    >>> doubt.nothing_from_before()
-    >>> doubt.sending(SentOrder(LoadedModel("m", 2), 0, None), 1.0)
+    >>> doubt = InDoubtCalls(0.0)
+    >>> doubt.rule_out_earlier_order()
+    >>> doubt.record_sent(SentOrder(LoadedModel("m", 2), 0, None), 1.0)
     >>> doubt.may_stage(LoadedModel("m", 3), report, 2.0)
     False
     >>> doubt.may_stage(LoadedModel("m", 2), report, 2.0)
     True
     """
 
-    # The order in doubt, the last one sent if it was repeated; None if there is none.
+    # The order in doubt (the last repeat of it), None if there is none.
     order: SentOrder | None
-    # When a put last ended, answered or not.
+    # When the last put ended, answered or not.
     last_put_at: float
 
     def __init__(self, now: float) -> None:
-        """Begin at the start of this process: orders of an earlier one may be in doubt."""
+        """Start with an earlier process's orders in doubt; `now` is this process's start."""
         self.order = None
         self.last_put_at = float("-inf")
-        # When each order was sent that is in doubt, all of them with the same number.
+        # Send times of the orders in doubt, all of which carry the same number.
         self._sent_at: list[float] = []
-        self._puts: dict[LoadedModel, float] = {}
-        self._began = now
-        self._from_before_until = now + LATE_SECONDS
-        # Versions not loaded yet whose chunks lay beside the replica at the start.
-        self._lay_there: set[LoadedModel] = set()
-        # A replica where nothing lay and nobody has heard another process was added just now.
-        self._nothing_lay_there = False
-        self._follows_another = False
-        self._heard_entry = False
-        # A version whose chunks all lay beside the replica.
-        self._lay_whole: LoadedModel | None = None
-        # When the replica came to hold versions, as entries saw.
+        self._unanswered_puts: dict[LoadedModel, float] = {}
+        self._started_at = now
+        self._earlier_order_until = now + LATE_SECONDS
+        # Versions not loaded yet of which chunks were staged when this process started.
+        self._staged_at_start: set[LoadedModel] = set()
+        # A replica with nothing staged and no earlier process known was added just now.
+        self._empty_at_start = False
+        self._had_earlier_process = False
+        self._entry_replied = False
+        # The version of which all chunks were staged.
+        self._complete_at_start: LoadedModel | None = None
+        # When the replica had loaded each version, as reported by entries.
         self._loaded_at: dict[LoadedModel, float] = {}
-        self._kept_whole: LoadedModel | None = None
+        self._reserved_for: LoadedModel | None = None
 
-    # What an earlier process sent.
+    # Calls of an earlier process.
 
     @property
-    def ordered_before(self) -> LoadedModel | None:
-        """The only version that an earlier process may have on order; None if not known."""
-        return next(iter(self._lay_there)) if len(self._lay_there) == 1 else None
+    def earlier_order_goal(self) -> LoadedModel | None:
+        """The only version that an earlier process may have ordered, None if not known."""
+        return next(iter(self._staged_at_start)) if len(self._staged_at_start) == 1 else None
 
-    def nothing_from_before(self) -> None:
-        """Note that what lies beside the replica shows no order of an earlier process open."""
-        self._from_before_until = float("-inf")
+    def rule_out_earlier_order(self) -> None:
+        """Record that no order of an earlier process can be in doubt."""
+        self._earlier_order_until = float("-inf")
 
-    def nothing_lay_there(self) -> None:
-        """Note that no chunk lay beside the replica, so that nothing of it is on order."""
-        self.nothing_from_before()
-        self._nothing_lay_there = True
+    def record_empty_staging(self) -> None:
+        """Record that no chunk was staged, so no earlier order can be in doubt."""
+        self.rule_out_earlier_order()
+        self._empty_at_start = True
 
-    def found_from_before(self, goal: LoadedModel) -> None:
-        """Note that chunks of a version that is not loaded yet lay beside the replica.
+    def record_staged_version(self, goal: LoadedModel) -> None:
+        """Record that chunks of a version that is not loaded yet were staged at the start.
 
-        An earlier process put nothing of another version there while it had this one on order. So
-        where chunks of two versions lie, it has none on order.
+        A process with an order in doubt stages chunks of no other version. So if chunks of two
+        versions are staged, an earlier process has no order in doubt.
         """
-        self._lay_there.add(goal)
-        if len(self._lay_there) > 1:
-            self.nothing_from_before()
+        self._staged_at_start.add(goal)
+        if len(self._staged_at_start) > 1:
+            self.rule_out_earlier_order()
 
-    def lay_whole(self, goal: LoadedModel) -> None:
-        """Note that all chunks of a version lay beside the replica.
+    def record_complete_staging(self, goal: LoadedModel) -> None:
+        """Record that all chunks of a version were staged.
 
-        A process that was killed as it was about to load it, or whose replica has lost what it
-        held, goes on without waiting for an entry's word: a fleet that was killed as a whole would
-        serve nothing meanwhile.
+        If the earlier process was killed just before the load, or the replica has lost its loaded
+        weights, this process continues without waiting for an entry's notices: if the whole fleet
+        was killed, nothing would be served meanwhile.
         """
-        self._lay_whole = goal
+        self._complete_at_start = goal
 
-    def awaits_earlier(self, now: float) -> bool:
-        """Tell whether an order of an earlier process may be open, for all that is known."""
-        return now < self._from_before_until
+    def earlier_order_possible(self, now: float) -> bool:
+        """Return whether an order of an earlier process may be in doubt."""
+        return now < self._earlier_order_until
 
-    def hear_entry(self) -> None:
-        """Note that an entry has told what it knows of the time before this process."""
-        self._heard_entry = True
+    def record_entry_reply(self) -> None:
+        """Record that an entry has sent what it knows about the time before this process."""
+        self._entry_replied = True
 
-    def hear_process(self, at: float) -> None:
-        """Take an entry's word that it heard a process here at some time."""
-        self._follows_another |= at < self._began
+    def record_process_seen(self, at: float) -> None:
+        """Record that an entry received messages from a process of this daemon at `at`."""
+        self._had_earlier_process |= at < self._started_at
 
-    def hear_loaded(self, goal: LoadedModel, at: float) -> None:
-        """Take an entry's word for when the replica came to hold a version."""
+    def record_loaded_at(self, goal: LoadedModel, at: float) -> None:
+        """Record when, according to an entry, the replica had loaded a version."""
         self._loaded_at[goal] = max(at, self._loaded_at.get(goal, at))
 
     def earlier_put_may_land(
         self, goal: LoadedModel, held: int, notices: Iterable[VersionNotice], now: float
     ) -> bool:
-        """Tell whether a put of another version by an earlier process may land yet.
+        """Return whether an earlier process's put of another version may still take effect.
 
-        It may if another one was wanted here shortly before this process began: its chunks lay
-        there, it was loaded lately, or it is newer than the one `held` (0: none) and was named
-        before. `notices` are those of the goal's model that are known.
+        That is possible if the earlier process may have staged another version shortly before
+        this process started: chunks of it were staged, it was loaded recently, or it is newer than
+        the loaded version `held` (0 for none) and was named before the start. `notices` are the
+        known ones for the model of `goal`.
         """
-        if self.earlier_puts_are_over(now):
+        if self.earlier_puts_expired(now):
             return False
-        told = self._heard_entry or now >= self._began + HEARD_SECONDS
-        if self._lay_there - {goal} or not (told or self._lay_whole == goal):
+        notices_complete = self._entry_replied or now >= self._started_at + ENTRY_NOTICE_SECONDS
+        if self._staged_at_start - {goal} or not (
+            notices_complete or self._complete_at_start == goal
+        ):
             return True
-        loaded = (at for each, at in self._loaded_at.items() if each != goal and at < self._began)
+        loaded = (
+            at for each, at in self._loaded_at.items() if each != goal and at < self._started_at
+        )
         if now < max(loaded, default=float("-inf")) + LATE_SECONDS:
             return True
         others = (n for n in notices if held < n.version != goal.version)
-        return any(notice.at_start or notice.seen_at < self._began for notice in others)
+        return any(notice.at_start or notice.seen_at < self._started_at for notice in others)
 
-    def earlier_puts_are_over(self, now: float) -> bool:
-        """Tell whether nothing that an earlier process put can land any more.
+    def earlier_puts_expired(self, now: float) -> bool:
+        """Return whether no put of an earlier process can take effect any more.
 
-        At a replica that was added with its host there was none.
+        A replica that was added together with its host had no earlier process.
         """
-        if self._nothing_lay_there and not self._follows_another:
-            return now >= self._began + HEARD_SECONDS
-        return now >= self._began + LATE_SECONDS
+        if self._empty_at_start and not self._had_earlier_process:
+            return now >= self._started_at + ENTRY_NOTICE_SECONDS
+        return now >= self._started_at + LATE_SECONDS
 
-    def keep_whole(self, goal: LoadedModel | None) -> None:
-        """Note that the chunks of a version are being kept whole for an earlier order, or None."""
-        self._kept_whole = goal
+    def reserve_staging(self, goal: LoadedModel | None) -> None:
+        """Allow staging of this version only, while it is repaired; None lifts the restriction."""
+        self._reserved_for = goal
 
     # Orders.
 
-    def sending(self, order: SentOrder, now: float) -> None:
-        """Note an order that is about to be sent; it is in doubt until it is answered."""
+    def record_sent(self, order: SentOrder, now: float) -> None:
+        """Record an order that is about to be sent; it is in doubt until it is answered."""
         self.order = order
         self._sent_at.append(now)
 
     def settle(self) -> None:
-        """Note that no order in doubt can begin a load any more."""
+        """Record that no order in doubt can start a load any more."""
         self.order = None
         self._sent_at.clear()
 
-    def refused(self, now: float) -> None:
-        """Note that the last order was refused, or never left this process.
+    def record_refused(self, now: float) -> None:
+        """Record that the last order was refused, or never left this process.
 
-        Earlier ones without an answer stay in doubt, but not for ever.
+        Earlier orders without an answer stay in doubt until `LATE_SECONDS` after they were sent.
         """
         if self._sent_at:
             self._sent_at.pop()
         if all(now - at >= LATE_SECONDS for at in self._sent_at):
             self.settle()
 
-    def see(self, report: ReplicaReport) -> bool:
-        """Take a report that was read after the order was sent; tell whether it settles it."""
+    def observe(self, report: ReplicaReport) -> bool:
+        """Process a report read after the order was sent; return whether it settles the order."""
         order = self.order
         if order is None:
             return False
-        told = order.started_ms is not None and report.started_ms is not None
-        same_life = not told or order.started_ms == report.started_ms
-        if same_life and report.order_sequence == order.sequence:
+        both_known = order.started_ms is not None and report.started_ms is not None
+        same_incarnation = not both_known or order.started_ms == report.started_ms
+        if same_incarnation and report.order_sequence == order.sequence:
             return False
         self.settle()
         return True
 
     def may_order(self, goal: LoadedModel, now: float) -> bool:
-        """Tell whether no put of another version can land beside the replica any more."""
-        self._puts = {g: at for g, at in self._puts.items() if now - at < LATE_SECONDS}
-        return all(put == goal for put in self._puts)
+        """Return whether no put of another version by this process can take effect any more."""
+        self._unanswered_puts = {
+            g: at for g, at in self._unanswered_puts.items() if now - at < LATE_SECONDS
+        }
+        return all(put == goal for put in self._unanswered_puts)
 
     # Puts.
 
-    def put_unanswered(self, goal: LoadedModel, now: float) -> None:
-        """Note that a chunk was put without an answer."""
-        self._puts[goal] = now
+    def record_unanswered_put(self, goal: LoadedModel, now: float) -> None:
+        """Record that a put of a chunk was not answered."""
+        self._unanswered_puts[goal] = now
 
     def may_stage(self, goal: LoadedModel, report: ReplicaReport | None, now: float) -> bool:
-        """Tell whether chunks of a version may be put beside the replica now."""
+        """Return whether chunks of a version may be staged at the replica now."""
         if report is None or report.busy_loading:
             return False
-        if self.awaits_earlier(now) and self.ordered_before != goal:
+        if self.earlier_order_possible(now) and self.earlier_order_goal != goal:
             return False
-        if self._kept_whole not in (None, goal):
+        if self._reserved_for not in (None, goal):
             return False
         return self.order is None or self.order.goal == goal
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -1,7 +1,7 @@
-"""When the replica loads a version that lies beside it, and how its requests make way.
+"""Decides when a replica loads a staged version and drains its requests before that.
 
-Straight down: the replica's turn; requests are sent elsewhere for a moment; the order (see
-`orders`); its load waited for.
+The steps are: wait for the replica's turn, drain its requests briefly, send the order (see
+`orders`), and wait for the load.
 """
 
 import logging
@@ -23,27 +23,28 @@
 from headcross_renewal.versionchoice import LEAVE_SECONDS, serves_until
 
 TURN_CHECK_SECONDS: Final = 0.05
-TURN_AT_START_SECONDS: Final = 2.0
-# Streams are broken off while this share of the replicas holds their version and loads later.
-LATER_SHARE: Final = 0.2
-# Requests go elsewhere for at most so long before the order that breaks off what still runs. The
-# first group lets them go when this share of the version is here.
+LAST_TURN_AT_START_SECONDS: Final = 2.0
+# Streams are interrupted only if at least this share of the replicas still serves their version
+# and loads later.
+MIN_LATER_SHARE: Final = 0.2
+# Requests are diverted for at most this long before an order that interrupts the running ones. The
+# first group diverts them once it has fetched this share of the version.
 DRAIN_SECONDS: Final = 0.4
 DRAIN_CHECK_SECONDS: Final = 0.03
 DRAIN_PROGRESS: Final = 0.9
-# A transfer whose last part takes longer than this gives the replica back to the requests.
+# If the rest of the transfer takes longer than this, the replica accepts requests again.
 DRAIN_AHEAD_SECONDS: Final = 1.2
-# With fewer replicas than this, none can be spared ahead of its load.
-ENOUGH_REPLICAS: Final = 3
+# With fewer serving replicas than this, none is drained ahead of its load.
+MIN_REPLICAS_TO_DRAIN_AHEAD: Final = 3
 LOADING_CHECK_SECONDS: Final = 0.05
-# How long a load that was begun is waited for before the replica is looked at anew.
-ORDER_SECONDS: Final = 6.0
+# Time limit for a load to finish before the renewal chooses its next step anew.
+LOAD_WAIT_SECONDS: Final = 6.0
 
 logger = logging.getLogger(__name__)
 
 
 class Loading:
-    """The loads of one replica."""
+    """Schedules and performs the loads of one replica."""
 
     def __init__(
         self,
@@ -62,37 +63,37 @@
         self._bound = bound_seconds
 
     def peers(self) -> list[Replica]:
-        """Return the listed replicas of the service, this one's included."""
+        """Return the listed replicas of the service, including this daemon's."""
         return [r for r in self._facts.replicas.values() if r.service == self._service]
 
     def serves_until(self, model: str, version: int) -> float:
-        """Return until when a version takes requests (monotonic), by the versions named so far."""
+        """Return until when (monotonic) a version gets requests, by the versions named so far."""
         return serves_until(version, self._facts.versions.get(model, []), self._bound)
 
     async def drain_ahead(self, goal: LoadedModel, stored: StoredArtifact) -> None:
-        """Send requests elsewhere shortly before the transfer ends, if this one loads first."""
+        """Divert requests shortly before the transfer ends if this replica's group is first."""
         await until(lambda: stored.progress >= DRAIN_PROGRESS)
         report = self._reporter.report
         peers = self.peers()
-        spared = sum(bool(replica.loaded) for replica in peers) >= ENOUGH_REPLICAS
+        spared = sum(bool(replica.loaded) for replica in peers) >= MIN_REPLICAS_TO_DRAIN_AHEAD
         if report is None or not report.loaded or not spared:
             return
         if group_of(self._address, goal, peers) != 0:
             return
-        self._reporter.leave()
+        self._reporter.divert_requests()
         await trio.sleep(DRAIN_AHEAD_SECONDS)
-        self._orders.stay()
+        self._orders.accept_requests()
 
     async def wait_turn(self, goal: LoadedModel) -> None:
-        """Wait until this replica may load."""
+        """Wait until it is this replica's turn to load."""
         while self._reporter.report is None:
             await self._reporter.wait_change()
         if not self._reporter.report.loaded:
-            return  # it takes no requests anyway
+            return  # it gets no requests without loaded weights
         while True:
             peers = self.peers()
             group = group_of(self._address, goal, peers)
-            if group is None or monotonic() >= latest_start(group, self._last_turn(goal)):
+            if group is None or monotonic() >= latest_start(group, self._last_group_start(goal)):
                 return
             earlier = earlier_groups(group, goal, peers)
             if all(has_loaded(r, goal) for r in peers if str(r.address) in earlier):
@@ -100,7 +101,7 @@
             await trio.sleep(TURN_CHECK_SECONDS)
 
     async def load(self, goal: LoadedModel, staging: Staging, stored: StoredArtifact) -> None:
-        """Order the replica to load what lies beside it, and wait until it has."""
+        """Order the replica to load the staged version, and wait until it has."""
         break_off = self._may_break_off(goal)
         if break_off:
             await self._drain(goal)
@@ -108,13 +109,13 @@
             if await self._orders.give(Load(goal, staging, stored, break_off)):
                 await self._wait_loaded(goal)
         finally:
-            self._orders.stay()
+            self._orders.accept_requests()
 
     async def _drain(self, goal: LoadedModel) -> None:
-        """Let requests that run here end for a moment, and none come, before they are cut."""
-        self._reporter.leave()
+        """Divert new requests and give the running ones a moment to end before the order."""
+        self._reporter.divert_requests()
         group = group_of(self._address, goal, self.peers()) or 0
-        latest = latest_start(group, self._last_turn(goal))
+        latest = latest_start(group, self._last_group_start(goal))
         until = min(monotonic() + DRAIN_SECONDS, latest)
         while monotonic() < until:
             report = self._reporter.report
@@ -123,9 +124,9 @@
             await trio.sleep(DRAIN_CHECK_SECONDS)
 
     def _may_break_off(self, goal: LoadedModel) -> bool:
-        """Tell whether the streams that run here can go on at replicas of their version.
+        """Return whether the running streams can be resumed at replicas of their version.
 
-        They may while enough replicas that load later still hold it.
+        They can if enough replicas that load later still serve that version.
         """
         peers = self.peers()
         group = group_of(self._address, goal, peers)
@@ -140,30 +141,30 @@
             and not replica.draining
             and str(replica.address) not in not_later
         ]
-        return len(later) >= LATER_SHARE * len(peers)
+        return len(later) >= MIN_LATER_SHARE * len(peers)
 
-    def _last_turn(self, goal: LoadedModel) -> float:
-        """Return when the last group may load at the latest."""
+    def _last_group_start(self, goal: LoadedModel) -> float:
+        """Return the latest time (monotonic) at which the last group may load."""
         notices = self._facts.versions.get(goal.model, [])
         named = next((n for n in notices if n.version == goal.version), None)
         if named is None:
             return 0.0
         if named.at_start:
-            # It is not known how long ago it was named; the others may have started just now too.
-            return named.seen_at + TURN_AT_START_SECONDS
-        # The last group loads at the latest when entries leave the old version.
+            # When it was named is not known, and the other daemons may have just started too.
+            return named.seen_at + LAST_TURN_AT_START_SECONDS
+        # The last group loads at the latest when entries stop using the old version.
         return named.seen_at + self._bound - LEAVE_SECONDS
 
     async def _wait_loaded(self, goal: LoadedModel) -> None:
-        until = monotonic() + ORDER_SECONDS
+        until = monotonic() + LOAD_WAIT_SECONDS
         while monotonic() < until:
             report = await self._reporter.refresh()
             if self._reporter.holds(goal):
-                self._orders.stay()
+                self._orders.accept_requests()
                 logger.info("version loaded", extra={"goal": weights_name(goal)})
                 return
             if report is not None and not report.loaded and not report.busy_loading:
-                # It has taken the order, so another life of it has begun.
+                # It had accepted the order, so a new incarnation has started.
                 logger.warning("replica lost its order", extra={"goal": weights_name(goal)})
                 return
             await trio.sleep(LOADING_CHECK_SECONDS)
--- a/libs/renewal/src/headcross_renewal/confirming.py
+++ b/libs/renewal/src/headcross_renewal/loadverifier.py
@@ -1,4 +1,4 @@
-"""Reading back what a replica has loaded, where nobody knows yet that it was whole."""
+"""Reads back the staged chunks of loads that are not yet known to be intact."""
 
 import logging
 from typing import Final
@@ -9,23 +9,23 @@
 
 from headcross_renewal.confirmation import key_of
 from headcross_renewal.digestbook import DigestBook
-from headcross_renewal.indoubt import InDoubt
+from headcross_renewal.indoubt import InDoubtCalls
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import find_bad
 
-# Digests of the held version are waited for so long at a time.
-DIGESTS_SECONDS: Final = 1.0
-LOOK_SECONDS: Final = 0.3
+# Time limit of one attempt to obtain the loaded version's digests.
+DIGESTS_TIMEOUT_SECONDS: Final = 1.0
+CHECK_INTERVAL_SECONDS: Final = 0.3
 
 logger = logging.getLogger(__name__)
 
 
-class Confirming:
-    """The read-backs of one replica's loads."""
+class LoadVerifier:
+    """Reads back one replica's loads and records the outcome."""
 
     def __init__(
-        self, replica: ReplicaControl, reporter: Reporter, book: DigestBook, in_doubt: InDoubt
+        self, replica: ReplicaControl, reporter: Reporter, book: DigestBook, in_doubt: InDoubtCalls
     ) -> None:
         self._replica = replica
         self._reporter = reporter
@@ -33,24 +33,24 @@
         self._in_doubt = in_doubt
 
     async def run(self) -> None:
-        """Read back each load that has to be, until cancelled."""
+        """Read back each load that needs it, until cancelled."""
         while True:
             report = self._reporter.report
-            if report is not None and self._reporter.confirmation.awaits_read_back(report):
+            if report is not None and self._reporter.confirmation.needs_read_back(report):
                 key = key_of(report)
                 for held in report.loaded:
                     bad = await self._read_back(held)
                     if bad is not None:
                         last_put_at = self._in_doubt.last_put_at
                         self._reporter.confirmation.note_read_back(key, bad, last_put_at)
-                        self._reporter.tell()
-            with trio.move_on_after(LOOK_SECONDS):
+                        self._reporter.notify_listeners()
+            with trio.move_on_after(CHECK_INTERVAL_SECONDS):
                 await self._reporter.wait_change()
 
     async def _read_back(self, held: LoadedModel) -> frozenset[int] | None:
-        """Return which chunks are not the held version's, None if that cannot be told now."""
+        """Return the indexes of bad chunks; None without digests or if a chunk is unreadable."""
         digests: ChunkDigests | None = None
-        with trio.move_on_after(DIGESTS_SECONDS):
+        with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
             digests = await self._book.obtain(held)
         if digests is None:
             return None
--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -1,9 +1,10 @@
-"""Giving one replica the order to load what lies beside it, until it is known what became of it.
+"""Orders one replica to load the staged version and tracks each order until its outcome is known.
 
-Straight down: a line to the replica's present life; all chunks read back and verified; its state;
-the order over that line. An order without an answer is repeated, each time after another
-read-back, until the replica has taken one or cannot take any: until then the chunks stay whole and
-of its version, whatever is named meanwhile (see `indoubt`).
+The steps are: open a connection to the replica's current incarnation, read back and verify all
+chunks, read the replica's state, and send the order over that connection. An order without an
+answer is repeated, each time after another read-back, until the replica has accepted one or can no
+longer accept any. Until then the staged chunks stay intact and of that version, whichever version
+is named meanwhile (see `indoubt`).
 """
 
 import logging
@@ -18,14 +19,14 @@
 from headcross_ports.replicas import OrderLine, OrderRefused, ReplicaControl, ReplicaReport
 from headcross_weights.chunkstore import StoredArtifact
 
-from headcross_renewal.indoubt import READ_BACK_SECONDS, InDoubt, SentOrder
+from headcross_renewal.indoubt import READ_BACK_VALID_SECONDS, InDoubtCalls, SentOrder
 from headcross_renewal.polling import CHECK_SECONDS, until
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import Staging
 
-# Entries hear that the replica is about to load so long before the order.
-NOTICE_SECONDS: Final = 0.04
+# Entries are told to divert requests this long before the order is sent.
+DIVERT_NOTICE_SECONDS: Final = 0.04
 RETRY_SECONDS: Final = 0.3
 
 logger = logging.getLogger(__name__)
@@ -33,51 +34,51 @@
 
 @dataclass(frozen=True, slots=True)
 class Load:
-    """A version that lies beside the replica, to be loaded."""
+    """A staged version that is to be loaded."""
 
     goal: LoadedModel
     staging: Staging
     stored: StoredArtifact
-    break_off: bool  # whether the requests that run are broken off
+    break_off: bool  # whether running requests are interrupted
 
 
 class Orders:
-    """The orders of one replica."""
+    """Sends one replica's orders and repeats those without an answer."""
 
-    # Orders given and refused.
+    # Numbers of orders sent and refused.
     given: int
     refused: int
-    in_doubt: InDoubt
+    in_doubt: InDoubtCalls
 
     def __init__(
         self, replica_address: str, facts: Facts, replica: ReplicaControl, reporter: Reporter
     ) -> None:
         self.given = 0
         self.refused = 0
-        self.in_doubt = InDoubt(monotonic())
+        self.in_doubt = InDoubtCalls(monotonic())
         self._address = replica_address
         self._facts = facts
         self._replica = replica
         self._reporter = reporter
         self._unsettled: Load | None = None
-        self._began = trio.Event()  # set once an order had no answer
+        self._unanswered = trio.Event()  # set when an order got no answer
 
     def is_in_doubt(self, goal: LoadedModel) -> bool:
-        """Tell whether an order to load a version may be taken yet."""
+        """Return whether an order to load this version is in doubt."""
         order = self.in_doubt.order
         return order is not None and order.goal == goal
 
     async def wait_may_stage(self, goal: LoadedModel) -> None:
-        """Wait until chunks of a version may be put beside the replica."""
+        """Wait until chunks of a version may be staged at the replica."""
         await until(lambda: self._may_stage(goal, monotonic()))
 
     async def wait_may_order(self, goal: LoadedModel) -> None:
-        """Wait until no chunk of another version can land beside the replica any more."""
+        """Wait until no put of another version's chunks can take effect any more."""
         await until(lambda: self._may_order(goal, monotonic()))
 
     def _may_stage(self, goal: LoadedModel, now: float) -> bool:
-        # What lies there may have to show yet that the load before was whole.
-        if self._reporter.confirmation.keeps_others_away(now):
+        # The staged chunks may still be needed to verify the previous load.
+        if self._reporter.confirmation.blocks_other_versions(now):
             return False
         return self.in_doubt.may_stage(goal, self._reporter.report, now)
 
@@ -91,22 +92,22 @@
         return not self.in_doubt.earlier_put_may_land(goal, held, notices, now)
 
     async def give(self, load: Load) -> bool:
-        """Order a load; return whether the replica has taken the order."""
+        """Order a load; return whether the replica has accepted the order."""
         line = await self._replica.open_line()
         if isinstance(line, Failure):
             logger.info("no line for an order", extra={"reason": line.detail})
             await trio.sleep(RETRY_SECONDS)
             return False
         try:
-            return await self._give_over(line.value, load)
+            return await self._give_on_line(line.value, load)
         finally:
             await line.value.close()
 
     async def settle(self) -> None:
-        """Repeat each order that had no answer until none like it can be taken; for ever."""
+        """Repeat each unanswered order until no repeat can be accepted; run until cancelled."""
         while True:
-            await self._began.wait()
-            self._began = trio.Event()
+            await self._unanswered.wait()
+            self._unanswered = trio.Event()
             load = self._unsettled
             assert load is not None
             began = monotonic()
@@ -114,39 +115,39 @@
                 await self.give(load)
             fields = {"goal": weights_name(load.goal), "seconds": round(monotonic() - began, 3)}
             logger.info("order settled", extra=fields)
-            self._reporter.stay()
+            self._reporter.accept_requests()
 
-    def stay(self) -> None:
-        """Have requests sent here again, unless a load may begin at any moment."""
+    def accept_requests(self) -> None:
+        """Accept requests again, unless an order in doubt may start a load at any moment."""
         if self.in_doubt.order is None:
-            self._reporter.stay()
+            self._reporter.accept_requests()
 
     def _is_settled(self, goal: LoadedModel) -> bool:
         report = self._reporter.report
         if report is not None:
-            self.in_doubt.see(report)
+            self.in_doubt.observe(report)
         if self._reporter.holds(goal):
-            self.in_doubt.settle()  # taking it once more would begin nothing
+            self.in_doubt.settle()  # a repeat would have no effect
         return self.in_doubt.order is None
 
-    async def _give_over(self, line: OrderLine, load: Load) -> bool:
+    async def _give_on_line(self, line: OrderLine, load: Load) -> bool:
         read_at = await _read_back(load)
-        self._reporter.leave()
+        self._reporter.divert_requests()
         report = await self._reporter.refresh()
         if report is None or report.busy_loading or self._reporter.holds(load.goal):
             await trio.sleep(CHECK_SECONDS)
             return False
-        if self.in_doubt.see(report):
-            return False  # it need not be repeated
+        if self.in_doubt.observe(report):
+            return False  # the order is settled and needs no repeat
         if self._is_disowned():
             logger.warning("entry names no replica, order withheld", extra={"to": self._address})
             await trio.sleep(RETRY_SECONDS)
             return False
         if report.loaded:
-            await trio.sleep(NOTICE_SECONDS)
+            await trio.sleep(DIVERT_NOTICE_SECONDS)
         age = monotonic() - read_at
-        if age > READ_BACK_SECONDS:
-            # This process, or the replica, stood still or is slow: chunks may have turned bad.
+        if age > READ_BACK_VALID_SECONDS:
+            # This process or the replica was stopped or is slow; chunks may have turned bad since.
             fields = {"goal": weights_name(load.goal), "read_back_age": round(age, 3)}
             logger.warning("order withheld", extra=fields)
             return False
@@ -155,12 +156,12 @@
     async def _send(
         self, line: OrderLine, load: Load, report: ReplicaReport, read_at: float
     ) -> bool:
-        """Send the order; return whether it was taken."""
+        """Send the order; return whether it was accepted."""
         self.given += 1
         goal = load.goal
         sent_at = monotonic()
         order = SentOrder(goal, report.order_sequence, report.started_ms)
-        self.in_doubt.sending(order, sent_at)
+        self.in_doubt.record_sent(order, sent_at)
         outcome = await line.start(goal.model, goal.version, report, break_off=load.break_off)
         fields = {
             "goal": weights_name(goal),
@@ -173,35 +174,35 @@
         if isinstance(outcome, Failure):
             logger.warning("order without an answer", extra={**fields, "reason": outcome.detail})
             self._unsettled = load
-            self._began.set()
+            self._unanswered.set()
             return False
         if isinstance(outcome.value, OrderRefused):
             self.refused += 1
-            self.in_doubt.refused(monotonic())
+            self.in_doubt.record_refused(monotonic())
             logger.warning("order refused", extra={**fields, "reason": outcome.value.detail})
             await trio.sleep(RETRY_SECONDS)
             return False
         self.in_doubt.settle()
-        if not outcome.value.done and self.in_doubt.earlier_puts_are_over(sent_at):
-            self._reporter.confirmation.order_taken(goal, report)
-            self._reporter.tell()
+        if not outcome.value.done and self.in_doubt.earlier_puts_expired(sent_at):
+            self._reporter.confirmation.record_accepted_order(goal, report)
+            self._reporter.notify_listeners()
         logger.info("order taken", extra={**fields, "done": outcome.value.done})
         return True
 
     def _is_disowned(self) -> bool:
-        """Tell whether the entry of the replica beside this daemon is another writer's now."""
+        """Return whether the list entry of this daemon's replica belongs to another writer now."""
         disowned = self._facts.disowned.values()
         return any(str(replica.address) == self._address for replica in disowned)
 
 
 async def _read_back(load: Load) -> float:
-    """Read all chunks back until none was bad; return when that began (monotonic)."""
+    """Read back all chunks until none is bad; return when the last pass began (monotonic)."""
     while True:
         began = monotonic()
-        whole = await load.staging.verify(load.stored)
+        intact = await load.staging.verify(load.stored)
         seconds = round(monotonic() - began, 3)
-        fields = {"goal": weights_name(load.goal), "whole": whole, "seconds": seconds}
+        fields = {"goal": weights_name(load.goal), "whole": intact, "seconds": seconds}
         logger.info("chunks read back", extra=fields)
-        if whole:
+        if intact:
             return began
         await trio.sleep(CHECK_SECONDS)
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -1,10 +1,11 @@
-"""Brings one replica to the newest named version of its model, again and again.
+"""Keeps one replica updated to the newest named version of its model.
 
-The steps to a version: its digests; its chunks, from other daemons and the origin, each put beside
-the replica as it comes; its turn; the order, after a read-back (`orders`). A newer version that is
-named ends the fetching of an older one as soon as its digests are known, unless the older one is
-so nearly here that it is worth finishing (`versionchoice`); while the origin gives nothing of the
-newer one, the older one is gone on with.
+The steps of an update are: obtain the version's digests, fetch its chunks from other daemons and
+the origin and stage each one as it arrives, wait for the replica's turn, and send the order after
+a read-back (see `orders`). A newer named version cancels the fetch of an older one as soon as its
+digests are known, unless the older one is close enough to complete to be worth finishing (see
+`versionchoice`). While the origin delivers nothing of the newer version, the update to the older
+one continues.
 """
 
 import logging
@@ -19,11 +20,11 @@
 from headcross_ports.replicas import ReplicaControl, ReplicaReport
 from headcross_weights.chunkstore import StoredArtifact
 
-from headcross_renewal.confirming import Confirming
 from headcross_renewal.digestbook import DigestBook
 from headcross_renewal.fetching import Fetching
 from headcross_renewal.goalchoice import GoalChoice
 from headcross_renewal.loading import Loading
+from headcross_renewal.loadverifier import LoadVerifier
 from headcross_renewal.mirrors import has_loaded
 from headcross_renewal.orders import Orders
 from headcross_renewal.plan import PlanBook
@@ -32,28 +33,29 @@
 from headcross_renewal.sources import OriginSource, weights_name
 from headcross_renewal.staging import Staging
 
-IDLE_SECONDS: Final = 0.5
-# Steps that are needless once the replica turns out to hold the version.
+IDLE_CHECK_SECONDS: Final = 0.5
+# Steps that are cancelled when the replica turns out to have the version loaded already.
 STEPS_BEFORE_ORDER: Final = ("digests", "adopting", "fetching")
-# While digests cannot be had for so long, an older version goes first for a moment.
-DIGESTS_SECONDS: Final = 0.8
-STAGE_SECONDS: Final = 0.05
-# Whether the link may be filled is looked at again this often.
-PACE_SECONDS: Final = 0.2
-# Digests that were settled so lately show that the origin answers. While each of 41 daemons asked
-# it once more, over the link that had to bring the chunks, they turned to the newer version 1.4 s
-# to 3 s after its digests were known.
+# If digests cannot be obtained within this time, an older version is tried first for a while.
+DIGESTS_TIMEOUT_SECONDS: Final = 0.8
+STAGE_CHECK_SECONDS: Final = 0.05
+# How often the share of the link that chunks may use is adjusted.
+LINK_USE_CHECK_SECONDS: Final = 0.2
+# Digests settled at most this long ago show that the origin answers. When each of 41 daemons asked
+# the origin again instead, over the link that also carried the chunks, the switch to the newer
+# version came 1.4 s to 3 s after its digests were known.
 ORIGIN_ANSWERED_SECONDS: Final = 2.0
-# News are looked at again after this, while the digests of the held version cannot be had.
-OFFER_SECONDS: Final = 1.0
+# Time limit for offering the loaded version when its digests cannot be obtained; facts are then
+# checked again.
+OFFER_TIMEOUT_SECONDS: Final = 1.0
 
 logger = logging.getLogger(__name__)
 
 
 class Renewer:
-    """The renewal of one replica."""
+    """Runs the updates of one replica."""
 
-    # What it is at, for dumps.
+    # The current step, for dumps.
     step: str
 
     def __init__(
@@ -83,58 +85,58 @@
         self._orders = orders
         self._plans = plans
         self._set_link_use = set_link_use
-        # Told whether a version is being brought here, which needs fresh news of other replicas.
+        # Called with whether an update is running, which needs current facts about other replicas.
         self._set_busy = set_busy
         self._recovery = Recovery(facts, replica, reporter, fetching, book, orders.in_doubt)
-        self._confirming = Confirming(replica, reporter, book, orders.in_doubt)
+        self._load_verifier = LoadVerifier(replica, reporter, book, orders.in_doubt)
         self._offered: set[LoadedModel] = set()
-        # Set once all chunks of the version that is being fetched lie beside the replica.
+        # Set once all chunks of the version that is being fetched are staged.
         self._staged = trio.Event()
 
     async def run(self) -> None:
-        """Renew until cancelled."""
+        """Keep the replica updated until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._orders.settle)
             nursery.start_soon(self._recovery.run)
-            nursery.start_soon(self._confirming.run)
+            nursery.start_soon(self._load_verifier.run)
             await self._renew()
 
     async def _renew(self) -> None:
         while True:
             goal = self._choice.choose()
-            if self._reporter.ends:
-                # An order would break off what runs there to its end.
-                self._enter("replica leaves", goal)
+            if self._reporter.shutting_down:
+                # An order would interrupt the last requests that the replica completes.
+                self._enter_step("replica leaves", goal)
                 self._set_busy(False)
-                await self._wait_news()
+                await self._wait_change()
                 continue
             if goal is None or self._reporter.holds(goal):
                 if goal is not None:
                     await self._offer(goal)
                     if self._choice.choose() != goal:
                         continue  # another one was named meanwhile
-                self._enter("idle", goal)
+                self._enter_step("idle", goal)
                 self._set_busy(False)
                 self._fetching.open_links()
-                await self._wait_news()
+                await self._wait_change()
                 continue
             self._set_busy(True)
             if self._orders.is_in_doubt(goal):
-                self._enter("order in doubt", goal)
-                await self._wait_news()
+                self._enter_step("order in doubt", goal)
+                await self._wait_change()
                 continue
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._give_up_when_superseded, goal, nursery.cancel_scope)
+                nursery.start_soon(self._cancel_when_superseded, goal, nursery.cancel_scope)
                 try:
-                    await self._reach(goal)
+                    await self._update_to(goal)
                 finally:
-                    self._orders.stay()
+                    self._orders.accept_requests()
                 nursery.cancel_scope.cancel()
 
-    # What to do.
+    # Waiting and cancelling.
 
-    async def _wait_news(self) -> None:
-        with trio.move_on_after(IDLE_SECONDS * random.uniform(0.8, 1.2)):
+    async def _wait_change(self) -> None:
+        with trio.move_on_after(IDLE_CHECK_SECONDS * random.uniform(0.8, 1.2)):
             async with trio.open_nursery() as nursery:
 
                 async def end_after_facts() -> None:
@@ -145,20 +147,20 @@
                 await self._reporter.wait_change()
                 nursery.cancel_scope.cancel()
 
-    async def _give_up_when_superseded(self, goal: LoadedModel, scope: trio.CancelScope) -> None:
-        """End the steps to a version that is held already, or give way to a newer one."""
+    async def _cancel_when_superseded(self, goal: LoadedModel, scope: trio.CancelScope) -> None:
+        """Cancel the update to a version once it is loaded or superseded by a newer one."""
         while True:
-            await self._wait_news()
+            await self._wait_change()
             if self.step not in STEPS_BEFORE_ORDER:
                 continue
-            if self._reporter.holds(goal) or self._reporter.ends:
+            if self._reporter.holds(goal) or self._reporter.shutting_down:
                 scope.cancel()
                 return
             newest = self._facts.newest_version(goal.model)
             if newest is None or newest <= goal.version:
                 continue
             newer = LoadedModel(goal.model, newest)
-            if not await self._can_be_had(newer):
+            if not await self._is_available(newer):
                 continue
             if self._choice.is_worth_bringing(goal, delays_newer=True):
                 continue
@@ -168,8 +170,8 @@
                 scope.cancel()
                 return
 
-    async def _can_be_had(self, goal: LoadedModel) -> bool:
-        """Tell whether a version's chunks would come now: from the origin, or others hold it."""
+    async def _is_available(self, goal: LoadedModel) -> bool:
+        """Return whether a version can be fetched now, from another replica or the origin."""
         await self._book.obtain(goal)
         if any(has_loaded(replica, goal) for replica in self._loading.peers()):
             return True
@@ -177,68 +179,71 @@
             return True
         return not isinstance(await self._origin.read_digests(goal), Failure)
 
-    # The steps.
+    # The steps of an update.
 
-    async def _reach(self, goal: LoadedModel) -> None:
-        self._enter("digests", goal)
-        if not await self._settle_digests(goal):
+    async def _update_to(self, goal: LoadedModel) -> None:
+        self._enter_step("digests", goal)
+        if not await self._obtain_digests(goal):
             return
         stored = await self._fetching.admit(goal)
         staging = Staging(goal, self._replica, self._orders.in_doubt)
-        self._enter("adopting", goal)
+        self._enter_step("adopting", goal)
         adopted = 0
-        # What lies beside the replica can only be of use to a process that does not know it yet.
+        # Staged chunks are only useful to a process that has not read them yet.
         if not stored.whole and self._reporter.report is not None and not self._offered:
             adopted = await staging.adopt(stored)
             if adopted:
-                self._orders.in_doubt.found_from_before(goal)
-        self._enter("fetching", goal, adopted=adopted)
+                self._orders.in_doubt.record_staged_version(goal)
+        self._enter_step("fetching", goal, adopted=adopted)
         self._staged = trio.Event()
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._keep_pace, goal)
-            nursery.start_soon(self._stage_as_they_come, goal, staging, stored)
+            nursery.start_soon(self._adjust_link_use, goal)
+            nursery.start_soon(self._stage_fetched_chunks, goal, staging, stored)
             nursery.start_soon(self._loading.drain_ahead, goal, stored)
             fetched = await self._fetching.fetch(goal, stored)
             if fetched:
                 await self._staged.wait()
-                # Here, where a newer version ends the wait.
+                # Waits in this step, where a newer version can cancel it.
                 await self._orders.wait_may_order(goal)
             nursery.cancel_scope.cancel()
         if not fetched:
             return
-        self._enter("waiting for its turn", goal)
+        self._enter_step("waiting for its turn", goal)
         await self._loading.wait_turn(goal)
-        self._enter("loading", goal)
+        self._enter_step("loading", goal)
         if not self._choice.is_outdated(goal):
             await self._loading.load(goal, staging, stored)
 
-    async def _keep_pace(self, goal: LoadedModel) -> None:
-        """Fill more of the link with chunks the fewer requests need it."""
+    async def _adjust_link_use(self, goal: LoadedModel) -> None:
+        """Give chunks more of the link the fewer requests are running."""
         while True:
             report = self._reporter.report
             if report is not None:
                 self._set_link_use(None if self._is_idle(goal, report) else report.active)
-            await trio.sleep(PACE_SECONDS)
+            await trio.sleep(LINK_USE_CHECK_SECONDS)
 
     def _is_idle(self, goal: LoadedModel, report: ReplicaReport) -> bool:
-        """Tell whether the replica serves nothing, or soon nothing: its bound ends first."""
+        """Return whether the replica serves nothing, or will reach its bound before the update.
+
+        The bound comes first if a version between the loaded one and `goal` has been named.
+        """
         held = self._choice.version_held(goal.model)
         named = self._facts.versions.get(goal.model, [])
         skipped = [n.version for n in named if held < n.version < goal.version]
         return not held or bool(skipped)
 
-    async def _settle_digests(self, goal: LoadedModel) -> bool:
-        """Get the digests; return False if an older version should be gone on with meanwhile."""
-        with trio.move_on_after(DIGESTS_SECONDS):
+    async def _obtain_digests(self, goal: LoadedModel) -> bool:
+        """Obtain the digests; return False if an older version should be tried meanwhile."""
+        with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
             await self._book.obtain(goal)
             return True
         self._choice.withhold(goal)
         return False
 
-    async def _stage_as_they_come(
+    async def _stage_fetched_chunks(
         self, goal: LoadedModel, staging: Staging, stored: StoredArtifact
     ) -> None:
-        """Put every chunk beside the replica as soon as it is here, until all are."""
+        """Stage every chunk as soon as it is stored here, until all are staged."""
         waiting = set(range(len(stored.places)))
         while waiting:
             await self._orders.wait_may_stage(goal)
@@ -248,25 +253,25 @@
             await staging.put(stored, here)
             waiting -= set(here)
             if waiting:
-                await trio.sleep(STAGE_SECONDS)
+                await trio.sleep(STAGE_CHECK_SECONDS)
         self._staged.set()
 
     async def _offer(self, goal: LoadedModel) -> None:
-        """Have the version that the replica serves ready for others, from beside the replica."""
+        """Adopt the staged chunks of the loaded version so that other daemons can fetch them."""
         report = self._reporter.report
         loaded = report.loaded if report is not None else ()
         held = next((loaded for loaded in loaded if loaded.model == goal.model), None)
         if held is None or held in self._offered or self._plans.origin() is None:
-            return  # an entry will tell the origin; this is no reason to list the configuration
-        with trio.move_on_after(OFFER_SECONDS):
+            return  # an entry will send the origin; listing the configuration is not worth it
+        with trio.move_on_after(OFFER_TIMEOUT_SECONDS):
             stored = await self._fetching.admit(held)
             adopted = await Staging(held, self._replica, self._orders.in_doubt).adopt(stored)
             if adopted:
-                self._orders.in_doubt.nothing_from_before()
+                self._orders.in_doubt.rule_out_earlier_order()
             self._offered.add(held)
-            self._enter("offering", held, adopted=adopted, missing=len(stored.missing))
+            self._enter_step("offering", held, adopted=adopted, missing=len(stored.missing))
 
-    def _enter(self, step: str, goal: LoadedModel | None, **more: object) -> None:
+    def _enter_step(self, step: str, goal: LoadedModel | None, **more: object) -> None:
         if step == self.step:
             return
         self.step = step
--- a/libs/renewal/src/headcross_renewal/reporting.py
+++ b/libs/renewal/src/headcross_renewal/reporting.py
@@ -1,4 +1,4 @@
-"""The state of the replica beside this daemon, read often and told to those who listen."""
+"""Reads the state of this daemon's replica periodically and sends it to subscribed listeners."""
 
 import logging
 import math
@@ -18,14 +18,14 @@
 
 from headcross_renewal.confirmation import Confirmation
 
-READ_SECONDS: Final = 0.15
-# Listeners that are told at every reading. With more, each is told at every second or third one,
-# so that a daemon sends the same number of messages a second in a fleet of any size.
-LISTENERS_AT_ONCE: Final = 8
-# The state of a replica that stays idle is told this often; it must not look late.
-IDLE_TELL_SECONDS: Final = 0.45
-# A listener that did not ask again for so long is told nothing more.
-LISTENER_SECONDS: Final = 4.0
+READ_INTERVAL_SECONDS: Final = 0.15
+# Listeners notified at every reading. With more, each is notified at every second or third one, so
+# that a daemon sends the same number of messages per second in a fleet of any size.
+LISTENERS_PER_READING: Final = 8
+# How often the state of a replica that stays idle is sent; listeners must not find it overdue.
+IDLE_NOTIFY_SECONDS: Final = 0.45
+# A listener that has not renewed its subscription for this long is dropped.
+LISTENER_TIMEOUT_SECONDS: Final = 4.0
 
 logger = logging.getLogger(__name__)
 
@@ -33,23 +33,23 @@
 @dataclass(slots=True)
 class _Listener:
     reply: Reply
-    asked_at: float
-    told_at: float
-    subscribed_ms: int  # by the listener's own clock, when it sent its newest subscription
+    subscribed_at: float
+    notified_at: float
+    subscribed_ms: int  # by the listener's clock, when it sent its newest subscription
 
 
 class Reporter:
-    """Reads and tells the state of one replica."""
+    """Reads the state of one replica and notifies listeners."""
 
     # The last report; None while the replica does not answer.
     report: ReplicaReport | None
     # Whether the replica has answered at least once.
     answered: bool
-    # Set by the renewer before it gives an order, so that requests go elsewhere in time.
-    leaving: bool
-    # Whether the replica said that it leaves. That holds for the rest of its life.
+    # Set by the renewer before it sends an order, so that entries divert requests in time.
+    diverting: bool
+    # Whether the replica announced that it shuts down. Stays set for the rest of its incarnation.
     ends: bool
-    # Whether the load that the replica holds is known to be whole.
+    # Whether the replica's loaded weights are known to be intact.
     confirmation: Confirmation
 
     def __init__(
@@ -60,33 +60,33 @@
     ) -> None:
         self.report = None
         self.answered = False
-        self.leaving = False
-        self.ends = False
+        self.diverting = False
+        self.shutting_down = False
         self.confirmation = Confirmation()
         self._address = address
         self._replica = replica
         self._named = named
         self._listeners: dict[str, _Listener] = {}
         self._sequence = 0
-        self._life: int | None = None  # when it began, as `started_ms` of the reports
-        self._told_at = float("-inf")
+        self._incarnation_ms: int | None = None  # `started_ms` of the last report
+        self._notified_at = float("-inf")
         self._changed = trio.Event()
-        # Reports are read one after the other: none undoes what a later one has told.
+        # Reports are read one at a time, so that none overwrites the state of a later one.
         self._reading = trio.Lock()
 
     async def run(self) -> None:
-        """Read and tell until cancelled."""
+        """Read the state and notify listeners until cancelled."""
         while True:
             await self.refresh()
-            await trio.sleep(READ_SECONDS)
+            await trio.sleep(READ_INTERVAL_SECONDS)
 
     async def refresh(self) -> ReplicaReport | None:
-        """Read the state now and tell it."""
+        """Read the state now and notify listeners; return the report, None if it failed."""
         async with self._reading:
             asked_at = monotonic()
             outcome = await self._replica.report()
             if not isinstance(outcome, Failure):
-                self.confirmation.see(outcome.value, asked_at)
+                self.confirmation.observe(outcome.value, asked_at)
         before = self.report
         if isinstance(outcome, Failure):
             self.report = None
@@ -94,7 +94,7 @@
                 logger.warning("replica lost", extra={"reason": outcome.detail})
         else:
             self.report = outcome.value
-            self._note_life(outcome.value)
+            self._note_incarnation(outcome.value)
             self.answered = True
             if before is None:
                 logger.info("replica regained", extra=self._describe(outcome.value))
@@ -103,98 +103,98 @@
             elif before.order_sequence != outcome.value.order_sequence:
                 fields = {**self._describe(outcome.value), "orders_before": before.order_sequence}
                 logger.info("orders counted", extra=fields)
-        changed = _essence(before) != _essence(self.report)
+        changed = _state_key(before) != _state_key(self.report)
         if changed:
             self._changed.set()
             self._changed = trio.Event()
         stays_idle = _is_idle(before) and _is_idle(self.report)
         if changed:
-            self.tell()
-        elif not stays_idle or self._told_long_ago():
-            self._tell_in_turn()
+            self.notify_listeners()
+        elif not stays_idle or self._notified_long_ago():
+            self._notify_in_turn()
         return self.report
 
-    def receive_leaving(self, started_ms: int | None) -> None:
-        """Learn from an entry that a life of the replica leaves."""
+    def receive_shutdown_notice(self, started_ms: int | None) -> None:
+        """Process an entry's notice that an incarnation of the replica shuts down."""
         if self.report is not None and self.report.started_ms == started_ms:
-            self._end("entry")
+            self._note_shutdown("entry")
 
-    def _note_life(self, report: ReplicaReport) -> None:
-        """Note whether the replica leaves, or another life of it has begun."""
-        if report.started_ms != self._life:
-            self._life = report.started_ms
-            self.ends = False
+    def _note_incarnation(self, report: ReplicaReport) -> None:
+        """Track whether the replica shuts down or a new incarnation of it has started."""
+        if report.started_ms != self._incarnation_ms:
+            self._incarnation_ms = report.started_ms
+            self.shutting_down = False
         if report.leaving:
-            self._end("report")
+            self._note_shutdown("report")
 
-    def _end(self, source: str) -> None:
-        if not self.ends:
-            self.ends = True
+    def _note_shutdown(self, source: str) -> None:
+        if not self.shutting_down:
+            self.shutting_down = True
             logger.info("replica leaves", extra={"source": source})
-            self.tell()
+            self.notify_listeners()
 
     def holds(self, goal: LoadedModel) -> bool:
-        """Tell whether the replica serves a version, or a newer one."""
+        """Return whether the replica has loaded a version or a newer one."""
         return self.report is not None and any(
             loaded.model == goal.model and loaded.version >= goal.version
             for loaded in self.report.loaded
         )
 
     async def wait_change(self) -> None:
-        """Wait until the replica loads, or has loaded, something else, or comes or goes."""
+        """Wait until a load starts or ends, or the replica restarts, appears or disappears."""
         await self._changed.wait()
 
-    def listen(self, host: str, reply: Reply, subscribed_ms: int = 0) -> None:
-        """Tell a process the state from now on, for some seconds.
+    def add_listener(self, host: str, reply: Reply, subscribed_ms: int = 0) -> None:
+        """Send the state to a process from now on, until its subscription times out.
 
-        `subscribed_ms` is told back: it shows the process how long its messages take to come.
+        `subscribed_ms` is echoed, so that the process can tell how long its messages take.
         """
         now = monotonic()
         known = self._listeners.get(host)
         if known is not None:
-            known.reply, known.asked_at = reply, now
+            known.reply, known.subscribed_at = reply, now
             known.subscribed_ms = subscribed_ms
             return
         logger.info("listener", extra={"listener": host})
         listener = _Listener(reply, now, now, subscribed_ms)
         self._listeners[host] = listener
-        reply(_told_to(listener, self._message()), None)
-
-    def leave(self) -> None:
-        """Have requests sent elsewhere."""
-        if not self.leaving:
-            self.leaving = True
-            self.tell()
-
-    def stay(self) -> None:
-        """Have requests sent here again."""
-        if self.leaving:
-            self.leaving = False
-            self.tell()
-
-    def tell(self) -> None:
-        """Tell all who listen, at once."""
-        self._tell(0.0)
-
-    def _tell_in_turn(self) -> None:
-        """Tell those who were told longest ago, all of them if they are few."""
-        rounds = math.ceil(len(self._listeners) / LISTENERS_AT_ONCE)
-        self._tell((rounds - 0.5) * READ_SECONDS)
-
-    def _tell(self, least_age: float) -> None:
-        """Tell all who were last told so long ago."""
+        reply(_addressed_to(listener, self._message()), None)
+
+    def divert_requests(self) -> None:
+        """Have entries send requests to other replicas."""
+        if not self.diverting:
+            self.diverting = True
+            self.notify_listeners()
+
+    def accept_requests(self) -> None:
+        """Have entries send requests to this replica again."""
+        if self.diverting:
+            self.diverting = False
+            self.notify_listeners()
+
+    def notify_listeners(self) -> None:
+        """Send the state to all listeners immediately."""
+        self._notify(0.0)
+
+    def _notify_in_turn(self) -> None:
+        """Notify the listeners notified longest ago, or all of them if they are few."""
+        rounds = math.ceil(len(self._listeners) / LISTENERS_PER_READING)
+        self._notify((rounds - 0.5) * READ_INTERVAL_SECONDS)
+
+    def _notify(self, least_age: float) -> None:
+        """Notify all listeners last notified at least `least_age` seconds ago."""
         now = monotonic()
-        self._told_at = now
+        self._notified_at = now
         message = self._message()
         for host, listener in list(self._listeners.items()):
-            if listener.asked_at < now - LISTENER_SECONDS:
+            if listener.subscribed_at < now - LISTENER_TIMEOUT_SECONDS:
                 del self._listeners[host]
-            elif now - listener.told_at >= least_age:
-                listener.told_at = now
-                listener.reply(_told_to(listener, message), None)
+            elif now - listener.notified_at >= least_age:
+                listener.notified_at = now
+                listener.reply(_addressed_to(listener, message), None)
 
-    def _told_long_ago(self) -> bool:
-        return monotonic() - self._told_at > IDLE_TELL_SECONDS - READ_SECONDS
+    def _notified_long_ago(self) -> bool:
+        return monotonic() - self._notified_at > IDLE_NOTIFY_SECONDS - READ_INTERVAL_SECONDS
 
     def _message(self) -> ReplicaLoad:
         self._sequence += 1
@@ -204,7 +204,7 @@
                 str(self._address),
                 self._sequence,
                 False,
-                self.leaving,
+                self.diverting,
                 {},
                 0,
                 0,
@@ -218,7 +218,7 @@
             address=str(self._address),
             sequence=self._sequence,
             reachable=True,
-            leaving=self.leaving or self.ends or report.busy_loading,
+            leaving=self.diverting or self.shutting_down or report.busy_loading,
             versions={loaded.model: loaded.version for loaded in report.loaded},
             active=report.active,
             queued=report.queued,
@@ -229,7 +229,7 @@
             started_ms=report.started_ms,
             confirmed=self.confirmation.confirmed(report),
             suspect=self.confirmation.suspect(report),
-            ends=self.ends,
+            ends=self.shutting_down,
         )
 
     @staticmethod
@@ -242,16 +242,16 @@
         }
 
 
-def _told_to(listener: _Listener, message: ReplicaLoad) -> ReplicaLoad:
+def _addressed_to(listener: _Listener, message: ReplicaLoad) -> ReplicaLoad:
     return msgspec.structs.replace(message, subscribed_ms=listener.subscribed_ms)
 
 
 def _is_idle(report: ReplicaReport | None) -> bool:
-    """Tell whether a replica is known to have nothing to do."""
+    """Return whether a replica is known to have nothing to do."""
     return report is not None and not (report.active or report.queued or report.busy_loading)
 
 
-def _essence(report: ReplicaReport | None) -> object:
+def _state_key(report: ReplicaReport | None) -> object:
     if report is None:
         return None
     return report.loaded, report.busy_loading, report.order_sequence, report.started_ms
--- a/libs/renewal/src/headcross_renewal/staging.py
+++ b/libs/renewal/src/headcross_renewal/staging.py
@@ -19,7 +19,7 @@
 from headcross_ports.replicas import ReplicaControl
 from headcross_weights.chunkstore import StoredArtifact
 
-from headcross_renewal.indoubt import InDoubt
+from headcross_renewal.indoubt import InDoubtCalls
 
 WORKERS: Final = 4
 RETRY_SECONDS: Final = 0.1
@@ -44,7 +44,7 @@
 class Staging:
     """The staged copy of one model, as it is to be for one version."""
 
-    def __init__(self, goal: LoadedModel, replica: ReplicaControl, in_doubt: InDoubt) -> None:
+    def __init__(self, goal: LoadedModel, replica: ReplicaControl, in_doubt: InDoubtCalls) -> None:
         self._goal = goal
         self._model = goal.model
         self._replica = replica
@@ -64,11 +64,11 @@
         for index, data in found.items():
             stored.add(index, data)
         if len(found) == len(stored.places):
-            self._in_doubt.lay_whole(self._goal)
+            self._in_doubt.record_complete_staging(self._goal)
         if not copy.indexes:
-            self._in_doubt.nothing_lay_there()
+            self._in_doubt.record_empty_staging()
         elif len(copy.indexes) < len(stored.places):
-            self._in_doubt.nothing_from_before()
+            self._in_doubt.rule_out_earlier_order()
         return len(found)
 
     async def put(self, stored: StoredArtifact, indexes: list[int]) -> None:
@@ -115,7 +115,7 @@
         if not isinstance(outcome, Failure):
             return True
         if outcome.reason == LINK_LOST:
-            self._in_doubt.put_unanswered(self._goal, monotonic())
+            self._in_doubt.record_unanswered_put(self._goal, monotonic())
         return False
 
 
--- a/tests/test_beside_replica.py
+++ b/tests/test_beside_replica.py
@@ -19,7 +19,7 @@
 # The latest that a call without an answer took effect, as users' replicas have shown.
 LATE_SECONDS = 12.0
 # Longer than a chunk may be bad.
-STANDSTILL_SECONDS = 3.5
+STALL_SECONDS = 3.5
 
 
 def model_replica(site: Machines) -> ListedReplica:
@@ -28,7 +28,7 @@
     return listed
 
 
-def spoil(replica: FakeReplica, number: int) -> None:
+def corrupt_chunk(replica: FakeReplica, number: int) -> None:
     """Have a chunk that lies beside a replica turn bad."""
     data = replica.staged[number]
     replica.staged[number] = bytes([data[0] ^ 0xFF]) + data[1:]
@@ -38,7 +38,7 @@
 def test_a_chunk_that_turns_bad_is_another_one_whatever_its_first_byte(chunk: bytes) -> None:
     """Overwriting that byte with a zero left one chunk in 256 as it was."""
     replica = FakeReplica("i", staged={0: chunk})
-    spoil(replica, 0)
+    corrupt_chunk(replica, 0)
     assert replica.staged[0] != chunk and len(replica.staged[0]) == len(chunk)
 
 
@@ -180,7 +180,7 @@
         async def stop(call: DaemonCall) -> bool:
             if call.reads_chunk and call.number == CHUNKS - 1 and not stopped.is_set():
                 site.signal("daemon0", signal.SIGSTOP)
-                spoil(replica, 0)
+                corrupt_chunk(replica, 0)
                 stopped.set()
             return False
 
@@ -188,7 +188,7 @@
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
             await stopped.wait()
-        await trio.sleep(STANDSTILL_SECONDS)
+        await trio.sleep(STALL_SECONDS)
         site.signal("daemon0", signal.SIGCONT)
         await wait_loaded([replica], 2)
         check_loads(site)
@@ -204,9 +204,9 @@
             if not call.reads_chunk:
                 return False
             if call.number == 1 and not spoilt.is_set():
-                spoil(replica, 0)
+                corrupt_chunk(replica, 0)
                 spoilt.set()
-            await trio.sleep(STANDSTILL_SECONDS / CHUNKS)
+            await trio.sleep(STALL_SECONDS / CHUNKS)
             return False
 
         replica.keeps_back = read_slowly
@@ -262,10 +262,10 @@
                 await trio.sleep(0.005)
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
-        spoil(replica, 0)
+        corrupt_chunk(replica, 0)
         site.name_version(3)
         site.start("daemon0")
-        await trio.sleep(STANDSTILL_SECONDS)
+        await trio.sleep(STALL_SECONDS)
         replica.take_kept_orders()
         await wait_loaded([replica], 3)
         check_loads(site)
@@ -289,8 +289,8 @@
             return silent
 
         replica.keeps_back = say_nothing
-        spoil(replica, 0)
-        await trio.sleep(STANDSTILL_SECONDS)
+        corrupt_chunk(replica, 0)
+        await trio.sleep(STALL_SECONDS)
         replica.take_kept_orders()
         silent = False
         await wait_loaded([replica], 2)
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -8,9 +8,9 @@
 from headcross_ports.replicas import ReplicaReport
 from headcross_renewal.confirmation import (
     NEVER,
-    READ_BACK_FIRST_SECONDS,
+    READ_BACK_PRIORITY_SECONDS,
     Confirmation,
-    Standing,
+    LoadStatus,
     key_of,
 )
 from headcross_wire.peermessages import ReplicaLoad
@@ -32,113 +32,113 @@
     """Return what is known after some reports, one a second from 1.0 on."""
     confirmation = Confirmation()
     for at, report in enumerate(reports, start=1):
-        confirmation.see(report, float(at))
+        confirmation.observe(report, float(at))
     return confirmation
 
 
 def read_back(
     confirmation: Confirmation, report: ReplicaReport, bad: frozenset[int], put_at: float = NEVER
-) -> Standing:
-    """Return the standing after a read-back of what a replica holds."""
-    assert confirmation.awaits_read_back(report)
+) -> LoadStatus:
+    """Return the status after a read-back of what a replica holds."""
+    assert confirmation.needs_read_back(report)
     confirmation.note_read_back(key_of(report), bad, put_at)
-    return confirmation.standing
+    return confirmation.status
 
 
 def test_what_nobody_ordered_is_confirmed() -> None:
-    assert seen(report_of(1, 0)).standing is Standing.CONFIRMED
+    assert seen(report_of(1, 0)).status is LoadStatus.CONFIRMED
     assert seen(report_of(0, 0)).confirmed(report_of(0, 0)) == {}
 
 
 def test_an_order_that_was_answered_is_confirmed_before_its_load_ends() -> None:
     confirmation = seen(report_of(1, 0))
-    confirmation.order_taken(NEWER, report_of(1, 0))
+    confirmation.record_accepted_order(NEWER, report_of(1, 0))
     loading = report_of(1, 1, loading=True)
-    confirmation.see(loading, 2.0)
+    confirmation.observe(loading, 2.0)
     assert confirmation.confirmed(loading) == {"m": 2}
-    assert not confirmation.awaits_read_back(report_of(2, 1))
+    assert not confirmation.needs_read_back(report_of(2, 1))
 
 
 def test_an_answer_after_the_report_that_counts_the_order_confirms_it_too() -> None:
     confirmation = seen(report_of(1, 0), report_of(1, 1, loading=True))
-    confirmation.order_taken(NEWER, report_of(1, 0))
-    assert confirmation.standing is Standing.CONFIRMED
+    confirmation.record_accepted_order(NEWER, report_of(1, 0))
+    assert confirmation.status is LoadStatus.CONFIRMED
 
 
 BEFORE, AFTER = report_of(1, 0), report_of(2, 1)
 
 
 @pytest.mark.parametrize(
-    ("bad", "put_at", "standing"),
+    ("bad", "put_at", "status"),
     [
-        (WHOLE, NEVER, Standing.CONFIRMED),
-        (WHOLE, 0.9, Standing.CONFIRMED),  # before the last report without the load
-        (WHOLE, 1.5, Standing.SUSPECT),  # it may have hidden what was loaded
-        (BAD, NEVER, Standing.SUSPECT),
+        (WHOLE, NEVER, LoadStatus.CONFIRMED),
+        (WHOLE, 0.9, LoadStatus.CONFIRMED),  # before the last report without the load
+        (WHOLE, 1.5, LoadStatus.SUSPECT),  # it may have hidden what was loaded
+        (BAD, NEVER, LoadStatus.SUSPECT),
     ],
 )
 def test_a_load_that_was_taken_late_is_known_by_its_read_back(
-    bad: frozenset[int], put_at: float, standing: Standing
+    bad: frozenset[int], put_at: float, status: LoadStatus
 ) -> None:
     confirmation = seen(BEFORE, AFTER)
-    assert confirmation.standing is Standing.UNCONFIRMED
+    assert confirmation.status is LoadStatus.UNCONFIRMED
     assert confirmation.confirmed(AFTER) == {}
-    assert read_back(confirmation, AFTER, bad, put_at) is standing
-    assert confirmation.confirmed(AFTER) == ({"m": 2} if standing is Standing.CONFIRMED else {})
-    assert confirmation.suspect(AFTER) == ({"m": 2} if standing is Standing.SUSPECT else {})
+    assert read_back(confirmation, AFTER, bad, put_at) is status
+    assert confirmation.confirmed(AFTER) == ({"m": 2} if status is LoadStatus.CONFIRMED else {})
+    assert confirmation.suspect(AFTER) == ({"m": 2} if status is LoadStatus.SUSPECT else {})
 
 
 @pytest.mark.parametrize(
-    ("bad", "put_at", "standing"),
+    ("bad", "put_at", "status"),
     [
-        (WHOLE, NEVER, Standing.CONFIRMED),
-        (WHOLE, 1.5, Standing.UNCONFIRMED),
-        (BAD, NEVER, Standing.UNCONFIRMED),  # an earlier process may have put it there since
+        (WHOLE, NEVER, LoadStatus.CONFIRMED),
+        (WHOLE, 1.5, LoadStatus.UNCONFIRMED),
+        (BAD, NEVER, LoadStatus.UNCONFIRMED),  # an earlier process may have put it there since
     ],
 )
 def test_a_load_from_before_the_process_is_known_by_its_read_back(
-    bad: frozenset[int], put_at: float, standing: Standing
+    bad: frozenset[int], put_at: float, status: LoadStatus
 ) -> None:
     confirmation = seen(AFTER)
-    assert read_back(confirmation, AFTER, bad, put_at) is standing
+    assert read_back(confirmation, AFTER, bad, put_at) is status
     assert confirmation.suspect(AFTER) == {}
 
 
 def test_a_suspect_load_stays_so_until_another_one() -> None:
     confirmation = seen(BEFORE, AFTER)
-    assert read_back(confirmation, AFTER, BAD) is Standing.SUSPECT
+    assert read_back(confirmation, AFTER, BAD) is LoadStatus.SUSPECT
     confirmation.note_read_back(key_of(AFTER), WHOLE, NEVER)
-    confirmation.see(AFTER, 3.0)
+    confirmation.observe(AFTER, 3.0)
     assert confirmation.suspect(AFTER) == {"m": 2}
-    confirmation.see(report_of(0, 0, started_ms=9), 4.0)
+    confirmation.observe(report_of(0, 0, started_ms=9), 4.0)
     assert confirmation.suspect(AFTER) == {}
 
 
 def test_a_read_back_of_an_earlier_load_tells_nothing() -> None:
     confirmation = seen(BEFORE, AFTER, report_of(3, 2))
     confirmation.note_read_back(key_of(AFTER), WHOLE, NEVER)
-    assert confirmation.standing is Standing.UNCONFIRMED
+    assert confirmation.status is LoadStatus.UNCONFIRMED
 
 
 def test_a_count_that_goes_back_within_a_life_is_not_taken_for_no_order() -> None:
     confirmation = seen(AFTER, report_of(2, 0))
-    assert confirmation.standing is Standing.UNCONFIRMED
+    assert confirmation.status is LoadStatus.UNCONFIRMED
     # Where no start is told, a smaller count is another life.
     confirmation = seen(report_of(2, 1, started_ms=None), report_of(0, 0, started_ms=None))
-    assert confirmation.standing is Standing.CONFIRMED
+    assert confirmation.status is LoadStatus.CONFIRMED
 
 
 def test_chunks_of_another_version_wait_for_the_read_back_but_not_for_ever() -> None:
     confirmation = seen(BEFORE, AFTER)
-    assert confirmation.keeps_others_away(2.1)
-    assert not confirmation.keeps_others_away(2.0 + READ_BACK_FIRST_SECONDS)
-    assert not seen(BEFORE).keeps_others_away(1.1)
+    assert confirmation.blocks_other_versions(2.1)
+    assert not confirmation.blocks_other_versions(2.0 + READ_BACK_PRIORITY_SECONDS)
+    assert not seen(BEFORE).blocks_other_versions(1.1)
 
 
 # At an entry.
 
 
-def word(
+def load_message(
     version: int, *, confirmed: int = 0, suspect: int = 0, started_ms: int = 7
 ) -> ReplicaLoad:
     """Return the word of a daemon."""
@@ -163,15 +163,19 @@
     ("words", "version", "serves"),
     [
         ([], 2, True),  # no daemon was ever heard: nobody can tell more than the list
-        ([word(1)], 1, True),  # held when the entry began
-        ([word(1)], 2, False),  # the list says so, and its daemon has not confirmed it
-        ([word(1), word(2)], 2, False),  # an older daemon's word has no such field
-        ([word(1), word(2, confirmed=2)], 2, True),
-        ([word(1, confirmed=2)], 2, True),  # its daemon ended while it was being loaded
-        ([word(2, confirmed=2), word(2)], 2, True),  # another process of its daemon
-        ([word(1), word(2, suspect=2)], 2, False),
-        ([word(2, suspect=2), word(2)], 2, False),  # another process of its daemon
-        ([word(1, suspect=1)], 1, False),  # the entry began after the load
+        ([load_message(1)], 1, True),  # held when the entry began
+        ([load_message(1)], 2, False),  # the list says so, and its daemon has not confirmed it
+        ([load_message(1), load_message(2)], 2, False),  # an older daemon's word has no such field
+        ([load_message(1), load_message(2, confirmed=2)], 2, True),
+        ([load_message(1, confirmed=2)], 2, True),  # its daemon ended while it was being loaded
+        (
+            [load_message(2, confirmed=2), load_message(2)],
+            2,
+            True,
+        ),  # another process of its daemon
+        ([load_message(1), load_message(2, suspect=2)], 2, False),
+        ([load_message(2, suspect=2), load_message(2)], 2, False),  # another process of its daemon
+        ([load_message(1, suspect=1)], 1, False),  # the entry began after the load
     ],
 )
 def test_a_version_serves_as_its_daemon_says(
@@ -185,17 +189,17 @@
 
 def test_an_entry_that_does_not_ask_a_daemon_any_more_goes_by_the_list() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(word(1), 1.0)
+    loads.hear(load_message(1), 1.0)
     loads.stop_hearing()
     assert loads.may_serve("m", 2)
 
 
 def test_an_entry_knows_since_when_a_version_is_held_that_came_in_its_sight() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(word(1), 1.0)
+    loads.hear(load_message(1), 1.0)
     assert not loads.came_at
     loads.note_held([NEWER], 2.0)
-    loads.hear(word(2, confirmed=2), 3.0)
+    loads.hear(load_message(2, confirmed=2), 3.0)
     assert loads.came_at == {NEWER: 2.0}
 
 
@@ -207,23 +211,23 @@
 
 def test_an_unconfirmed_version_is_held_and_not_served() -> None:
     state = replica_state()
-    state.hear(word(2), 1)
+    state.hear(load_message(2), 1)
     assert state.held_version("m") == 2
     assert state.version_of("m") is None
-    state.hear(word(2, confirmed=2), 1)
+    state.hear(load_message(2, confirmed=2), 1)
     assert state.version_of("m") == 2
 
 
 def test_the_word_about_another_life_confirms_nothing() -> None:
     state = replica_state()
-    state.hear(word(1), 1)
-    state.hear(word(2, confirmed=2, started_ms=8), 1)
+    state.hear(load_message(1), 1)
+    state.hear(load_message(2, confirmed=2, started_ms=8), 1)
     assert not state.loads.may_serve("m", 2)
 
 
 def test_requests_ask_for_the_version_by_name_while_a_daemon_is_silent() -> None:
     state = replica_state()
-    state.hear(word(1), 1)
+    state.hear(load_message(1), 1)
     assert state.version_to_expect("m") is None
     assert state.told is not None
     state.told.at -= 1.0
--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -26,10 +26,10 @@
 from testing.machines import Machines, replicas_of, small_site
 from testing.platformreplica import FakeReplica
 from tests.test_beside_replica import (
-    STANDSTILL_SECONDS,
+    STALL_SECONDS,
+    corrupt_chunk,
     kill_with_order_in_doubt,
     model_replica,
-    spoil,
 )
 from tests.test_machine_weights import LOADED_SECONDS, check_loads, wait_loaded, wait_offered
 
@@ -103,7 +103,7 @@
         return silent
 
     replica.keeps_back = say_nothing
-    await trio.sleep(STANDSTILL_SECONDS)
+    await trio.sleep(STALL_SECONDS)
     replica.take_kept_orders()
     silent = False
 
@@ -113,8 +113,8 @@
         await wait_offered(site)
         async with callers_coming(site):
             replica = await kill_with_order_in_doubt(site)
-            spoil(replica, 0)
-            await trio.sleep(STANDSTILL_SECONDS)
+            corrupt_chunk(replica, 0)
+            await trio.sleep(STALL_SECONDS)
             replica.take_kept_orders()
             await trio.sleep(WATCHED_SECONDS)
         check_a_load_was_bad(site)
@@ -126,8 +126,8 @@
         await wait_offered(site)
         async with callers_coming(site):
             replica = await kill_with_order_in_doubt(site)
-            spoil(replica, 0)
-            await trio.sleep(STANDSTILL_SECONDS)
+            corrupt_chunk(replica, 0)
+            await trio.sleep(STALL_SECONDS)
             replica.take_kept_orders()
             site.start("daemon0")
             await trio.sleep(WATCHED_SECONDS)
@@ -143,7 +143,7 @@
         await wait_offered(site)
         async with callers_coming(site):
             replica = await wait_order_kept_back(site)
-            spoil(replica, 0)
+            corrupt_chunk(replica, 0)
             await keep_silent(replica)
             await trio.sleep(WATCHED_SECONDS)
             site.name_version(3)
--- a/tests/test_recovery_moments.py
+++ b/tests/test_recovery_moments.py
@@ -13,14 +13,14 @@
 
 from testing.machines import Machines, small_site
 from testing.platformreplica import FakeReplica
-from tests.test_beside_replica import kill_with_order_in_doubt, spoil
+from tests.test_beside_replica import corrupt_chunk, kill_with_order_in_doubt
 from tests.test_machine_weights import LOADED_SECONDS, check_loads, wait_offered
 
 SEEDS = range(4400, 4410)
 HISTORIES = 3  # of each seed
 # For how long the next process is away after the kill, and how long it needs once it runs.
 AWAY_SECONDS = (0.5, 6.0)
-MENDING_SECONDS = 1.0
+REPAIR_SECONDS = 1.0
 # A chunk turns bad from the kill until so long after the start of the process.
 AFTER_START_SECONDS = 0.5
 # A chunk that has been bad for less may be loaded.
@@ -55,7 +55,7 @@
 
         async def turn_bad(replica: FakeReplica) -> None:
             await trio.sleep_until(killed_at + history.turns_bad)
-            spoil(replica, 0)
+            corrupt_chunk(replica, 0)
 
         async with trio.open_nursery() as nursery:
             replica = await kill_with_order_in_doubt(site)
@@ -65,7 +65,7 @@
             await trio.sleep_until(killed_at + history.starts)
             site.start("daemon0")
             await wait_started(site, 2)
-            await trio.sleep(MENDING_SECONDS)
+            await trio.sleep(REPAIR_SECONDS)
             await trio.sleep_until(killed_at + history.turns_bad + ALLOWED_SECONDS)
         replica.take_kept_orders()
         assert replica.loads, "the order was not taken"
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -26,7 +26,7 @@
 from headcross_renewal.confirmation import Confirmation
 from headcross_renewal.fetching import Fetching, Place
 from headcross_renewal.goalchoice import GoalChoice
-from headcross_renewal.indoubt import InDoubt
+from headcross_renewal.indoubt import InDoubtCalls
 from headcross_renewal.loading import Loading
 from headcross_renewal.mirrors import MirrorBook, SwarmPorts
 from headcross_renewal.orders import Orders
@@ -126,8 +126,8 @@
     reporter = Reporter(ADDRESS, replica)
     given_orders = Orders(str(ADDRESS), facts, replica, reporter)
     # Entries tell what the replica came to hold, and when, and that a process was there before.
-    given_orders.in_doubt.hear_loaded(LoadedModel(MODEL, replica.loaded), replica.loaded_at)
-    given_orders.in_doubt.hear_process(0.0)
+    given_orders.in_doubt.record_loaded_at(LoadedModel(MODEL, replica.loaded), replica.loaded_at)
+    given_orders.in_doubt.record_process_seen(0.0)
     store = ChunkStore(1 << 20)
     loading = Loading(str(ADDRESS), SERVICE, facts, reporter, given_orders, BOUND_SECONDS)
     plans = cast(Any, Plans())
@@ -153,10 +153,10 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reporter.run)
         nursery.start_soon(renewer.run)
-        nursery.start_soon(judge_words, replica, reporter)
+        nursery.start_soon(check_confirmed_loads, replica, reporter)
 
 
-async def judge_words(replica: LateReplica, reporter: Reporter) -> None:
+async def check_confirmed_loads(replica: LateReplica, reporter: Reporter) -> None:
     """Check, as an entry that is told them, that no bad load is ever called confirmed."""
 
     def hear(message: PeerMessage, payload: bytes | None) -> bool:
@@ -167,7 +167,7 @@
         return True
 
     while True:
-        reporter.listen("entry", hear)
+        reporter.add_listener("entry", hear)
         await trio.sleep(1.0)
 
 
@@ -346,17 +346,17 @@
 
 
 @pytest.mark.parametrize("mistake", MISTAKES)
-def test_a_planted_mistake_is_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_an_injected_mistake_is_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
     """The check could fail: without one of the guards some of these histories load a mixture."""
     match mistake:
         case "stages too early":
-            monkeypatch.setattr(InDoubt, "may_stage", always)
+            monkeypatch.setattr(InDoubtCalls, "may_stage", always)
         case "forgets an earlier process":
             monkeypatch.setattr(indoubt, "LATE_SECONDS", 0.0)
         case "lets turn bad what an earlier process ordered":
             monkeypatch.setattr(Recovery, "_keep_whole", never_done)
         case "forgets the puts of an earlier process":
-            monkeypatch.setattr(InDoubt, "earlier_put_may_land", never)
+            monkeypatch.setattr(InDoubtCalls, "earlier_put_may_land", never)
     trouble, restarts = MISTAKES[mistake]
     assert any(
         run_history(History(seed, trouble, restarts, ends=False)).violations for seed in range(60)
--- a/tests/test_renewal_plan.py
+++ b/tests/test_renewal_plan.py
@@ -25,7 +25,7 @@
     plan_of,
     seek_plan,
 )
-from headcross_renewal.reporting import LISTENERS_AT_ONCE, Reporter
+from headcross_renewal.reporting import LISTENERS_PER_READING, Reporter
 from headcross_wire.peermessages import AskPlan, PeerMessage, ReplicaLoad, WeightsPlan
 from headcross_wire.peernode import PeerNode
 
@@ -287,7 +287,7 @@
             words[number].append(trio.current_time())
             return True
 
-        reporter.listen(f"entry-{number}", reply)
+        reporter.add_listener(f"entry-{number}", reply)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reporter.run)
@@ -296,8 +296,10 @@
                 listen(number)
             await trio.sleep(1.0)
         said = sum(map(len, words.values()))
-        assert said <= 1.1 * 10 * LISTENERS_AT_ONCE / reporting.READ_SECONDS + listeners
-        assert said <= 10 * listeners / reporting.READ_SECONDS * (0.5 if idle else 1.1)
+        assert (
+            said <= 1.1 * 10 * LISTENERS_PER_READING / reporting.READ_INTERVAL_SECONDS + listeners
+        )
+        assert said <= 10 * listeners / reporting.READ_INTERVAL_SECONDS * (0.5 if idle else 1.1)
         longest = max(
             b - a for each in words.values() for a, b in zip(each, each[1:], strict=False)
         )
@@ -305,8 +307,8 @@
         # What matters at once is told to all at once.
         for each in words.values():
             each.clear()
-        reporter.leaving = True
-        reporter.tell()
+        reporter.diverting = True
+        reporter.notify_listeners()
         assert all(len(each) == 1 for each in words.values())
         nursery.cancel_scope.cancel()
 
