--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -1,4 +1,4 @@
-"""Keeps the chunks that an earlier process of this daemon staged intact while it may matter.
+"""Repairs the staged chunks that an earlier process of this daemon may have ordered to load.
 
 A process that was killed may have sent an order that was not answered, which the replica accepts
 seconds later, loading whatever is staged by then. Chunks may turn bad meanwhile, and one that has
--- a/tests/test_beside_replica.py
+++ b/tests/test_beside_replica.py
@@ -1,8 +1,8 @@
-"""What lies beside a replica as it takes an order is whole and of one version, whatever was late.
+"""The staged chunks are intact and of one version when a replica accepts an order.
 
-Each case is one way in which time passes between a put, the read-back and the order: a call that
-takes effect seconds after it was sent, a process or a replica that stands still or is slow, a
-process that follows another, a loss of power. Chunks may be bad for 3 s before they are loaded.
+Each test delays something between a put, the read-back and the order: a call that takes effect
+seconds after it was sent, a process or replica that is stopped or slow, a restarted daemon, or a
+power loss. Chunks may be bad for up to 3 s before they are loaded.
 """
 
 import signal
@@ -16,34 +16,34 @@
 from testing.platformreplica import DaemonCall, FakeReplica
 from tests.test_machine_weights import LOADED_SECONDS, check_loads, wait_loaded, wait_offered
 
-# The latest that a call without an answer took effect, as users' replicas have shown.
+# The longest delay after which an unanswered call took effect at users' replicas.
 LATE_SECONDS = 12.0
-# Longer than a chunk may be bad.
+# Longer than a chunk may be bad before it is loaded.
 STALL_SECONDS = 3.5
 
 
 def model_replica(site: Machines) -> ListedReplica:
-    """Return the one replica of the model."""
+    """Return the model's only replica."""
     (listed,) = (r for r in site.replicas.values() if r.service == MODEL_SERVICE)
     return listed
 
 
 def corrupt_chunk(replica: FakeReplica, number: int) -> None:
-    """Have a chunk that lies beside a replica turn bad."""
+    """Corrupt a chunk that is staged at a replica."""
     data = replica.staged[number]
     replica.staged[number] = bytes([data[0] ^ 0xFF]) + data[1:]
 
 
 @pytest.mark.parametrize("chunk", [b"\x00\x01", b"\x01\x01", b"\xff"])
-def test_a_chunk_that_turns_bad_is_another_one_whatever_its_first_byte(chunk: bytes) -> None:
-    """Overwriting that byte with a zero left one chunk in 256 as it was."""
+def test_a_corrupted_chunk_differs_whatever_its_first_byte(chunk: bytes) -> None:
+    """Overwriting the first byte with zero would leave one chunk in 256 unchanged."""
     replica = FakeReplica("i", staged={0: chunk})
     corrupt_chunk(replica, 0)
     assert replica.staged[0] != chunk and len(replica.staged[0]) == len(chunk)
 
 
 async def kill_with_order_in_doubt(site: Machines) -> FakeReplica:
-    """Kill a daemon whose order for version 2 is kept back; return its replica."""
+    """Kill a daemon whose order for version 2 is delayed; return its replica."""
     replica = model_replica(site).replica
     replica.orders_kept_back = 1
     site.name_version(2)
@@ -55,8 +55,8 @@
     return replica
 
 
-async def test_a_put_that_lands_late_is_not_loaded_with_another_version(tmp_path: Path) -> None:
-    """A chunk of version 2 was put without an answer and lands as version 3 is ordered."""
+async def test_a_late_put_is_not_loaded_with_another_version(tmp_path: Path) -> None:
+    """An unanswered put of a chunk of version 2 takes effect as version 3 is ordered."""
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
@@ -82,20 +82,12 @@
 async def test_a_put_of_an_earlier_process_is_not_loaded_with_another_version(
     tmp_path: Path,
 ) -> None:
-    """A daemon was killed with a put under way, which lands seconds later.
+    """A daemon is killed with a put of version 2 unanswered, and version 3 is named.
 
-    What happens: a chunk of version 2 is put without an answer, and its daemon is killed. Version
-    3 is named, the daemon starts again, brings version 3 and reads it back whole. As it gives the
-    order, the late put lands, over a chunk of version 3.
-
-    Why: a put without an answer keeps other versions from being ordered for 15 s, but only in the
-    process that sent it. The later one knew of version 3 alone: the store tells the newest version
-    only, and no other process told which one had been wanted until a moment before.
-
-    The evidence: the later process logs "chunks read back" of version 3, whole, 0.4 s after its
-    start, and no line names version 2. The load has one chunk of 16 bad, the one whose put was
-    late. With the mend, "version named" of version 2 comes from an entry with its age, and the
-    order goes 15 s after the start.
+    The restarted daemon stages version 3 and reads it back intact, and the late put overwrites one
+    chunk as the order is sent. An unanswered put blocks orders of other versions for 15 s, but
+    only in the process that sent it, and the store lists the newest version only. The restarted
+    daemon must therefore learn from entries that version 2 was named shortly before its start.
     """
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
@@ -128,18 +120,11 @@
 async def test_a_put_of_the_held_version_by_an_earlier_process_is_not_loaded_with_the_next(
     tmp_path: Path,
 ) -> None:
-    """A daemon was killed after a load, with a put of its version without an answer before it.
-
-    What happens: a chunk of version 2 is put without an answer, put again, and version 2 is
-    loaded. Its daemon is killed, version 3 is named, and the daemon starts again and orders it.
-    The late put lands as the order does.
-
-    Why: the later process took what its replica holds for done with. Versions that are wanted and
-    not held were waited for, those that were loaded seconds ago were not.
+    """A daemon is killed after it loaded version 2, with an earlier put of version 2 unanswered.
 
-    The evidence: a random history (seed 62535 of the code then) loaded one chunk of version 2 with
-    version 3. The chunk was put at 4.02 s, version 2 loaded at 8.65 s, the later process began at
-    14.35 s, and the put landed 10 ms later.
+    The put was repeated before the load. Version 3 is named, the restarted daemon orders it, and
+    the late put takes effect together with the order. The restarted daemon must wait for puts of a
+    version that was loaded seconds ago, not only for puts of versions that are not loaded yet.
     """
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
@@ -159,7 +144,7 @@
         replica.keeps_back = keep
         site.name_version(2)
         await wait_loaded([replica], 2)
-        # Entries have heard of it.
+        # Entries need this time to learn of the load.
         await trio.sleep(0.5)
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
@@ -169,7 +154,7 @@
         check_loads(site)
 
 
-async def test_a_process_that_stood_still_during_the_read_back_reads_back_anew(
+async def test_a_process_stopped_during_the_read_back_repeats_it(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
@@ -194,18 +179,18 @@
         check_loads(site)
 
 
-async def test_a_slow_read_back_does_not_let_chunks_turn_bad_unseen(tmp_path: Path) -> None:
+async def test_a_chunk_corrupted_during_a_slow_read_back_is_not_loaded(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        spoilt = trio.Event()
+        corrupted = trio.Event()
 
         async def read_slowly(call: DaemonCall) -> bool:
             if not call.reads_chunk:
                 return False
-            if call.number == 1 and not spoilt.is_set():
+            if call.number == 1 and not corrupted.is_set():
                 corrupt_chunk(replica, 0)
-                spoilt.set()
+                corrupted.set()
             await trio.sleep(STALL_SECONDS / CHUNKS)
             return False
 
@@ -215,7 +200,7 @@
         check_loads(site)
 
 
-async def test_an_order_of_an_earlier_process_is_not_taken_with_a_later_ones_chunks(
+async def test_an_order_of_an_earlier_process_does_not_load_chunks_of_a_later_one(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
@@ -232,7 +217,7 @@
         check_loads(site)
 
 
-async def test_a_process_need_not_wait_where_what_lies_there_shows_that_no_order_is_open(
+async def test_a_process_does_not_wait_if_the_staged_chunks_rule_out_an_earlier_order(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
@@ -251,7 +236,7 @@
 async def test_a_chunk_that_turned_bad_after_its_process_was_killed_is_not_loaded(
     tmp_path: Path,
 ) -> None:
-    """A killed daemon's order is taken seconds later, with a chunk that nobody put right."""
+    """A killed daemon's order is accepted seconds later; meanwhile a staged chunk turned bad."""
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
@@ -274,7 +259,7 @@
 async def test_a_chunk_that_turned_bad_while_the_replica_answered_nothing_is_not_loaded(
     tmp_path: Path,
 ) -> None:
-    """An order is in doubt, and its replica answers no call from the spoiling to the load."""
+    """An order is in doubt, and its replica answers no call from the corruption to the load."""
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
@@ -285,10 +270,10 @@
                 await trio.sleep(0.005)
         silent = True
 
-        async def say_nothing(call: DaemonCall) -> bool:
+        async def withhold_answer(call: DaemonCall) -> bool:
             return silent
 
-        replica.keeps_back = say_nothing
+        replica.keeps_back = withhold_answer
         corrupt_chunk(replica, 0)
         await trio.sleep(STALL_SECONDS)
         replica.take_kept_orders()
@@ -297,23 +282,23 @@
         check_loads(site)
 
 
-async def test_a_life_that_lost_power_takes_no_order_for_what_lay_beside_the_one_before(
+async def test_a_replica_that_lost_power_accepts_no_order_for_chunks_staged_before(
     tmp_path: Path,
 ) -> None:
-    """Nothing tells the lives apart: neither a start, nor the number of orders taken."""
+    """Neither a start time nor the number of accepted orders distinguishes the incarnations."""
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
         replica.tells_start = False
-        lives = 1
+        incarnations = 1
         read: set[int] = set()
 
         async def lose_power(call: DaemonCall) -> bool:
-            nonlocal lives
+            nonlocal incarnations
             if call.reads_chunk:
                 read.add(call.number)
-            elif lives == 1 and len(read) == CHUNKS:
-                lives += 1
+            elif incarnations == 1 and len(read) == CHUNKS:
+                incarnations += 1
                 await replica.lose_power()
                 return True
             return False
@@ -321,5 +306,5 @@
         replica.keeps_back = lose_power
         site.name_version(2)
         await wait_loaded([replica], 2)
-        assert lives == 2
+        assert incarnations == 2
         check_loads(site)
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""When a load is known to be whole, at its daemon and at an entry; no network, no clock."""
+"""When a daemon and an entry regard a load as intact; runs without network or clock."""
 
 import pytest
 from headcross_base.addresses import Address
@@ -23,13 +23,13 @@
 def report_of(
     version: int, orders: int, *, loading: bool = False, started_ms: int | None = 7
 ) -> ReplicaReport:
-    """Return the report of a replica that holds a version, 0 for none."""
+    """Return the report of a replica that has loaded a version, 0 for none."""
     loaded = (LoadedModel("m", version),) if version else ()
     return ReplicaReport(loaded, loading, orders, 0, 0, 0, 1, 1.0, started_ms=started_ms)
 
 
 def seen(*reports: ReplicaReport) -> Confirmation:
-    """Return what is known after some reports, one a second from 1.0 on."""
+    """Return the confirmation after some reports, one per second from 1.0 on."""
     confirmation = Confirmation()
     for at, report in enumerate(reports, start=1):
         confirmation.observe(report, float(at))
@@ -39,18 +39,18 @@
 def read_back(
     confirmation: Confirmation, report: ReplicaReport, bad: frozenset[int], put_at: float = NEVER
 ) -> LoadStatus:
-    """Return the status after a read-back of what a replica holds."""
+    """Return the status after a read-back of the loaded version."""
     assert confirmation.needs_read_back(report)
     confirmation.note_read_back(key_of(report), bad, put_at)
     return confirmation.status
 
 
-def test_what_nobody_ordered_is_confirmed() -> None:
+def test_a_load_without_an_order_is_confirmed() -> None:
     assert seen(report_of(1, 0)).status is LoadStatus.CONFIRMED
     assert seen(report_of(0, 0)).confirmed(report_of(0, 0)) == {}
 
 
-def test_an_order_that_was_answered_is_confirmed_before_its_load_ends() -> None:
+def test_the_load_of_an_answered_order_is_confirmed_before_it_ends() -> None:
     confirmation = seen(report_of(1, 0))
     confirmation.record_accepted_order(NEWER, report_of(1, 0))
     loading = report_of(1, 1, loading=True)
@@ -59,7 +59,7 @@
     assert not confirmation.needs_read_back(report_of(2, 1))
 
 
-def test_an_answer_after_the_report_that_counts_the_order_confirms_it_too() -> None:
+def test_an_answer_after_the_report_that_counts_the_order_confirms_the_load() -> None:
     confirmation = seen(report_of(1, 0), report_of(1, 1, loading=True))
     confirmation.record_accepted_order(NEWER, report_of(1, 0))
     assert confirmation.status is LoadStatus.CONFIRMED
@@ -73,11 +73,11 @@
     [
         (WHOLE, NEVER, LoadStatus.CONFIRMED),
         (WHOLE, 0.9, LoadStatus.CONFIRMED),  # before the last report without the load
-        (WHOLE, 1.5, LoadStatus.SUSPECT),  # it may have hidden what was loaded
+        (WHOLE, 1.5, LoadStatus.SUSPECT),  # the put may have replaced a bad chunk that was loaded
         (BAD, NEVER, LoadStatus.SUSPECT),
     ],
 )
-def test_a_load_that_was_taken_late_is_known_by_its_read_back(
+def test_the_read_back_decides_on_a_load_whose_order_was_accepted_late(
     bad: frozenset[int], put_at: float, status: LoadStatus
 ) -> None:
     confirmation = seen(BEFORE, AFTER)
@@ -96,7 +96,7 @@
         (BAD, NEVER, LoadStatus.UNCONFIRMED),  # an earlier process may have put it there since
     ],
 )
-def test_a_load_from_before_the_process_is_known_by_its_read_back(
+def test_the_read_back_decides_on_a_load_from_before_the_start(
     bad: frozenset[int], put_at: float, status: LoadStatus
 ) -> None:
     confirmation = seen(AFTER)
@@ -104,7 +104,7 @@
     assert confirmation.suspect(AFTER) == {}
 
 
-def test_a_suspect_load_stays_so_until_another_one() -> None:
+def test_a_suspect_load_stays_suspect_until_the_next_load() -> None:
     confirmation = seen(BEFORE, AFTER)
     assert read_back(confirmation, AFTER, BAD) is LoadStatus.SUSPECT
     confirmation.note_read_back(key_of(AFTER), WHOLE, NEVER)
@@ -114,21 +114,21 @@
     assert confirmation.suspect(AFTER) == {}
 
 
-def test_a_read_back_of_an_earlier_load_tells_nothing() -> None:
+def test_a_read_back_of_an_earlier_load_is_ignored() -> None:
     confirmation = seen(BEFORE, AFTER, report_of(3, 2))
     confirmation.note_read_back(key_of(AFTER), WHOLE, NEVER)
     assert confirmation.status is LoadStatus.UNCONFIRMED
 
 
-def test_a_count_that_goes_back_within_a_life_is_not_taken_for_no_order() -> None:
+def test_an_order_count_that_falls_within_an_incarnation_confirms_nothing() -> None:
     confirmation = seen(AFTER, report_of(2, 0))
     assert confirmation.status is LoadStatus.UNCONFIRMED
-    # Where no start is told, a smaller count is another life.
+    # Without a start time, a smaller count means another incarnation.
     confirmation = seen(report_of(2, 1, started_ms=None), report_of(0, 0, started_ms=None))
     assert confirmation.status is LoadStatus.CONFIRMED
 
 
-def test_chunks_of_another_version_wait_for_the_read_back_but_not_for_ever() -> None:
+def test_chunks_of_another_version_wait_a_limited_time_for_the_read_back() -> None:
     confirmation = seen(BEFORE, AFTER)
     assert confirmation.blocks_other_versions(2.1)
     assert not confirmation.blocks_other_versions(2.0 + READ_BACK_PRIORITY_SECONDS)
@@ -141,7 +141,7 @@
 def load_message(
     version: int, *, confirmed: int = 0, suspect: int = 0, started_ms: int = 7
 ) -> ReplicaLoad:
-    """Return the word of a daemon."""
+    """Return a daemon's message about its replica's load."""
     return ReplicaLoad(
         "10.0.0.1:80",
         1,
@@ -162,12 +162,16 @@
 @pytest.mark.parametrize(
     ("words", "version", "serves"),
     [
-        ([], 2, True),  # no daemon was ever heard: nobody can tell more than the list
-        ([load_message(1)], 1, True),  # held when the entry began
-        ([load_message(1)], 2, False),  # the list says so, and its daemon has not confirmed it
-        ([load_message(1), load_message(2)], 2, False),  # an older daemon's word has no such field
+        ([], 2, True),  # no message of its daemon yet, so the list decides
+        ([load_message(1)], 1, True),  # loaded when the entry started
+        ([load_message(1)], 2, False),  # listed, but not confirmed by its daemon
+        (
+            [load_message(1), load_message(2)],
+            2,
+            False,
+        ),  # an older daemon's message has no such field
         ([load_message(1), load_message(2, confirmed=2)], 2, True),
-        ([load_message(1, confirmed=2)], 2, True),  # its daemon ended while it was being loaded
+        ([load_message(1, confirmed=2)], 2, True),  # its daemon ended during the load
         (
             [load_message(2, confirmed=2), load_message(2)],
             2,
@@ -175,10 +179,10 @@
         ),  # another process of its daemon
         ([load_message(1), load_message(2, suspect=2)], 2, False),
         ([load_message(2, suspect=2), load_message(2)], 2, False),  # another process of its daemon
-        ([load_message(1, suspect=1)], 1, False),  # the entry began after the load
+        ([load_message(1, suspect=1)], 1, False),  # the entry started after the load
     ],
 )
-def test_a_version_serves_as_its_daemon_says(
+def test_a_version_serves_by_the_messages_of_its_daemon(
     words: list[ReplicaLoad], version: int, serves: bool
 ) -> None:
     loads = ConfirmedLoads([OLDER])
@@ -187,14 +191,14 @@
     assert loads.may_serve("m", version) == serves
 
 
-def test_an_entry_that_does_not_ask_a_daemon_any_more_goes_by_the_list() -> None:
+def test_an_entry_without_a_subscription_uses_the_list() -> None:
     loads = ConfirmedLoads([OLDER])
     loads.hear(load_message(1), 1.0)
     loads.stop_hearing()
     assert loads.may_serve("m", 2)
 
 
-def test_an_entry_knows_since_when_a_version_is_held_that_came_in_its_sight() -> None:
+def test_an_entry_records_when_it_first_saw_a_new_version_loaded() -> None:
     loads = ConfirmedLoads([OLDER])
     loads.hear(load_message(1), 1.0)
     assert not loads.came_at
@@ -204,12 +208,12 @@
 
 
 def replica_state() -> ReplicaState:
-    """Return a replica that an entry knows to hold the older version."""
+    """Return the entry's state of a replica that has loaded the older version."""
     address = Address("10.0.0.1", 80)
     return ReplicaState(Replica("i", "lm", address, "z", 8, False, (OLDER,), started_ms=7))
 
 
-def test_an_unconfirmed_version_is_held_and_not_served() -> None:
+def test_an_unconfirmed_version_is_loaded_but_not_served() -> None:
     state = replica_state()
     state.hear(load_message(2), 1)
     assert state.held_version("m") == 2
@@ -218,14 +222,14 @@
     assert state.version_of("m") == 2
 
 
-def test_the_word_about_another_life_confirms_nothing() -> None:
+def test_a_message_about_another_incarnation_confirms_nothing() -> None:
     state = replica_state()
     state.hear(load_message(1), 1)
     state.hear(load_message(2, confirmed=2, started_ms=8), 1)
     assert not state.loads.may_serve("m", 2)
 
 
-def test_requests_ask_for_the_version_by_name_while_a_daemon_is_silent() -> None:
+def test_requests_name_the_expected_version_while_a_daemon_is_silent() -> None:
     state = replica_state()
     state.hear(load_message(1), 1)
     assert state.version_to_expect("m") is None
--- a/tests/test_machine_weights.py
+++ b/tests/test_machine_weights.py
@@ -1,4 +1,4 @@
-"""New weights on the machines: whole and verified, in time, with requests going on."""
+"""New weights on machines: complete, verified and in time, while requests are served."""
 
 import hashlib
 import signal
@@ -23,7 +23,7 @@
 
 
 async def wait_mirrors(site: Machines) -> None:
-    """Wait until every process counts on all mirrors."""
+    """Wait until every process knows all mirrors."""
     count = sum(machine.role == "entry" for machine in site.machines.values()) * site.mirrors
     with trio.fail_after(LOADED_SECONDS):
         for name, machine in site.machines.items():
@@ -36,7 +36,7 @@
 
 
 async def wait_offered(site: Machines, *, mirrors: bool = True) -> None:
-    """Wait until daemons have their replicas' chunks ready, and mirrors are known everywhere."""
+    """Wait until all daemons offer their replicas' chunks and every process knows the mirrors."""
     if mirrors:
         await wait_mirrors(site)
     with trio.fail_after(LOADED_SECONDS):
@@ -49,7 +49,7 @@
 
 
 def check_loads(site: Machines) -> None:
-    """Check that no replica was ever ordered to load anything but one whole version."""
+    """Check that every load of every replica was of one complete version."""
     for replica in replicas_of(site, MODEL_SERVICE):
         for version, digests in replica.loads:
             chunks = site.origin.versions[version]
@@ -69,7 +69,7 @@
         assert not any(version == 1 for version, _ in site.origin.sent)
 
 
-async def test_an_added_replica_is_filled_by_the_others(tmp_path: Path) -> None:
+async def test_an_added_replica_gets_its_weights_from_the_others(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         added = await site.add_replica(MODEL_SERVICE, "z0")
@@ -80,7 +80,7 @@
         assert not site.origin.sent_chunks
 
 
-async def test_requests_go_on_while_the_version_changes(tmp_path: Path) -> None:
+async def test_requests_are_served_while_the_version_changes(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=4, daemons=True) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.event_seconds = 0.01
@@ -93,36 +93,38 @@
                 replies.append(await ask(entry, "/stream/x"))
         replies += [await ask(entry, "/stream/x") for _ in range(5)]
         bad = [r for r in replies if r.status != 200 or not r.whole or r.events != [0, 1, 2, 3]]
-        story = [line for r in bad for line in site.log("entry0") if line.get("request") == r.id]
+        log_lines = [
+            line for r in bad for line in site.log("entry0") if line.get("request") == r.id
+        ]
         if bad:
-            pytest.fail(f"{bad}\n" + "\n".join(map(str, story)))
+            pytest.fail(f"{bad}\n" + "\n".join(map(str, log_lines)))
         check_loads(site)
 
 
-async def test_chunks_that_rot_beside_the_replica_are_not_loaded(tmp_path: Path) -> None:
+async def test_staged_chunks_that_turn_bad_are_not_loaded(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = replicas_of(site, MODEL_SERVICE)[0]
         put = replica.staged
 
-        class Rotting(dict[int, bytes]):
-            """Spoils the first copy of one chunk right after it was put there."""
+        class CorruptingChunks(dict[int, bytes]):
+            """Corrupts the first copy of one chunk as it is staged."""
 
-            spoilt = False
+            corrupted = False
 
             def __setitem__(self, number: int, data: bytes) -> None:
-                if number == 3 and not self.spoilt:
-                    self.spoilt = True
+                if number == 3 and not self.corrupted:
+                    self.corrupted = True
                     data = bytes([data[0] ^ 0xFF]) + data[1:]
                 super().__setitem__(number, data)
 
-        replica.staged = Rotting(put)
+        replica.staged = CorruptingChunks(put)
         site.name_version(2)
         await wait_loaded([replica], 2)
         check_loads(site)
 
 
-async def test_spoilt_chunks_from_the_origin_are_fetched_anew(tmp_path: Path) -> None:
+async def test_corrupt_chunks_from_the_origin_are_fetched_again(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         site.origin.corrupt_next = 3
         site.name_version(2)
@@ -130,7 +132,7 @@
         check_loads(site)
 
 
-async def test_an_origin_that_was_away_costs_time_and_nothing_else(tmp_path: Path) -> None:
+async def test_an_update_completes_after_an_outage_of_the_origin(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         site.origin.down = True
         site.name_version(2)
@@ -140,7 +142,7 @@
         check_loads(site)
 
 
-async def test_a_newer_version_ends_the_way_to_an_older_one(tmp_path: Path) -> None:
+async def test_a_newer_version_supersedes_an_unfinished_older_one(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         site.origin.seconds_per_chunk = 0.05
         site.name_version(2)
@@ -150,7 +152,7 @@
         check_loads(site)
 
 
-async def test_a_daemon_killed_on_the_way_goes_on_with_what_lies_beside_its_replica(
+async def test_a_daemon_killed_during_an_update_continues_with_the_staged_chunks(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
@@ -164,7 +166,7 @@
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
         sent = site.origin.sent_chunks
-        replica.loading = False  # the replica was restarted and forgot its order
+        replica.loading = False  # the replica restarted and lost its order
         replica.orders = 0
         replica.load_seconds = 0.02
         site.start("daemon0")
@@ -173,7 +175,7 @@
         assert site.origin.sent_chunks == sent
 
 
-async def test_a_daemon_that_stood_still_does_no_harm_when_it_wakes_up(tmp_path: Path) -> None:
+async def test_a_stopped_daemon_does_no_harm_when_it_is_continued(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=3, daemons=True) as site:
         await wait_offered(site)
         site.signal("daemon0", signal.SIGSTOP)
@@ -187,7 +189,7 @@
 
 async def test_after_the_bound_no_request_starts_on_an_old_version(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2) as site:
-        # No daemon renews these; one of them is brought to the version by hand.
+        # There are no daemons; the test itself sets one replica to the new version.
         site.name_version(2)
         old, new = replicas_of(site, MODEL_SERVICE)
         new.version = 2
@@ -207,7 +209,7 @@
 async def test_a_newer_version_that_cannot_be_had_does_not_stop_an_older_one(
     tmp_path: Path,
 ) -> None:
-    """The origin went away right after a second version was named (scale-1)."""
+    """The origin fails right before version 3 is named, when all of version 2 has been sent."""
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         site.origin.seconds_per_chunk = 0.03
@@ -226,7 +228,7 @@
 async def test_a_daemon_that_learns_of_two_versions_at_once_fetches_the_one_that_others_have(
     tmp_path: Path,
 ) -> None:
-    """It stood still while version 2 came; then version 3 was named and the origin was away."""
+    """A daemon is stopped during the update to version 2; the origin fails before version 3."""
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         first, second = replicas_of(site, MODEL_SERVICE)
@@ -240,7 +242,7 @@
         check_loads(site)
 
 
-async def test_what_came_before_a_kill_need_not_come_again(tmp_path: Path) -> None:
+async def test_chunks_staged_before_a_kill_are_not_fetched_again(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True, mirrors=False) as site:
         await wait_offered(site)
         replica = replicas_of(site, MODEL_SERVICE)[0]
@@ -256,7 +258,7 @@
                 await trio.sleep(0.005)
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
-        await trio.sleep(2 * site.origin.seconds_per_chunk)  # what the origin was still sending
+        await trio.sleep(2 * site.origin.seconds_per_chunk)  # the chunks in transit
         lost = site.origin.sent_chunks - staged()
         site.start("daemon0")
         await wait_loaded([replica], 2)
@@ -264,7 +266,7 @@
         assert site.origin.sent_chunks <= CHUNKS + lost
 
 
-async def test_spoilt_digests_are_not_gone_by(tmp_path: Path) -> None:
+async def test_corrupt_digests_are_not_used(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         site.origin.spoilt_digests = 1
@@ -274,7 +276,7 @@
         assert site.origin.sent_chunks <= 1.5 * CHUNKS
 
 
-async def test_a_daemon_that_starts_while_the_origin_is_away_learns_digests_from_others(
+async def test_a_daemon_started_during_an_outage_of_the_origin_gets_digests_from_others(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
--- a/tests/test_orders_in_doubt.py
+++ b/tests/test_orders_in_doubt.py
@@ -1,22 +1,10 @@
-"""Nothing of another version is put beside a replica while it may still take an order.
+"""No chunk of another version is staged while a replica may still accept an order.
 
-What users saw: a replica that had started again made tokens with weights that were not those of
-the version that it named.
-
-The order of events: version 2 lay beside the empty replica, whole and read back. Its daemon gave
-the order to load it and had no answer in 1 s. Version 3 had been named meanwhile. The daemon read
-one report, which showed neither weights nor a load, took the order for lost, and put version 3's
-chunks over version 2's as they came. Seconds later the replica took the order, with chunks of
-both.
-
-The cause: silence was taken for a refusal. The number of orders that goes with an order does not
-guard, since none was taken in between.
-
-The evidence: on a day with the same events, eight orders had no answer. All reached their
-replicas, 2.3 to 12.1 s late, going by the orders that came before and after them there. One was
-taken 10 s late, three seconds after its daemon had begun to put a newer version there. At the
-replica at fault the daemon logged "order without an answer", "replica lost its order" and
-"fetching" of the next version within the same 2 ms.
+The failure: a replica reports a version but has loaded chunks of two. Version 2 is staged and its
+order gets no answer within 1 s; version 3 has been named meanwhile. If the daemon takes the
+missing answer for a refusal, it stages version 3 over version 2, and the replica accepts the order
+seconds later with chunks of both. The order count that an order carries does not prevent this,
+since no other order was accepted in between. Orders have reached replicas 2.3 to 12.1 s late.
 """
 
 from pathlib import Path
@@ -31,14 +19,14 @@
 
 
 async def wait_kept_order(replica: FakeReplica) -> None:
-    """Wait until a replica keeps an order back."""
+    """Wait until a replica holds back an order."""
     with trio.fail_after(LOADED_SECONDS):
         while not replica.kept_orders:
             await trio.sleep(0.005)
 
 
 async def wait_staged(site: Machines, replica: FakeReplica, version: int) -> None:
-    """Wait until a chunk of a version lies beside a replica."""
+    """Wait until a chunk of a version is staged at a replica."""
     chunks = site.origin.versions[version]
     with trio.fail_after(LOADED_SECONDS):
         while not any(chunks[number] == data for number, data in replica.staged.items()):
@@ -46,7 +34,9 @@
 
 
 @pytest.mark.parametrize("holds", ["nothing", "an older version"])
-async def test_an_order_that_is_taken_late_loads_one_version(tmp_path: Path, holds: str) -> None:
+async def test_an_order_that_is_accepted_late_loads_one_version(
+    tmp_path: Path, holds: str
+) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         site.origin.seconds_per_chunk = 0.03
--- a/tests/test_recovery_moments.py
+++ b/tests/test_recovery_moments.py
@@ -1,7 +1,8 @@
-"""A chunk turns bad beside an order of a killed daemon, at any moment around the next one's start.
+"""A staged chunk turns bad around a daemon's restart, with its earlier order in doubt.
 
-Three loads no process can prevent: a chunk that turned bad less than 3 s before; one while no
-process was there; one while the replica answered nothing. All others are prevented.
+The daemon cannot prevent the load of a bad chunk in three cases: the chunk turned bad less than
+3 s before, or while no process was running, or while the replica did not answer. It must prevent
+all others.
 """
 
 import random
@@ -18,10 +19,10 @@
 
 SEEDS = range(4400, 4410)
 HISTORIES = 3  # of each seed
-# For how long the next process is away after the kill, and how long it needs once it runs.
+# Range of the time from the kill to the next process's start, and the time its repair takes.
 AWAY_SECONDS = (0.5, 6.0)
 REPAIR_SECONDS = 1.0
-# A chunk turns bad from the kill until so long after the start of the process.
+# A chunk turns bad at some time between the kill and this long after the next process's start.
 AFTER_START_SECONDS = 0.5
 # A chunk that has been bad for less may be loaded.
 ALLOWED_SECONDS = 3.0
@@ -29,27 +30,27 @@
 
 @dataclass(frozen=True)
 class History:
-    """The moments of one history, in seconds since the kill."""
+    """The event times of one history, in seconds since the kill."""
 
     starts: float
     turns_bad: float
 
     @staticmethod
     def drawn(draw: random.Random) -> "History":
-        """Return a history drawn from a generator."""
+        """Return a random history."""
         starts = draw.uniform(*AWAY_SECONDS)
         return History(starts, draw.uniform(0.0, starts + AFTER_START_SECONDS))
 
 
 async def wait_started(site: Machines, times: int) -> None:
-    """Wait until a site's daemon has logged so many starts."""
+    """Wait until a site's daemon has logged `times` starts."""
     with trio.fail_after(LOADED_SECONDS):
         while sum(line["message"] == "started" for line in site.log("daemon0")) < times:
             await trio.sleep(0.02)
 
 
 async def play(directory: Path, history: History) -> None:
-    """Play a history; the order is taken as soon as its load may be judged."""
+    """Run a history; the order is accepted as soon as a bad chunk is no longer allowed."""
     async with small_site(directory, models=1, daemons=True) as site:
         await wait_offered(site)
 
@@ -73,10 +74,10 @@
 
 
 @pytest.mark.parametrize("seed", SEEDS)
-async def test_a_chunk_that_turned_bad_is_mended_whenever_its_daemon_comes_back(
+async def test_a_bad_chunk_is_repaired_whenever_its_daemon_restarts(
     tmp_path: Path, seed: int
 ) -> None:
-    """An order of a killed daemon was taken with a chunk that had been bad for over 3 s."""
+    """Guards against loading a chunk that has been bad for over 3 s by a killed daemon's order."""
     draw = random.Random(seed)
     directories = [tmp_path / str(number) for number in range(HISTORIES)]
     for directory in directories:
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -1,8 +1,8 @@
-"""Random histories of one replica's renewal: no load is ever mixed, and the newest version comes.
+"""Random histories of one replica's renewal: no load mixes versions, and the newest gets loaded.
 
-The renewal is the real one, from the goal to the order, before a model of a replica that loses
-calls, carries them out late, ends its lives and lets chunks turn bad, while versions are named in
-quick succession and the process is started again. All in virtual time.
+The real renewal code, from the choice of the version to the order, runs in virtual time against a
+model of a replica that loses calls, executes them late, restarts, and corrupts chunks, while
+versions are named in quick succession and the daemon process restarts.
 """
 
 import random
@@ -46,28 +46,29 @@
 CHUNK_BYTES = len(chunk_of(1, 0))
 BOUND_SECONDS = 8.0
 TROUBLED_SECONDS = 40.0
-RESTARTS = 0.1  # of the process, a second
-# After the last trouble: what is late lands, a process holds back its puts, a version is fetched.
+RESTARTS = 0.1  # restarts of the process per second
+# After the last fault: time for late calls to take effect, for a process to wait for them before
+# its order, and for a version to be fetched.
 CALM_SECONDS = 45.0
 
 
 class Swarm:
-    """Brings a version's chunks in, one after the other."""
+    """Fetches a version's chunks one after the other."""
 
     def __init__(self, store: ChunkStore, generator: random.Random) -> None:
         self._store = store
         self._generator = generator
 
     def update_hosts(self, hosts: object) -> None:
-        """Take no notice: there are no other hosts."""
+        """Do nothing: there are no other hosts."""
 
     def open_links(self) -> None:
-        """Take no notice."""
+        """Do nothing."""
 
     async def fetch(
         self, artifact: Artifact, wanting: list[str], copies: int
     ) -> Ok[StoredArtifact] | Failure:
-        """Fill the store with a version."""
+        """Add all chunks of a version to the store."""
         stored = self._store.get(artifact.digest)
         assert stored is not None
         version = read_weights_name(artifact.name).version
@@ -87,7 +88,7 @@
         self._due: dict[LoadedModel, float] = {}
 
     async def obtain(self, goal: LoadedModel) -> ChunkDigests:
-        """Return the digests of a version; those of the first take a while."""
+        """Return the digests of a version; those of version 1 take `first_seconds`."""
         seconds = self._first_seconds if goal.version == 1 else 0.0
         due = self._due.setdefault(goal, trio.current_time() + seconds)
         await trio.sleep_until(due)
@@ -95,12 +96,12 @@
         return self.settled.setdefault(goal, ChunkDigests(CHUNK_BYTES, digests))
 
     def settled_within(self, goal: LoadedModel, seconds: float) -> bool:
-        """Tell that the origin answers."""
+        """Return that the origin answers."""
         return True
 
 
 class Plans:
-    """Knows the origin, and which model the service has."""
+    """Knows the origin and the model of the service."""
 
     models = {SERVICE: MODEL}
 
@@ -109,11 +110,11 @@
         return self
 
     def origin(self) -> Address:
-        """Return where the origin is."""
+        """Return the origin's address."""
         return ADDRESS
 
     def use_chunk_bytes(self, chunk_bytes: int) -> None:
-        """Take no notice: all chunks are alike."""
+        """Do nothing: all chunks have the same size."""
 
 
 async def run_daemon(
@@ -122,10 +123,10 @@
     generator: random.Random,
     first_digests_seconds: float = 0.0,
 ) -> None:
-    """Run the renewal beside a replica until cancelled."""
+    """Run the renewal of a replica until cancelled."""
     reporter = Reporter(ADDRESS, replica)
     given_orders = Orders(str(ADDRESS), facts, replica, reporter)
-    # Entries tell what the replica came to hold, and when, and that a process was there before.
+    # What entries report: when the loaded version was loaded, and that an earlier process existed.
     given_orders.in_doubt.record_loaded_at(LoadedModel(MODEL, replica.loaded), replica.loaded_at)
     given_orders.in_doubt.record_process_seen(0.0)
     store = ChunkStore(1 << 20)
@@ -157,7 +158,7 @@
 
 
 async def check_confirmed_loads(replica: LateReplica, reporter: Reporter) -> None:
-    """Check, as an entry that is told them, that no bad load is ever called confirmed."""
+    """Check, as a subscribed entry, that no bad load is ever reported as confirmed."""
 
     def hear(message: PeerMessage, payload: bytes | None) -> bool:
         assert isinstance(message, ReplicaLoad)
@@ -173,20 +174,22 @@
 
 @dataclass(frozen=True)
 class Restarts:
-    """How often the process ends, in seconds."""
+    """How often the process restarts; times in seconds."""
 
-    chance: float  # a second
-    least_life: float = 0.0
+    per_second: float
+    min_uptime: float = 0.0
     longest_pause: float = 2.0
 
 
 async def restart_at_random(
     start: Callable[[], Any], generator: random.Random, restarts: Restarts, until: float
 ) -> None:
-    """Run a daemon for ever; end its process and start another at random until a time."""
+    """Run a daemon until cancelled, restarting its process at random until `until`."""
     while True:
-        seconds = generator.expovariate(restarts.chance) if restarts.chance else float("inf")
-        seconds = max(seconds, restarts.least_life)
+        seconds = (
+            generator.expovariate(restarts.per_second) if restarts.per_second else float("inf")
+        )
+        seconds = max(seconds, restarts.min_uptime)
         if trio.current_time() + seconds > until:
             seconds = float("inf")
         with trio.move_on_after(seconds):
@@ -195,7 +198,7 @@
 
 
 def facts_of_one_replica() -> Facts:
-    """Return what a process knows that has listed one replica."""
+    """Return the facts of a process that has listed one replica."""
     facts = Facts(MetadataStore(ADDRESS))
     facts.take_listing(Topic.REPLICAS, Listing((), 1), 0.0, "store")
     facts.replicas["i"] = Replica("i", SERVICE, ADDRESS, "z", 8, False, (LoadedModel(MODEL, 1),))
@@ -203,7 +206,7 @@
 
 
 def draw_trouble(generator: random.Random) -> Trouble:
-    """Draw how often each kind of trouble comes; several kinds are left out."""
+    """Draw the rate of each kind of fault; about half of the kinds are left out."""
 
     def some(most: float) -> float:
         return generator.uniform(0, most) if generator.random() < 0.5 else 0.0
@@ -221,20 +224,20 @@
 
 @dataclass(frozen=True)
 class History:
-    """What is played, all drawn from the seed where nothing else is said."""
+    """The parameters of one run; those that are None are drawn from the seed."""
 
     seed: int
     trouble: Trouble | None = None
-    restarts: float | None = None  # of the process, a second
-    ends: bool = True  # whether it has to end with the newest version
-    # Whether is left out what nobody can prevent, since nobody can mend a chunk that turns bad:
-    # the replica answers nothing (a test of its own in test_beside_replica, known red), or no
-    # process is there for seconds.
+    restarts: float | None = None  # restarts of the process per second
+    ends: bool = True  # whether the newest version must be loaded at the end
+    # Whether to leave out faults during which no process can repair a chunk that turns bad: the
+    # replica does not answer (has its own test in test_beside_replica, a known failure), or no
+    # process runs for seconds.
     narrowed: bool = True
 
 
 async def play(history: History) -> LateReplica:
-    """Play a history."""
+    """Run a history."""
     seed = history.seed
     generator = random.Random(seed)
     facts = facts_of_one_replica()
@@ -246,7 +249,7 @@
             trouble = replace(trouble, orders_only=True)
         restarted = Restarts(restarts)
         if trouble.rot and history.narrowed:
-            restarted = Restarts(restarts, least_life=4.0, longest_pause=0.5)
+            restarted = Restarts(restarts, min_uptime=4.0, longest_pause=0.5)
         replica = LateReplica(generator, nursery, trouble)
         nursery.start_soon(replica.run_troubles)
         nursery.start_soon(
@@ -272,39 +275,39 @@
 
 
 def run_history(history: History) -> LateReplica:
-    """Play a history in virtual time; it plays again in the same way."""
-    random.seed(history.seed)  # of the product's own pauses
+    """Run a history in virtual time, reproducibly."""
+    random.seed(history.seed)  # for random pauses in the product
     trio._core._run._r.seed(history.seed)
     return trio.run(play, history, clock=trio.testing.MockClock(autojump_threshold=0))
 
 
 @pytest.fixture(autouse=True, scope="module")
 def _virtual_time() -> Any:  # noqa: ANN401
-    """Have the product read its clock from trio's, and trio run the same way each time."""
+    """Make the product use trio's clock, and make trio's scheduling deterministic."""
     with pytest.MonkeyPatch.context() as patch:
         patch.setattr(time, "clock_gettime", lambda clock: trio.current_time())
-        # Trio shuffles tasks that are ready at once; nothing public makes it repeat that.
+        # Trio shuffles tasks that are ready at once and has no public way to make that repeatable.
         patch.setattr(trio._core._run, "_ALLOW_DETERMINISTIC_SCHEDULING", True)
         yield
 
 
 @settings(max_examples=60, deadline=None)
 @given(seed=st.integers(0, 2**32 - 1))
-def test_no_history_loads_a_mixture_and_all_end_with_the_newest_version(seed: int) -> None:
+def test_no_load_mixes_versions_and_each_history_ends_with_the_newest(seed: int) -> None:
     replica = run_history(History(seed))
     assert not replica.violations, f"seed {seed}: {replica.violations[:3]}"
 
 
 @settings(max_examples=60, deadline=None)
 @given(seed=st.integers(0, 2**32 - 1))
-def test_no_history_confirms_a_load_that_was_not_whole(seed: int) -> None:
-    """With all troubles at once, also those under which a bad load cannot be prevented."""
+def test_no_history_confirms_a_bad_load(seed: int) -> None:
+    """Includes the faults under which a bad load cannot be prevented."""
     replica = run_history(History(seed, narrowed=False, ends=False))
     assert not replica.false_words, f"seed {seed}: {replica.false_words[:3]}"
 
 
 def test_a_version_named_right_after_the_start_does_not_wait_for_earlier_processes() -> None:
-    """It is not known at once whose the chunks are that lie beside the replica."""
+    """The version of the chunks staged at the start becomes known only after 4 s."""
 
     async def start() -> None:
         generator, facts = random.Random(1), facts_of_one_replica()
@@ -333,7 +336,7 @@
     pass
 
 
-# Without each of the guards, and under which trouble a mixture is loaded soon.
+# Guards to disable, each with faults under which versions soon get mixed, and a restart rate.
 MISTAKES = {
     "stages too early": (Trouble(late=0.3), None),
     "forgets an earlier process": (Trouble(late=0.2), 0.3),
@@ -347,7 +350,7 @@
 
 @pytest.mark.parametrize("mistake", MISTAKES)
 def test_an_injected_mistake_is_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """The check could fail: without one of the guards some of these histories load a mixture."""
+    """Without one of the guards, some of these histories load a mixture of versions."""
     match mistake:
         case "stages too early":
             monkeypatch.setattr(InDoubtCalls, "may_stage", always)
@@ -364,10 +367,10 @@
 
 
 @pytest.mark.parametrize("reads_back", [True, False])
-def test_bad_loads_are_not_called_confirmed_where_nothing_prevents_them(
+def test_bad_loads_are_not_confirmed_when_nothing_prevents_them(
     reads_back: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A process that leaves alone what it finds lets bad loads happen; reading back finds them."""
+    """Without repairs by a restarted process bad loads happen, and the read-back detects them."""
     monkeypatch.setattr(Recovery, "_keep_whole", never_done)
     if not reads_back:
         monkeypatch.setattr(Confirmation, "note_read_back", lambda self, *about: self._confirm())
