--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -138,7 +138,7 @@
 # At an entry.
 
 
-def load_message(
+def load_of(
     version: int, *, confirmed: int = 0, suspect: int = 0, started_ms: int = 7
 ) -> ReplicaLoad:
     """Return a daemon's message about its replica's load."""
@@ -163,23 +163,15 @@
     ("words", "version", "serves"),
     [
         ([], 2, True),  # no message of its daemon yet, so the list decides
-        ([load_message(1)], 1, True),  # loaded when the entry started
-        ([load_message(1)], 2, False),  # listed, but not confirmed by its daemon
-        (
-            [load_message(1), load_message(2)],
-            2,
-            False,
-        ),  # an older daemon's message has no such field
-        ([load_message(1), load_message(2, confirmed=2)], 2, True),
-        ([load_message(1, confirmed=2)], 2, True),  # its daemon ended during the load
-        (
-            [load_message(2, confirmed=2), load_message(2)],
-            2,
-            True,
-        ),  # another process of its daemon
-        ([load_message(1), load_message(2, suspect=2)], 2, False),
-        ([load_message(2, suspect=2), load_message(2)], 2, False),  # another process of its daemon
-        ([load_message(1, suspect=1)], 1, False),  # the entry started after the load
+        ([load_of(1)], 1, True),  # loaded when the entry started
+        ([load_of(1)], 2, False),  # listed, but not confirmed by its daemon
+        ([load_of(1), load_of(2)], 2, False),  # an older daemon's message has no such field
+        ([load_of(1), load_of(2, confirmed=2)], 2, True),
+        ([load_of(1, confirmed=2)], 2, True),  # its daemon ended during the load
+        ([load_of(2, confirmed=2), load_of(2)], 2, True),  # another process of its daemon
+        ([load_of(1), load_of(2, suspect=2)], 2, False),
+        ([load_of(2, suspect=2), load_of(2)], 2, False),  # another process of its daemon
+        ([load_of(1, suspect=1)], 1, False),  # the entry started after the load
     ],
 )
 def test_a_version_serves_by_the_messages_of_its_daemon(
@@ -193,17 +185,17 @@
 
 def test_an_entry_without_a_subscription_uses_the_list() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(load_message(1), 1.0)
+    loads.hear(load_of(1), 1.0)
     loads.stop_hearing()
     assert loads.may_serve("m", 2)
 
 
 def test_an_entry_records_when_it_first_saw_a_new_version_loaded() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(load_message(1), 1.0)
+    loads.hear(load_of(1), 1.0)
     assert not loads.came_at
     loads.note_held([NEWER], 2.0)
-    loads.hear(load_message(2, confirmed=2), 3.0)
+    loads.hear(load_of(2, confirmed=2), 3.0)
     assert loads.came_at == {NEWER: 2.0}
 
 
@@ -215,23 +207,23 @@
 
 def test_an_unconfirmed_version_is_loaded_but_not_served() -> None:
     state = replica_state()
-    state.hear(load_message(2), 1)
+    state.hear(load_of(2), 1)
     assert state.held_version("m") == 2
     assert state.version_of("m") is None
-    state.hear(load_message(2, confirmed=2), 1)
+    state.hear(load_of(2, confirmed=2), 1)
     assert state.version_of("m") == 2
 
 
 def test_a_message_about_another_incarnation_confirms_nothing() -> None:
     state = replica_state()
-    state.hear(load_message(1), 1)
-    state.hear(load_message(2, confirmed=2, started_ms=8), 1)
+    state.hear(load_of(1), 1)
+    state.hear(load_of(2, confirmed=2, started_ms=8), 1)
     assert not state.loads.may_serve("m", 2)
 
 
 def test_requests_name_the_expected_version_while_a_daemon_is_silent() -> None:
     state = replica_state()
-    state.hear(load_message(1), 1)
+    state.hear(load_of(1), 1)
     assert state.version_to_expect("m") is None
     assert state.told is not None
     state.told.at -= 1.0
