--- a/tests/test_beside_replica.py
+++ b/tests/test_beside_replica.py
@@ -62,7 +62,7 @@
         replica = model_replica(site).replica
         late: list[tuple[float, DaemonCall]] = []
 
-        async def keep(call: DaemonCall) -> bool:
+        async def hold_back(call: DaemonCall) -> bool:
             if call.puts_chunk and not late:
                 late.append((trio.current_time(), call))
                 site.name_version(3)
@@ -73,7 +73,7 @@
                     replica.staged[put.number] = put.body
             return False
 
-        replica.keeps_back = keep
+        replica.keeps_back = hold_back
         site.name_version(2)
         await wait_loaded([replica], 3)
         check_loads(site)
@@ -93,22 +93,22 @@
         await wait_offered(site)
         replica = model_replica(site).replica
         late: list[tuple[float, DaemonCall]] = []
-        kept = trio.Event()
+        held_back = trio.Event()
 
-        async def keep(call: DaemonCall) -> bool:
+        async def hold_back(call: DaemonCall) -> bool:
             if call.puts_chunk and not late:
                 late.append((trio.current_time(), call))
-                kept.set()
+                held_back.set()
                 return True
             for at, put in late:
                 if call.orders and trio.current_time() - at <= LATE_SECONDS:
                     replica.staged[put.number] = put.body
             return False
 
-        replica.keeps_back = keep
+        replica.keeps_back = hold_back
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
-            await kept.wait()
+            await held_back.wait()
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
         site.name_version(3)
@@ -131,7 +131,7 @@
         replica = model_replica(site).replica
         late: list[tuple[float, DaemonCall]] = []
 
-        async def keep(call: DaemonCall) -> bool:
+        async def hold_back(call: DaemonCall) -> bool:
             if call.puts_chunk and not late:
                 late.append((trio.current_time(), call))
                 return True
@@ -141,7 +141,7 @@
                     replica.staged[put.number] = put.body
             return False
 
-        replica.keeps_back = keep
+        replica.keeps_back = hold_back
         site.name_version(2)
         await wait_loaded([replica], 2)
         # Entries need this time to learn of the load.
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -160,7 +160,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "version", "serves"),
+    ("messages", "version", "serves"),
     [
         ([], 2, True),  # no message of its daemon yet, so the list decides
         ([load_of(1)], 1, True),  # loaded when the entry started
@@ -175,10 +175,10 @@
     ],
 )
 def test_a_version_serves_by_the_messages_of_its_daemon(
-    words: list[ReplicaLoad], version: int, serves: bool
+    messages: list[ReplicaLoad], version: int, serves: bool
 ) -> None:
     loads = ConfirmedLoads([OLDER])
-    for each in words:
+    for each in messages:
         loads.hear(each, 1.0)
     assert loads.may_serve("m", version) == serves
 
