--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -171,10 +171,10 @@
         while True:
             await trio.sleep(OVERLOAD_SECONDS)
             for entry in self._entries:
-                refused = entry.overload.refused.take_untold()
+                refused = entry.overload.refused.take_pending()
                 for other in self._entries:
                     if refused and other is not entry and other.zone == entry.zone:
-                        other.overload.refused.hear(refused, trio.current_time())
+                        other.overload.refused.receive(refused, trio.current_time())
 
     # Callers.
 
@@ -217,9 +217,9 @@
         """Ask one entry; return when to come back if it refuses, None if it does not."""
         entry = self._random.choice([each for each in self._entries if each.zone == zone])
         now = trio.current_time()
-        returning = entry.overload.refused.returns(fingerprint, now)
+        returning = entry.overload.refused.was_refused(fingerprint, now)
         entry.overload.note_request(SERVICE, returning=returning)
-        last = entry.overload.comes_last(returning=returning)
+        last = entry.overload.queues_last(returning=returning)
         aim = kind.aim_seconds
         wait = entry.overload.wait_seconds(aim, any_serves=True)
         if returning:
@@ -238,7 +238,7 @@
             if returning and now >= self._spec.warm_up_seconds:
                 self.tally.held_in_vain_seconds += trio.current_time() - now
             entry.overload.refused.note(fingerprint, trio.current_time())
-            return entry.overload.come_back_seconds(SERVICE)
+            return entry.overload.retry_after_seconds(SERVICE)
         fleet = self._spec.fleet
         way = fleet.way_seconds if place.replica.zone == zone else fleet.far_way_seconds
         placed_at = trio.current_time()
--- a/libs/daemon/src/headcross_daemon/entrynews.py
+++ b/libs/daemon/src/headcross_daemon/entrynews.py
@@ -69,7 +69,7 @@
 
     def tell_refused(self) -> None:
         """Tell the other entries of the zone what was refused here since the last time."""
-        refused = self._overload.refused.take_untold()
+        refused = self._overload.refused.take_pending()
         for address in self._zone_entries() if refused else []:
             self._node.send(address, RefusedNews(refused))
 
@@ -83,9 +83,9 @@
         """Tell all other entries, and a few daemons, what is learned here of lost replicas."""
         async with trio.open_nursery() as nursery:
             while True:
-                news = await self._containment.wait_untold()
+                news = await self._containment.wait_pending_news()
                 nursery.start_soon(self._tell, news, self._entries())
-                kept = self._containment.shared.of_suspects(monotonic())
+                kept = self._containment.shared.suspect_news(monotonic())
                 if kept is not None:
                     nursery.start_soon(self._tell, kept, self._keepers())
                 await trio.sleep(TOLD_TOGETHER_SECONDS)
@@ -93,7 +93,7 @@
     def repeat(self) -> None:
         """Tell a few entries everything that holds of replicas."""
         now = monotonic()
-        lost = self._containment.shared.everything(now)
+        lost = self._containment.shared.all_news(now)
         asked = all_news(self._directory.states(), now)
         entries = self._entries()
         for address in random.sample(entries, min(REPEAT_NEWS_TO, len(entries))):
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -335,10 +335,10 @@
         if self._mirror is not None and self._mirror.hear(incoming):
             return
         if isinstance(incoming.message, RefusedNews):
-            self._overload.refused.hear(incoming.message.fingerprints, trio.current_time())
+            self._overload.refused.receive(incoming.message.fingerprints, trio.current_time())
             return
         if isinstance(incoming.message, LossNews):
-            self._containment.hear(incoming.message)
+            self._containment.receive(incoming.message)
             return
         if isinstance(incoming.message, ReplicaNews):
             for changed in self._news.receive_replica_news(incoming.message):
--- a/libs/daemon/src/headcross_daemon/losskeeping.py
+++ b/libs/daemon/src/headcross_daemon/losskeeping.py
@@ -19,14 +19,14 @@
     def hear(self, news: LossNews) -> None:
         """Take the news of an entry."""
         now = monotonic()
-        self._shared.hear(news, now)
+        self._shared.receive(news, now)
         self._shared.losses.expire(now)
 
     def answer(self, reply: Reply) -> None:
         """Tell an entry everything that is remembered, if there is anything."""
         now = monotonic()
         self._shared.losses.expire(now)
-        news = self._shared.everything(now)
+        news = self._shared.all_news(now)
         if news is not None:
             reply(news, None)
 
--- a/libs/gateway/src/headcross_gateway/budget.py
+++ b/libs/gateway/src/headcross_gateway/budget.py
@@ -1,30 +1,30 @@
-"""How many requests may be sent to a second replica, without shared counters.
-
-Every request to a service earns a part of a retry, and some can be saved up. All entries together
-stay within the common bound, whatever share of the requests each has: the earned parts add up to
-less than the bound's ratio, and the savings of all entries to less than its slack. An entry that
-starts is granted one retry, and a small part of its share of the slack once it knows how many
-entries there are: its earlier lives may just have spent all, and what may be saved leaves room
-for several such starts of every entry. While each start was granted a sixteenth of the slack, a
-restart of all 35 entries twice within the bound's window could pass it.
+"""Bounds the requests that may be sent to a second replica, without counters shared by entries.
+
+Every request to a service earns a fraction of a retry, and some retries can be saved up. All
+entries together stay within the common bound, whatever share of the requests each has: the earned
+fractions add up to less than the bound's ratio, and the savings of all entries to less than its
+slack. An entry that starts is granted one retry, and a small fraction of its share of the slack
+once it knows the number of entries: its predecessor may just have spent everything, and the
+maximum savings leave room for several such starts of every entry. With a grant of a sixteenth of
+the slack per start, restarting all 35 entries twice within the bound's window could exceed it.
 """
 
 from dataclasses import dataclass
 from typing import Final
 
-# Parts of the common bound that the entries use; the rest covers what they cannot see.
-USED_PART: Final = 0.75
-# The retries that a start is granted at once, and the part of an entry's share of the slack that
-# it is granted when the number of entries is known.
-START_GRANT: Final = 1.0
-START_PART: Final = 0.125
-# Starts of each entry within the window of the bound (10 s on the users' pages). A process that is
-# killed takes requests again after 2.5 s or so: the platform's delay, and 1 s and more to start.
-STARTS_COUNTED_ON: Final = 4
-# The slack is divided among the entries seen, and among so many at least.
-FEWEST_ENTRIES: Final = 5
-# The rest of the slack covers what rounding and late news of other entries may add.
-SLACK_PART: Final = 0.97
+# Fraction of the bound's ratio that entries use; the rest covers what they cannot observe.
+USED_FRACTION: Final = 0.75
+# The retries granted at once to an entry that starts, and the fraction of its share of the slack
+# that is granted when the number of entries is known.
+START_RETRIES: Final = 1.0
+START_SLACK_FRACTION: Final = 0.125
+# Starts of each entry within the window of the bound (10 s as documented). A process that is
+# killed takes requests again after about 2.5 s: the platform's delay, and at least 1 s to start.
+STARTS_PER_WINDOW: Final = 4
+# The slack is divided among the known entries, and among at least this many.
+MIN_ENTRIES: Final = 5
+# The rest of the slack covers rounding and late news of other entries.
+SLACK_FRACTION: Final = 0.97
 
 
 @dataclass(slots=True)
@@ -33,44 +33,44 @@
 
 
 class RetryBudget:
-    """The retries that one entry may make, for each service."""
+    """The retries that one entry may make, by service."""
 
-    # Retries made, and refused for want of budget.
+    # The numbers of retries made and of retries denied by the budget.
     spent: int
     denied: int
 
     def __init__(self, ratio: float, slack: float) -> None:
         self.spent = 0
         self.denied = 0
-        self._earned = ratio * USED_PART
-        self._slack = slack * SLACK_PART
-        self._entries = FEWEST_ENTRIES
+        self._earned = ratio * USED_FRACTION
+        self._slack = slack * SLACK_FRACTION
+        self._entries = MIN_ENTRIES
         self._knows_entries = False
         self._savings: dict[str, _Savings] = {}
 
     def note_entries(self, count: int) -> None:
-        """Learn that there are so many entries; the number never falls within a life."""
+        """Store the number of entries; within a process lifetime it never falls."""
         self._entries = max(self._entries, count)
         if self._knows_entries:
             return
         self._knows_entries = True
         for savings in self._savings.values():
-            savings.retries += self._grant - START_GRANT
+            savings.retries += self._grant - START_RETRIES
 
     @property
-    def most_saved(self) -> float:
+    def max_saved(self) -> float:
         """The retries that this entry may save up for a service.
 
         The bound holds for any history as long as the slack has room for the grants: five retries
-        for each entry. The users' pages give 6 to 20.
+        for each entry. The documented slack is 6 to 20 for each.
         """
         share = self._slack / self._entries
-        return max(START_GRANT, share - STARTS_COUNTED_ON * self._grant)
+        return max(START_RETRIES, share - STARTS_PER_WINDOW * self._grant)
 
     @property
     def _grant(self) -> float:
-        """The retries that a start is granted, by the number of entries as far as it is known."""
-        return max(START_GRANT, START_PART * self._slack / self._entries)
+        """The retries granted to an entry that starts, for the number of entries known so far."""
+        return max(START_RETRIES, START_SLACK_FRACTION * self._slack / self._entries)
 
     def earn(self, service: str) -> None:
         """Count a caller's request for a service.
@@ -82,17 +82,17 @@
         >>> budget.spend("s")
         True
         """
-        savings = self._of(service)
-        savings.retries = min(self.most_saved, savings.retries + self._earned)
+        savings = self._savings_of(service)
+        savings.retries = min(self.max_saved, savings.retries + self._earned)
 
     def may_spend(self, service: str) -> bool:
-        """Tell whether there is a retry left, without taking it."""
-        return min(self.most_saved, self._of(service).retries) >= 1
+        """Return whether a retry is left, without taking it."""
+        return min(self.max_saved, self._savings_of(service).retries) >= 1
 
     def spend(self, service: str) -> bool:
-        """Take one retry if there is one left."""
-        savings = self._of(service)
-        savings.retries = min(self.most_saved, savings.retries)
+        """Take one retry if one is left; return whether it was taken."""
+        savings = self._savings_of(service)
+        savings.retries = min(self.max_saved, savings.retries)
         if savings.retries < 1:
             self.denied += 1
             return False
@@ -100,6 +100,6 @@
         self.spent += 1
         return True
 
-    def _of(self, service: str) -> _Savings:
-        granted = self._grant if self._knows_entries else START_GRANT
+    def _savings_of(self, service: str) -> _Savings:
+        granted = self._grant if self._knows_entries else START_RETRIES
         return self._savings.setdefault(service, _Savings(granted))
--- a/libs/gateway/src/headcross_gateway/containment.py
+++ b/libs/gateway/src/headcross_gateway/containment.py
@@ -1,8 +1,8 @@
-"""What an entry does with requests under which replicas ended.
+"""Restricts requests under which replicas were lost.
 
-A suspect gets one replica for each try, and no second copy of it runs from the same entry. One
-that is barred gets none, and what replicas have not begun of it is withdrawn. As long as nothing
-of a path and key is blamed, requests to it are not digested.
+A suspect request gets one replica for each try, and an entry runs no second copy of it. A barred
+request gets none, and its attempts that replicas have not begun are withdrawn. Bodies are not
+hashed as long as no request with the same path and key has a recorded loss.
 """
 
 from collections.abc import Callable
@@ -23,12 +23,12 @@
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestidentity import scope_of
 
-# When a caller may come back while another copy of its request runs.
+# When a caller may retry while another copy of its request runs.
 SUSPECT_RETRY_SECONDS: Final = 1.0
 
 
 class Containment:
-    """The standing of requests at one entry, and what follows for them."""
+    """Decides for one entry whether a request may be sent to a replica, and to a second one."""
 
     shared: SharedLosses
     watch: LossWatch
@@ -39,7 +39,11 @@
         find_replica: Callable[[str], ReplicaState | None],
         list_is_known: Callable[[], bool],
     ) -> None:
-        """`find_replica` returns the state of a listed replica by its id."""
+        """Create an entry's containment without recorded losses.
+
+        `find_replica` returns the state of a listed replica by its id, None if it is not listed;
+        `list_is_known` returns whether the list of replicas was received.
+        """
         self._find_replica = find_replica
         self._list_is_known = list_is_known
         self._learned = trio.Event()
@@ -47,7 +51,7 @@
         self.watch = LossWatch(self.shared)
 
     def standing_of(self, request: Admitted) -> Standing:
-        """Return what may be done with a request."""
+        """Return a request's standing; hashes its body only if its scope has a recorded loss."""
         losses = self.shared.losses
         if losses.is_empty:
             return Standing.CLEAR
@@ -56,7 +60,7 @@
         return losses.standing(request.identity, monotonic())
 
     def is_clear(self, request: Admitted) -> bool:
-        """Tell whether a request may be sent to a second replica."""
+        """Return whether a request may be sent to a second replica."""
         return self.standing_of(request) is Standing.CLEAR and not self._is_restrained(request)
 
     def refusal_of(self, request: Admitted) -> NotRun | None:
@@ -65,26 +69,26 @@
             case Standing.CLEAR:
                 return self._refusal_of_group(request)
             case Standing.SUSPECT:
-                # One that has run already has nothing to gain by a refusal.
+                # Refusing a request that was already tried has no benefit.
                 if request.tried or not self.watch.count_under_way(request.identity):
                     return None
                 detail = "replicas ended under this request, and another copy of it runs"
                 return NotRun(ENDS_REPLICAS, detail, SUSPECT_RETRY_SECONDS)
             case Standing.BARRED:
-                return self._barred(request)
+                return self._refusal_of_barred(request)
 
     def _is_restrained(self, request: Admitted) -> bool:
         return self._paused_until(request) > NEVER
 
     def _paused_until(self, request: Admitted) -> float:
-        """Return until when requests of the same team and route wait, NEVER if they need not."""
+        """Return the time until which a request's group pauses, NEVER if it is not restricted."""
         shared, now = self.shared, monotonic()
         if shared.losses.is_empty or not shared.groups.is_mostly_lost(request.group, now):
             return NEVER
         return paused_until(shared.losses.lost_under(request.group), now)
 
     def _refusal_of_group(self, request: Admitted) -> NotRun | None:
-        """Return why a request is refused for others of its team and route, None if it is not."""
+        """Return why the group of a request forbids it now, None if it does not."""
         seconds = self._paused_until(request) - monotonic()
         if request.tried or seconds == NEVER:
             return None
@@ -96,38 +100,38 @@
             return NotRun(ENDS_REPLICAS, detail, SUSPECT_RETRY_SECONDS)
         return None
 
-    def _barred(self, request: Admitted) -> NotRun:
+    def _refusal_of_barred(self, request: Admitted) -> NotRun:
         suspicion = self.shared.losses.suspicion(request.identity)
         assert suspicion is not None
         seconds = max(SUSPECT_RETRY_SECONDS, suspicion.barred_until() - monotonic())
         detail = f"{suspicion.losses} replicas ended under this request ({suspicion.identity})"
         return NotRun(ENDS_REPLICAS, detail, round(seconds, 1))
 
-    async def wait_untold(self) -> LossNews:
-        """Wait until this entry has learned something that others do not know; return it."""
+    async def wait_pending_news(self) -> LossNews:
+        """Wait until this entry has news that the others do not know, and return them."""
         while True:
             await self._learned.wait()
             self._learned = trio.Event()
             self.update()
-            news = self.shared.take_untold(monotonic())
+            news = self.shared.take_pending(monotonic())
             if news is not None:
                 return news
 
-    def hear(self, news: LossNews) -> None:
-        """Take the news of another entry; `update` acts on it."""
-        self.shared.hear(news, monotonic())
+    def receive(self, news: LossNews) -> None:
+        """Store the news of another entry; `update` acts on them."""
+        self.shared.receive(news, monotonic())
 
     def update(self) -> None:
-        """Look at what is known of lost replicas, and withdraw what is barred."""
+        """Update the losses from what is known of replicas, and withdraw barred requests."""
         self.watch.check()
         self._confirm_ends()
         if self.shared.update(monotonic()):
             self.watch.withdraw(self.shared.barred())
 
     def _confirm_ends(self) -> None:
-        """Look whether replicas have ended that were lost, here or at another entry.
+        """Record the end of replicas that were lost at any entry and have ended since.
 
-        An entry that has just started has no attempts of its own to go by.
+        An entry that has just started has no attempts of its own that would show this.
         """
         for key, loss in self.shared.losses.losses().items():
             if loss.requests and not loss.is_certain and self._has_ended(key):
--- a/libs/gateway/src/headcross_gateway/grouplosses.py
+++ b/libs/gateway/src/headcross_gateway/grouplosses.py
@@ -1,23 +1,24 @@
-"""Teams whose requests on a route end replicas although no two of them are the same.
+"""Limits teams whose requests on a route crash replicas although no two requests are the same.
 
-Whoever changes the body has another request, which may end replicas of its own before it is
-barred. So the requests of one team on one route, a group, are looked at together: where replicas
-were lost under them lately and more of them were lost than answered, one at a time may run at each
-entry, and after each further loss only after a pause that doubles.
+A caller that varies the body sends a different request each time, and each of them may crash
+several replicas before it is barred. The requests of one team on one route are therefore also
+judged as a group: if several replicas were lost under them within the window, and more of the
+group's requests were lost than answered, each entry runs one of them at a time, and after each
+further loss waits for a pause that doubles.
 
-Requests of other groups that stood on the same replicas were lost as well, but most of theirs are
-answered. No decision here needs a network or a clock; `now` is on one monotonic clock, in seconds.
+Requests of other groups that ran on the same replicas are lost too, but most of their requests are
+answered. The module does no I/O and reads no clock; `now` is in seconds on one monotonic clock.
 """
 
 from collections import defaultdict
 from dataclasses import dataclass, field
 from typing import Final
 
-# What counts of the past.
+# Ends of requests and losses of replicas older than this are ignored.
 WINDOW_SECONDS: Final = 30.0
-# Replicas that the requests of one group may be lost with in that time before it is restrained.
-UNRESTRAINED_LOSSES: Final = 3
-# The pause after that many losses; it doubles with each further one.
+# Losses of replicas within the window from which on a group is restricted.
+UNRESTRICTED_LOSSES: Final = 3
+# The pause after UNRESTRICTED_LOSSES losses; it doubles with each further one.
 FIRST_PAUSE_SECONDS: Final = 2.0
 MAX_PAUSE_SECONDS: Final = 30.0
 MAX_GROUPS: Final = 1024
@@ -26,7 +27,7 @@
 
 @dataclass(frozen=True, slots=True)
 class GroupOutcomes:
-    """How the requests of a group ended at one entry within the window."""
+    """The numbers of a group's requests that were lost and answered at one entry in the window."""
 
     lost: int
     answered: int
@@ -34,32 +35,32 @@
 
 @dataclass(slots=True)
 class _Counts:
-    """Ends of requests by second, so that old ones can be forgotten."""
+    """Numbers of ended requests by second, so that those outside the window can be dropped."""
 
     lost: dict[int, int] = field(default_factory=lambda: defaultdict(int))
     answered: dict[int, int] = field(default_factory=lambda: defaultdict(int))
-    _forgotten_at: int = -1  # the second in which what is too old was last forgotten
+    _pruned_at: int = -1  # the second of the last removal of old counts
 
     def total(self, now: float) -> GroupOutcomes:
-        """Return the sums over the window, and forget what is older."""
-        self._forget_old(now)
+        """Return the sums over the window; removes older counts."""
+        self._prune(now)
         return GroupOutcomes(sum(self.lost.values()), sum(self.answered.values()))
 
     def note_lost(self, now: float) -> None:
-        """Count a request that was lost."""
-        self._forget_old(now)
+        """Count a request whose replica was lost."""
+        self._prune(now)
         self.lost[int(now)] += 1
 
     def note_answered(self, now: float) -> None:
         """Count a request that was answered."""
-        self._forget_old(now)
+        self._prune(now)
         self.answered[int(now)] += 1
 
-    def _forget_old(self, now: float) -> None:
+    def _prune(self, now: float) -> None:
         second = int(now)
-        if second == self._forgotten_at:
+        if second == self._pruned_at:
             return
-        self._forgotten_at = second
+        self._pruned_at = second
         horizon = int(now - WINDOW_SECONDS)
         for counts in (self.lost, self.answered):
             for old in [second for second in counts if second < horizon]:
@@ -67,65 +68,67 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Told:
-    """What another entry said of a group."""
+class _PeerReport:
+    """The outcomes of a group that another entry reported."""
 
     outcomes: GroupOutcomes
     at: float
 
 
 class GroupLosses:
-    """How the requests of each group end, at this entry and by the word of others."""
+    """The outcomes of each group at this entry and as reported by other entries."""
 
     def __init__(self) -> None:
         self._own: dict[bytes, _Counts] = {}
-        self._told: dict[bytes, dict[str, _Told]] = {}
+        self._reports: dict[bytes, dict[str, _PeerReport]] = {}
 
     def note_answered(self, group: bytes, now: float) -> None:
-        """Count a whole answer at this entry."""
-        self._of(group).note_answered(now)
+        """Count a request that this entry answered completely."""
+        self._counts_of(group).note_answered(now)
 
     def note_lost(self, group: bytes, now: float) -> None:
-        """Count a request of this entry that was on a replica as it was lost."""
-        self._of(group).note_lost(now)
+        """Count a request of this entry that was on a replica when the replica was lost."""
+        self._counts_of(group).note_lost(now)
 
     def own(self, group: bytes, now: float) -> GroupOutcomes:
-        """Return how a group's requests ended at this entry."""
+        """Return a group's outcomes at this entry within the window."""
         counts = self._own.get(group)
         return counts.total(now) if counts is not None else GroupOutcomes(0, 0)
 
-    def hear(self, group: bytes, entry: str, outcomes: GroupOutcomes, now: float) -> None:
-        """Take what another entry says of a group."""
-        if group not in self._told and len(self._told) >= MAX_GROUPS:
+    def receive(self, group: bytes, entry: str, outcomes: GroupOutcomes, now: float) -> None:
+        """Store what another entry reports for a group, unless a size bound is reached."""
+        if group not in self._reports and len(self._reports) >= MAX_GROUPS:
             return
-        told = self._told.setdefault(group, {})
-        if entry in told or len(told) < MAX_ENTRIES:
-            told[entry] = _Told(outcomes, now)
+        reports = self._reports.setdefault(group, {})
+        if entry in reports or len(reports) < MAX_ENTRIES:
+            reports[entry] = _PeerReport(outcomes, now)
 
     def is_mostly_lost(self, group: bytes, now: float) -> bool:
-        """Tell whether more requests of a group were lost than answered, over all entries heard.
+        """Return whether more requests of a group were lost than answered, over all entries known.
 
         >>> losses = GroupLosses()
         >>> losses.note_lost(b"t", 1.0)
         >>> losses.is_mostly_lost(b"t", 2.0)
         True
-        >>> losses.hear(b"t", "entry1", GroupOutcomes(lost=0, answered=1), 2.0)
+        >>> losses.receive(b"t", "entry1", GroupOutcomes(lost=0, answered=1), 2.0)
         >>> losses.is_mostly_lost(b"t", 2.0)
         False
         """
-        told = self._told.get(group, {}).values()
-        known = [each.outcomes for each in told if now - each.at < WINDOW_SECONDS]
+        reports = self._reports.get(group, {}).values()
+        known = [each.outcomes for each in reports if now - each.at < WINDOW_SECONDS]
         known.append(self.own(group, now))
         return sum(each.lost for each in known) > sum(each.answered for each in known)
 
-    def _of(self, group: bytes) -> _Counts:
+    def _counts_of(self, group: bytes) -> _Counts:
         if len(self._own) >= MAX_GROUPS and group not in self._own:
             self._own.pop(next(iter(self._own)))
         return self._own.setdefault(group, _Counts())
 
 
 def paused_until(lost_at: list[float], now: float) -> float:
-    """Return until when a group whose replicas were lost at these moments has to wait.
+    """Return the time until which a group must pause, given when its replicas were lost.
+
+    The result is -inf if the group is not restricted.
 
     >>> paused_until([1.0, 2.0], 3.0), paused_until([1.0, 2.0, 3.0], 3.5)
     (-inf, 5.0)
@@ -133,7 +136,7 @@
     9.0
     """
     recent = [at for at in lost_at if now - at < WINDOW_SECONDS]
-    if len(recent) < UNRESTRAINED_LOSSES:
+    if len(recent) < UNRESTRICTED_LOSSES:
         return float("-inf")
-    pause = FIRST_PAUSE_SECONDS * 2.0 ** (len(recent) - UNRESTRAINED_LOSSES)
+    pause = FIRST_PAUSE_SECONDS * 2.0 ** (len(recent) - UNRESTRICTED_LOSSES)
     return max(recent) + min(pause, MAX_PAUSE_SECONDS)
--- a/libs/gateway/src/headcross_gateway/lossnews.py
+++ b/libs/gateway/src/headcross_gateway/lossnews.py
@@ -1,8 +1,8 @@
-"""What entries tell one another of lost replicas, and of the requests that were there.
+"""Exchanges news of lost replicas, and of the requests that ran there, between entries.
 
-What an entry learns itself is told to all others at once; everything it knows is told again now
-and then to a few, so that entries that start, or were cut off, learn it too. News may come late,
-twice or never, and may be wrong: an item that cannot be right is left out.
+An entry sends what it learns itself to all others at once. It also sends everything it knows to a
+few of them at intervals, so that entries that start or were disconnected learn it too. News may
+arrive late, twice or never, and may be wrong: implausible items are ignored.
 """
 
 import logging
@@ -14,7 +14,7 @@
 
 from headcross_gateway.grouplosses import GroupLosses, GroupOutcomes
 from headcross_gateway.replicalosses import (
-    REMEMBERED_SECONDS,
+    LOSS_RETENTION_SECONDS,
     Evidence,
     Loss,
     LossKey,
@@ -28,15 +28,14 @@
 
 
 class SharedLosses:
-    """The losses that one entry knows of, with what it has yet to tell the others.
+    """The losses known to one entry, with the news that it has yet to send to the others.
 
-    All moments are on one monotonic clock, in seconds. `on_news` is called when there is something
-    to tell.
+    All times are in seconds on one monotonic clock. `on_news` is called whenever news is pending.
     """
 
     losses: ReplicaLosses
     groups: GroupLosses
-    # Items of news that could not be right.
+    # The number of implausible items received.
     rejected: int
 
     def __init__(self, host: str = "", on_news: Callable[[], None] = lambda: None) -> None:
@@ -45,37 +44,37 @@
         self._host = host
         self.rejected = 0
         self._on_news = on_news
-        # What was learned here of losses, or better known, since it was last told.
+        # What this entry learned itself since news were last taken.
         self._lost: dict[LossKey, set[RequestIdentity]] = {}
         self._alive: dict[LossKey, float] = {}
         self._answered: dict[RequestIdentity, float] = {}
         self._standings: dict[RequestIdentity, Standing] = {}
 
-    # What this entry learns itself.
+    # Input of this entry.
 
     def blame(
         self, key: LossKey, requests: list[RequestIdentity], at: float, evidence: Evidence
     ) -> None:
-        """Note requests that were on a replica as it was lost."""
+        """Record requests that were on a replica when it was lost."""
         if self.losses.blame(key, requests, at, evidence):
             self._lost.setdefault(key, set()).update(requests)
             self._on_news()
 
     def retract(self, key: LossKey, at: float) -> None:
-        """Note that a replica was alive at a moment."""
+        """Drop an uncertain loss of a replica that was alive at `at`."""
         if self.losses.retract(key, at):
             self._alive[key] = at
             self._on_news()
 
-    def answered(self, identity: RequestIdentity, at: float) -> None:
-        """Note a whole answer to a request."""
-        if self.losses.answered(identity, at):
+    def note_answer(self, identity: RequestIdentity, at: float) -> None:
+        """Record a complete answer to a request."""
+        if self.losses.note_answer(identity, at):
             self._answered[identity] = at
             self._on_news()
 
     # News.
 
-    def take_untold(self, now: float) -> LossNews | None:
+    def take_pending(self, now: float) -> LossNews | None:
         """Return what this entry learned itself since the last call, None if nothing."""
         known = self.losses.losses()
         lost = [
@@ -92,8 +91,8 @@
             return None
         return LossNews(lost, alive, answered, self._host, self._group_ends(now))
 
-    def everything(self, now: float) -> LossNews | None:
-        """Return all losses that are remembered, None if there are none."""
+    def all_news(self, now: float) -> LossNews | None:
+        """Return all recorded losses, None if there are none."""
         lost = [
             _lost(key, loss, loss.requests, now)
             for key, loss in self.losses.losses().items()
@@ -101,7 +100,7 @@
         ]
         return LossNews(lost, host=self._host, groups=self._group_ends(now)) if lost else None
 
-    def of_suspects(self, now: float) -> LossNews | None:
+    def suspect_news(self, now: float) -> LossNews | None:
         """Return the losses that make requests suspect or barred, None if there are none."""
         suspects = {each.identity for each in self.losses.suspicions()}
         lost = [
@@ -112,30 +111,30 @@
         return LossNews(lost) if lost else None
 
     def _group_ends(self, now: float) -> list[GroupEnds]:
-        """Return how requests ended here of the groups that are blamed for anything."""
+        """Return this entry's outcomes of the groups that have a recorded loss."""
         own = {group: self.groups.own(group, now) for group in self.losses.groups()}
         return [GroupEnds(group, ends.lost, ends.answered) for group, ends in own.items()]
 
-    def hear(self, news: LossNews, now: float) -> None:
-        """Take the news of another entry."""
+    def receive(self, news: LossNews, now: float) -> None:
+        """Store the news of another entry; implausible items are counted and ignored."""
         rejected = self.rejected
         for lost in news.lost:
-            self._hear_lost(lost, now)
+            self._receive_lost(lost, now)
         for alive in news.alive:
             if self._is_plausible(alive.age):
                 self.losses.retract(LossKey(alive.replica, alive.started_ms), now - alive.age)
         for answered in news.answered:
             identity = self._identity(answered.request)
             if identity is not None and self._is_plausible(answered.age):
-                self.losses.answered(identity, now - answered.age)
+                self.losses.note_answer(identity, now - answered.age)
         for ends in news.groups:
             outcomes = GroupOutcomes(max(0, ends.lost), max(0, ends.answered))
-            self.groups.hear(ends.group, news.host, outcomes, now)
+            self.groups.receive(ends.group, news.host, outcomes, now)
         if self.rejected > rejected:
             fields = {"items": self.rejected - rejected, "reason": "identity, age or evidence"}
             logger.warning("news of losses rejected", extra=fields)
 
-    def _hear_lost(self, lost: LostReplica, now: float) -> None:
+    def _receive_lost(self, lost: LostReplica, now: float) -> None:
         if not self._is_plausible(lost.age):
             return
         key = LossKey(lost.replica, lost.started_ms)
@@ -158,15 +157,15 @@
             return None
 
     def _is_plausible(self, age: float) -> bool:
-        if math.isfinite(age) and 0 <= age <= REMEMBERED_SECONDS:
+        if math.isfinite(age) and 0 <= age <= LOSS_RETENTION_SECONDS:
             return True
         self.rejected += 1
         return False
 
-    # What follows.
+    # Decisions.
 
     def update(self, now: float) -> bool:
-        """Forget what is too old, log changed standings; return whether any request was barred."""
+        """Drop expired losses and log changed standings; return whether any request was barred."""
         self.losses.expire(now)
         found = {each.identity: each for each in self.losses.suspicions()}
         standings = {identity: self.losses.standing(identity, now) for identity in found}
@@ -180,15 +179,15 @@
         return newly_barred
 
     def barred(self) -> list[RequestIdentity]:
-        """Return the requests that get no replica."""
+        """Return the requests that were barred at the last `update`."""
         return [i for i, standing in self._standings.items() if standing is Standing.BARRED]
 
     def count_standings(self) -> Counter[Standing]:
-        """Return how many requests have each standing but a clear one."""
+        """Return the number of suspect and of barred requests."""
         return Counter(self._standings.values())
 
     def dump(self, now: float) -> list[dict[str, object]]:
-        """Return the suspects, for the state dump."""
+        """Return the suspect and barred requests, for the state dump."""
         return [
             {"standing": self.losses.standing(each.identity, now).value, **_describe(each, now)}
             for each in self.losses.suspicions()
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -1,11 +1,11 @@
-"""Which replicas were lost, and what this entry had there.
-
-A connection that breaks tells little: the replica may have reset it and live. So a request whose
-connection broke is blamed at once, and no longer than it takes to learn more: its replica may turn
-out to live (its daemon reaches it, or it answers a request sent later) or to have ended (it left
-the list unannounced, another incarnation is in its place, or its daemon does not reach it). A
-replica that falls silent breaks nothing: it makes a request suspect for that while at most, until
-the replica is known to have ended.
+"""Detects lost replicas from the attempts of one entry and from what daemons report.
+
+A broken connection is weak evidence: the replica may have reset it and still run. A request whose
+connection broke is blamed at once, but only until more is known: the replica turns out to run (its
+daemon reaches it, or it answers a request sent later) or to have ended (it left the list without
+an announcement, another incarnation replaced it, or its daemon does not reach it). A replica
+that falls silent breaks no connection: until it is known to have ended, its silence makes a
+request suspect at most.
 """
 
 from collections.abc import Callable
@@ -18,38 +18,38 @@
 from headcross_gateway.attempts import AttemptTimes
 from headcross_gateway.lossnews import SharedLosses
 from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
-from headcross_gateway.replicalosses import UNCERTAIN_SECONDS, Evidence, LossKey
+from headcross_gateway.replicalosses import UNCONFIRMED_LOSS_SECONDS, Evidence, LossKey
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestidentity import RequestIdentity
 
-# A daemon's word counts as a sign of life only if it came so long after the loss: the replica was
-# read a moment before it was told.
-SIGN_OF_LIFE_SECONDS: Final = 0.5
+# A daemon's report shows that a replica runs only if it arrives this long after the loss: the
+# daemon reads the replica some time before its report arrives.
+LIVENESS_MARGIN_SECONDS: Final = 0.5
 
 
 @dataclass(eq=False, slots=True)
 class OpenAttempt:
-    """An attempt whose replica may still have the request."""
+    """An attempt that has not ended, or that ended while its replica may have been lost."""
 
     request: Admitted
-    place: ReplicaState
+    state: ReplicaState
     key: LossKey
     placed_at: float
     times: AttemptTimes = field(default_factory=AttemptTimes)
-    ended_at: float | None = None  # None while it is under way
-    broken: bool = False  # its connection broke
-    silent: bool = False  # it was given up since its replica was silent
+    ended_at: float | None = None  # None while in progress
+    broken: bool = False  # the connection broke
+    silent: bool = False  # abandoned because the replica was silent
 
     @property
     def was_lost(self) -> bool:
-        """Whether its end speaks for the loss of its replica."""
+        """Whether the way it ended is evidence that its replica was lost."""
         return self.broken or self.silent
 
 
 class LossWatch:
-    """The attempts of one entry whose replicas may be lost.
+    """Tracks the attempts of one entry and records the losses of their replicas.
 
-    `clock` returns seconds on the monotonic clock of the replicas' states.
+    `clock` returns seconds on the monotonic clock that the replicas' states use.
     """
 
     def __init__(self, shared: SharedLosses, clock: Callable[[], float] = monotonic) -> None:
@@ -59,15 +59,15 @@
 
     # Attempts.
 
-    def begin(self, request: Admitted, place: ReplicaState, times: AttemptTimes) -> OpenAttempt:
-        """Note an attempt that is about to be made."""
-        key = LossKey(place.replica.id, place.replica.started_ms)
-        attempt = OpenAttempt(request, place, key, self._clock(), times)
+    def begin(self, request: Admitted, state: ReplicaState, times: AttemptTimes) -> OpenAttempt:
+        """Register an attempt that is about to be made."""
+        key = LossKey(state.replica.id, state.replica.started_ms)
+        attempt = OpenAttempt(request, state, key, self._clock(), times)
         self._open.setdefault(key, []).append(attempt)
         return attempt
 
     def end(self, attempt: OpenAttempt, outcome: Outcome | None) -> None:
-        """Note how an attempt ended; None if it was cancelled."""
+        """Record how an attempt ended; `outcome` is None if it was cancelled."""
         attempt.ended_at = self._clock()
         match outcome:
             case Whole() | Streamed():
@@ -78,7 +78,7 @@
             case MayRun(broken=True):
                 attempt.broken = True
                 self._blame(attempt, attempt.ended_at, Evidence.BROKEN)
-            # A replica that had begun an answer did not end as it began the request.
+            # A replica that sent part of the answer did not crash on beginning the request.
             case MayRun(silent=True) if attempt.times.began_at is None:
                 attempt.silent = True
                 self._blame(attempt, attempt.ended_at, Evidence.SILENT)
@@ -86,7 +86,7 @@
                 self._forget(attempt)
 
     def count_under_way(self, identity: RequestIdentity) -> int:
-        """Return how many attempts with a request are under way here."""
+        """Return how many attempts of a request are in progress at this entry."""
         return sum(
             attempt.ended_at is None and attempt.request.identity == identity
             for attempts in self._open.values()
@@ -94,7 +94,7 @@
         )
 
     def count_group_under_way(self, group: bytes) -> int:
-        """Return how many attempts with requests of a group are under way here."""
+        """Return how many attempts of a group's requests are in progress at this entry."""
         return sum(
             attempt.ended_at is None and attempt.request.group == group
             for attempts in self._open.values()
@@ -102,7 +102,7 @@
         )
 
     def withdraw(self, identities: list[RequestIdentity]) -> None:
-        """Take back what replicas have not begun of some requests."""
+        """Withdraw the attempts of some requests that replicas have not begun."""
         for attempts in self._open.values():
             for attempt in attempts:
                 if attempt.ended_at is None and attempt.request.identity in identities:
@@ -111,10 +111,10 @@
     # Evidence.
 
     def check(self) -> None:
-        """Look at what is known now of each replica where attempts are open."""
+        """Record which replicas with tracked attempts ended or still run; drop old attempts."""
         now = self._clock()
         for key, attempts in list(self._open.items()):
-            if attempts[0].place.has_ended():
+            if attempts[0].state.has_ended():
                 self._note_ended(key, attempts)
                 continue
             if _was_not_lost(attempts):
@@ -122,7 +122,7 @@
             self._expire(key, now)
 
     def _note_ended(self, key: LossKey, attempts: list[OpenAttempt]) -> None:
-        """Blame all that was there, also what is still under way."""
+        """Record the end of a replica against all its attempts, also those in progress."""
         lost_at = [a.ended_at for a in attempts if a.was_lost and a.ended_at is not None]
         at = min(lost_at, default=self._clock())
         self._shared.blame(key, [a.request.identity for a in attempts], at, Evidence.ENDED)
@@ -131,7 +131,7 @@
             del self._open[key]
 
     def _note_answer(self, attempt: OpenAttempt) -> None:
-        """Take in a whole answer, which clears its request and shows that its replica lives."""
+        """Record a complete answer, which clears the request and shows that the replica runs."""
         losses = self._shared.losses
         self._shared.groups.note_answered(attempt.request.group, self._clock())
         if losses.is_empty:
@@ -141,7 +141,7 @@
         if any(a.was_lost and a.ended_at and a.ended_at < attempt.placed_at for a in others):
             self._note_alive(attempt.key, now)
         if losses.concerns(attempt.request.identity.scope):
-            self._shared.answered(attempt.request.identity, now)
+            self._shared.note_answer(attempt.request.identity, now)
 
     def _note_alive(self, key: LossKey, now: float) -> None:
         self._shared.retract(key, now)
@@ -150,7 +150,7 @@
             del self._open[key]
 
     def _expire(self, key: LossKey, now: float) -> None:
-        horizon = now - UNCERTAIN_SECONDS
+        horizon = now - UNCONFIRMED_LOSS_SECONDS
         kept = [a for a in self._open.get(key, []) if a.ended_at is None or a.ended_at > horizon]
         if kept:
             self._open[key] = kept
@@ -170,19 +170,19 @@
 
 
 def _was_not_lost(attempts: list[OpenAttempt]) -> bool:
-    """Tell whether a replica left as it had announced, or lives after all attempts lost there."""
-    place = attempts[0].place
-    if place.gone and place.is_leaving():
+    """Return whether a replica left as announced, or ran after the last lost attempt."""
+    state = attempts[0].state
+    if state.gone and state.is_leaving():
         return True
     lost = [a.ended_at for a in attempts if a.was_lost and a.ended_at is not None]
-    return bool(lost) and _lives_after(place, max(lost) + SIGN_OF_LIFE_SECONDS)
+    return bool(lost) and _is_alive_since(state, max(lost) + LIVENESS_MARGIN_SECONDS)
 
 
-def _lives_after(place: ReplicaState, moment: float) -> bool:
-    """Tell whether a replica's daemon has reached this life of it since a moment."""
-    told = place.told
+def _is_alive_since(state: ReplicaState, moment: float) -> bool:
+    """Return whether a replica's daemon has reached this incarnation since `moment`."""
+    told = state.told
     if told is None or told.at < moment or not told.load.reachable:
         return False
-    # A later life begins without weights; not every one tells when it began.
-    held_before = {loaded.model for loaded in place.replica.loaded}
-    return not place.is_between_lives() and held_before <= told.load.versions.keys()
+    # A later incarnation starts without weights; not every one reports when it started.
+    held_before = {loaded.model for loaded in state.replica.loaded}
+    return not state.is_between_lives() and held_before <= told.load.versions.keys()
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -1,13 +1,16 @@
-"""What an entry decides when more is asked of a service than its replicas can serve.
-
-The load this answers: fresh callers ask for a fifth more than there are places, and each one that
-is refused comes back once. An answer is worth most within an aim that counts from the first try,
-so a caller that comes back cannot get that any more; where it takes a place that a fresh one would
-have had, that one is late or comes back in its turn, and in the end all answers are late ones. So
-callers that come back wait behind fresh ones of their priority, and places are kept free for fresh
-callers as long as some of these are refused (trunk reservation: F. P. Kelly, "Loss networks",
-Annals of Applied Probability 1, 1991). They get what fresh ones leave: idle replicas, troughs, and
-everything as soon as the overload ends. No decision here needs a network or a clock.
+"""Decides how an entry treats callers when a service gets more requests than it can serve.
+
+The design load: first tries exceed the capacity by a fifth, and each refused caller retries once.
+The value of an answer is highest within a target time that counts from the first try, so a retry
+can no longer reach it. If a retry takes a place that a first try would have had, that first try is
+late or is refused and retries in its turn, and in the end all answers are late. Retries therefore
+wait behind first tries of their priority, and places are reserved for first tries as long as some
+of these are refused (trunk reservation: F. P. Kelly, "Loss networks", Annals of Applied
+Probability 1, 1991). Retries get the rest: idle replicas, gaps in the load, and everything as soon
+as the overload ends. The module does no I/O and reads no clock.
+
+In this module a retry is one of a caller, not of the entry. In names, `fresh` stands for first
+tries, `returning` for retries and `aim` for the target time.
 """
 
 import random
@@ -18,53 +21,57 @@
 from headcross_gateway.demand import DemandMeter
 from headcross_gateway.refusedrequests import RefusedRequests
 
-# When a caller is told to come back: where all places are taken just now, and where they will be
-# taken for a while or nobody has any. Callers honour up to a third of their time limit (6 s).
-COME_BACK_SECONDS: Final = 0.5
-COME_BACK_LATER_SECONDS: Final = 1.8
-# Callers that were refused at one moment come back spread by this part of their wait.
-COME_BACK_SPREAD: Final = 0.2
-# The demand of fresh callers fades by half in so long. The end of an overload must be seen before
-# those that it sent away come back, which is 0.4 s to 1.8 s later.
+# Bounds of the Retry-After value before it is spread: the lower one if places are occupied for a
+# moment only, the upper one if the overload lasts or no replica serves. Callers wait for up to a
+# third of their time limit (6 s).
+MIN_RETRY_AFTER_SECONDS: Final = 0.5
+MAX_RETRY_AFTER_SECONDS: Final = 1.8
+# The fraction of the Retry-After value by which callers that are refused together are spread.
+RETRY_AFTER_JITTER: Final = 0.2
+# The half-life of the measured demand of first tries. The end of an overload must be detected
+# before the callers that it refused retry, which is 0.4 s to 1.8 s later.
 FRESH_HALF_LIFE_SECONDS: Final = 0.5
-# Callers that come back wait only while no more than this share of their like was refused lately:
-# one that waits is to be served more likely than not.
-MOST_REFUSED_SHARE: Final = 0.5
-# ... and so many mean answer times must be left to them after the wait. Answers are spread about
-# as wide as their mean: of exponential times 19 in 20 are within three means.
+# Retries wait only while at most this share of retries is refused, so that one that waits is
+# served more likely than not.
+MAX_REFUSED_SHARE: Final = 0.5
+# A retry must have this many mean answer times left after its wait. Answer times vary about as
+# much as their mean: 19 in 20 of exponentially distributed times are within three means.
 ANSWER_TIMES_LEFT: Final = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class OverloadSettings:
-    """How callers that come back are treated, and how long anyone waits for a place."""
+    """The treatment of retries, and the times that requests wait for a place."""
 
-    # Whether they wait behind fresh ones of their priority, or by their deadlines alone.
+    # Whether retries wait behind first tries of their priority, or are ordered by deadline alone.
     fresh_first: bool = True
-    # The share of fresh callers refused lately from which on they get only idle replicas; in
-    # between, as much of the places is kept free. Infinite: nothing is kept free. In the model of
-    # a pool (6 replicas; a burst of 1.4 for 3 s, and 1.0 all the time; seeds 31 to 33) 0.2 answers
-    # 0.716 and 0.711 in their aim and shuts 0.246 and 0.231 out, 1.0 with a wait of 1.5 s answers
-    # 0.702 and 0.663 and shuts 0.168 and 0.162 out; with nothing kept free 0.606 and 0.609 are
-    # answered in their aim.
+    # The refused share of first tries from which on retries get only idle replicas; below it, the
+    # reserved share of places grows in proportion. Infinite reserves nothing. In a simulated pool
+    # of 6 replicas (a burst of 1.4 times the nominal load for 3 s; 1.0 times all the time; seeds
+    # 31 to 33), 0.2 answers a share of 0.716 and 0.711 of callers within the target time and
+    # refuses 0.246 and 0.231 for good; 1.0 with a wait of 1.5 s answers 0.702 and 0.663 in time
+    # and refuses 0.168 and 0.162 for good; without a reservation 0.606 and 0.609 are answered in
+    # time.
     full_reservation_share: float = 1.0
-    # The part of the aim that a fresh request waits for a place at most. Under overload one that
-    # waits longer is late or refused later: in the model, at 0.8, 1.0 and 1.2 times the sheet's
-    # load, 0.5 earns 0.787, 0.607 and 0.552 of the worth where 0.22 earns 0.848, 0.688 and 0.618,
-    # 0.1 earns 0.850, 0.700 and 0.632, and no waiting is no better.
+    # The fraction of the target time that a first try waits for a place at most. Under overload
+    # one that waits longer is late or is refused later. In the simulated pool, at 0.8, 1.0 and 1.2
+    # times the nominal load, 0.5 earns 0.787, 0.607 and 0.552 of the possible value, 0.22 earns
+    # 0.848, 0.688 and 0.618, and 0.1 earns 0.850, 0.700 and 0.632; not waiting at all is no
+    # better.
     wait_part: float = 0.1
-    # The same where no replica may serve at all just now: one that loads new weights is back in a
-    # moment. Four replicas that loaded within 0.25 s left 0.09 s without any, and a stream with an
-    # aim of 0.5 s was refused after 0.1 of it.
+    # The same while no replica may serve at all: a replica that loads new weights is available
+    # again shortly. Four replicas that loaded within 0.25 s left 0.09 s without any, and a stream
+    # with a target time of 0.5 s was refused after a tenth of it.
     no_replica_wait_part: float = 0.22
-    # How long a caller that comes back waits for a place at most, in seconds. Its aim has passed,
-    # and a place that no fresh one needs may come free; but it waits only where most of those that
-    # came back lately were served, and where its answer can still end before its deadline.
+    # How long a retry waits for a place at most. Its target time has passed, and a place that no
+    # first try needs may become free; but it waits only if most recent retries were served and if
+    # its answer can still end before its deadline.
     returning_wait_seconds: float = 1.0
-    # The part of the places that is always kept free from callers that come back: when room comes
-    # after a while without any, those that waited would fill all of it at once. In the model (a
-    # burst, seeds 41 to 44) 0 answers 0.683 in their aim and shuts 0.198 out, 0.25 answers 0.744
-    # and shuts 0.134 out, 0.5 answers 0.753 and shuts 0.205 out.
+    # The share of the places that is always reserved for first tries: when places become free
+    # after a time without any, waiting retries would take all of them at once. In the simulated
+    # pool (a burst, seeds 41 to 44), 0 answers a share of 0.683 within the target time and refuses
+    # 0.198 for good, 0.25 answers 0.744 and refuses 0.134, and 0.5 answers 0.753 and refuses
+    # 0.205.
     least_reserved_share: float = 0.25
 
 
@@ -72,7 +79,7 @@
 
 
 class Overload:
-    """The decisions of one entry, from what it sees and what others of its zone refuse."""
+    """The overload decisions of one entry, based on its own load and on refusals in its zone."""
 
     refused: RefusedRequests
 
@@ -85,15 +92,15 @@
         self._answers = AnswerTimes()
 
     def note_request(self, service: str, *, returning: bool) -> None:
-        """Count a request that came."""
+        """Count a request that arrived."""
         self._all.note(service)
         (self._returning if returning else self._fresh).note(service)
 
     def note_refused(self, service: str, *, returning: bool, for_room: bool = True) -> None:
         """Count a request that found no place.
 
-        `for_room` is False where no replica may serve at all. That says nothing of the room that
-        there is later: callers that came back after an outage were shut out for seconds.
+        `for_room` is False if no replica may serve at all. Such a refusal does not count towards
+        the reservation: otherwise retries after an outage were refused for seconds.
         """
         self._all.note_refused(service)
         if returning:
@@ -102,34 +109,34 @@
             self._fresh.note_refused(service)
 
     def note_answer(self, service: str, seconds: float) -> None:
-        """Take in how long a whole answer took, from its place at a replica on."""
+        """Add the time of a complete answer, from its placing at a replica to its end."""
         self._answers.note(service, seconds)
 
     def measure(self, now: float) -> None:
-        """Take in what came since the last measurement; to be called every 0.2 s or so.
+        """Update the measured demand; to be called about every 0.2 s.
 
         `now` is in seconds on any one clock that does not go back.
         """
         for meter in (self._all, self._fresh, self._returning):
             meter.measure(now)
 
-    def comes_last(self, *, returning: bool) -> bool:
-        """Tell whether a request waits behind others of its priority."""
+    def queues_last(self, *, returning: bool) -> bool:
+        """Return whether a request waits behind others of its priority."""
         return returning and self.settings.fresh_first
 
     def reserved_share(self, service: str) -> float:
-        """Return which part of a replica's places is kept free for fresh callers, 0 to 1.
+        """Return the share of a replica's places that is reserved for first tries, 0 to 1.
 
-        At 1 a caller that comes back is placed only where nothing runs.
+        At 1 a retry is placed only at a replica where nothing runs.
         """
         refused = self._fresh.refused_share(service)
         reserved = refused / self.settings.full_reservation_share
         return min(1.0, max(self.settings.least_reserved_share, reserved))
 
     def wait_seconds(self, aim_seconds: float, *, any_serves: bool) -> float:
-        """Return how long a fresh request waits for a place, from its arrival or last refusal.
+        """Return the seconds that a first try waits for a place, from its arrival or last refusal.
 
-        `any_serves` tells whether any replica, full or not, may serve it now.
+        `any_serves` is whether any replica, full or not, may serve it now.
         """
         settings = self.settings
         part = settings.wait_part if any_serves else settings.no_replica_wait_part
@@ -138,25 +145,26 @@
     def returning_wait_seconds(
         self, service: str, aim_seconds: float, seconds_left: float, *, any_serves: bool
     ) -> float:
-        """Return how long a caller that comes back waits, with so much of its time left.
+        """Return the seconds that a retry waits for a place; its deadline is in `seconds_left`.
 
-        No longer than a fresh one where most of its like were refused: it would be held for
-        nothing. While all were held, 398 of 613 were refused after a second in lasting overload;
+        It waits no longer than a first try if most retries are refused, since the wait would be in
+        vain: when all retries waited, 398 of 613 were refused after a second under lasting overload,
         and streams that began too late broke off at their callers' deadlines.
         """
         wait = self.wait_seconds(aim_seconds, any_serves=any_serves)
-        if self._returning.refused_share(service) > MOST_REFUSED_SHARE:
+        if self._returning.refused_share(service) > MAX_REFUSED_SHARE:
             return wait
         spare = seconds_left - ANSWER_TIMES_LEFT * self._answers.mean(service)
         return max(wait, min(self.settings.returning_wait_seconds, spare))
 
-    def come_back_seconds(self, service: str, opening_seconds: float = 0.0) -> float:
-        """Return when a caller without a place should come back, in seconds.
+    def retry_after_seconds(self, service: str, opening_seconds: float = 0.0) -> float:
+        """Return the seconds after which a refused caller should retry.
 
-        The more callers found no place lately, the longer that will last: one that comes back into
-        the same overload is refused for good. No replica takes anything for `opening_seconds`.
+        The value grows with the share of requests refused lately, since the overload then lasts
+        longer, and a caller that retries into the same overload is refused for good. No replica
+        accepts a request within `opening_seconds`.
         """
-        longer = COME_BACK_LATER_SECONDS - COME_BACK_SECONDS
-        seconds = COME_BACK_SECONDS + longer * self._all.refused_share(service)
-        least = opening_seconds / (1 - COME_BACK_SPREAD)
-        return max(seconds, least) * random.uniform(1 - COME_BACK_SPREAD, 1)
+        longer = MAX_RETRY_AFTER_SECONDS - MIN_RETRY_AFTER_SECONDS
+        seconds = MIN_RETRY_AFTER_SECONDS + longer * self._all.refused_share(service)
+        least = opening_seconds / (1 - RETRY_AFTER_JITTER)
+        return max(seconds, least) * random.uniform(1 - RETRY_AFTER_JITTER, 1)
--- a/libs/gateway/src/headcross_gateway/refusedrequests.py
+++ b/libs/gateway/src/headcross_gateway/refusedrequests.py
@@ -1,28 +1,28 @@
-"""Requests that were refused lately, so that a caller that comes back is known again.
+"""Remembers refused requests, so that a caller that retries is recognized.
 
-A caller that returns has an id of its own and reaches another entry of its zone, but it asks for
-the same: same path, same key, same prompt. Entries of a zone tell one another what they refused,
-as hashes of that. Told apart by their deadlines alone, callers with a short time limit of their
-own were taken for returning ones.
+A retry has its own request id and may reach another entry of the zone, but it has the same path,
+key and prompt. Entries of a zone send one another hashes of what they refused. Deadlines alone do
+not identify retries: callers with a short time limit of their own were mistaken for them.
 
-Only requests that say what their prompt is are remembered: others cannot be told from their like.
+Only requests that describe their prompt are remembered: others cannot be distinguished from
+similar requests.
 """
 
 import hashlib
 from collections import OrderedDict
 from typing import Final
 
-# Callers honour up to a third of their time limit, 2 s of 6 s on the users' pages; the rest is for
-# the way and a queue. One that returns later counts as fresh.
-REMEMBERED_SECONDS: Final = 4.0
-# An entry refuses some tens of requests a second at most, and hears of as many from each of a few
-# others.
-MAX_REMEMBERED: Final = 4096
+# Callers wait for up to a third of their time limit before they retry, 2 s of 6 s as documented;
+# the rest is for transport and a queue. A request that comes later counts as a first try.
+REFUSAL_RETENTION_SECONDS: Final = 4.0
+# An entry refuses some tens of requests per second at most, and receives as many from each of a
+# few others.
+MAX_FINGERPRINTS: Final = 4096
 HASH_BYTES: Final = 8
 
 
 def fingerprint_of(host: str, target: str, key: str | None, prompt: str) -> int:
-    """Return what tells a request from others: the same for each try of a caller.
+    """Return a hash of a request that is the same for each try of a caller.
 
     >>> first = fingerprint_of("a.example", "/x", "key", "5c:800,91:410")
     >>> first == fingerprint_of("a.example", "/x", "key", "5c:800,91:410")
@@ -35,36 +35,36 @@
 
 
 class RefusedRequests:
-    """The fingerprints of requests that were refused here and at other entries.
+    """The fingerprints of requests that were refused at this and at other entries.
 
     `now` is always on one monotonic clock, in seconds.
     """
 
     def __init__(self) -> None:
         self._refused_at: OrderedDict[int, float] = OrderedDict()
-        self._untold: list[int] = []
+        self._pending: list[int] = []
 
     def note(self, fingerprint: int, now: float) -> None:
-        """Remember a request that this entry refuses."""
+        """Store a request that this entry refuses."""
         self._remember(fingerprint, now)
-        self._untold.append(fingerprint)
+        self._pending.append(fingerprint)
 
-    def hear(self, fingerprints: list[int], now: float) -> None:
-        """Remember requests that another entry has refused."""
-        for fingerprint in fingerprints[:MAX_REMEMBERED]:
+    def receive(self, fingerprints: list[int], now: float) -> None:
+        """Store requests that another entry has refused."""
+        for fingerprint in fingerprints[:MAX_FINGERPRINTS]:
             self._remember(fingerprint, now)
 
-    def take_untold(self) -> list[int]:
-        """Return what was refused here since the last call, for the other entries."""
-        untold, self._untold = self._untold, []
-        return untold
+    def take_pending(self) -> list[int]:
+        """Return what this entry refused since the last call, to be sent to other entries."""
+        pending, self._pending = self._pending, []
+        return pending
 
-    def returns(self, fingerprint: int, now: float) -> bool:
-        """Tell whether a request was refused lately."""
-        return now - self._refused_at.get(fingerprint, float("-inf")) < REMEMBERED_SECONDS
+    def was_refused(self, fingerprint: int, now: float) -> bool:
+        """Return whether a request was refused within REFUSAL_RETENTION_SECONDS."""
+        return now - self._refused_at.get(fingerprint, float("-inf")) < REFUSAL_RETENTION_SECONDS
 
     def _remember(self, fingerprint: int, now: float) -> None:
         self._refused_at[fingerprint] = now
         self._refused_at.move_to_end(fingerprint)
-        while len(self._refused_at) > MAX_REMEMBERED:
+        while len(self._refused_at) > MAX_FINGERPRINTS:
             self._refused_at.popitem(last=False)
--- a/libs/gateway/src/headcross_gateway/replicalosses.py
+++ b/libs/gateway/src/headcross_gateway/replicalosses.py
@@ -1,16 +1,15 @@
-"""Which requests replicas were lost under, and what follows for these requests.
+"""Attributes lost replicas to requests, and decides which requests are suspect or barred.
 
-A request may end each replica that begins to run it, and its caller, or another with the same
-request, sends it again at any entry. What ran on a lost replica is known to the entries that sent
-it there; they tell one another. Two things keep the requests that only stood beside such a one
-from being taken for it:
+A request may crash every replica that begins to run it, and it is sent again, by its caller or by
+another one, at any entry. The entries that had sent requests to a lost replica know what ran
+there, and exchange this. Two rules protect requests that merely ran beside such a request:
 
-* A whole answer to a request, anywhere, shows that it ends no replica: all it was blamed for
-  before is forgotten.
-* A loss is put down to as few requests as explain all losses. One that has most of them explains
-  these, and they no longer count against the others that ran there.
+* A complete answer to a request at any entry shows that it does not crash replicas: every earlier
+  loss is removed from its record.
+* Losses are attributed to as few requests as explain all of them. The request with the most losses
+  explains these, and they no longer count against the other requests that ran there.
 
-No decision here needs a network or a clock; `now` is on one monotonic clock, in seconds.
+The module does no I/O and reads no clock; `now` is in seconds on one monotonic clock.
 """
 
 from collections import Counter, OrderedDict
@@ -24,12 +23,12 @@
 # Losses from which on a request gets one replica for each try, and from which on it gets none.
 SUSPECT_LOSSES: Final = 2
 BARRED_LOSSES: Final = 3
-# A loss is remembered for so long; one that is not known to be a replica's end for less.
-REMEMBERED_SECONDS: Final = 3600.0
-UNCERTAIN_SECONDS: Final = 12.0
-# How long a request gets no replica after its last loss; twice as long with each further one.
+# How long a loss is kept, and how long if the replica is not known to have ended.
+LOSS_RETENTION_SECONDS: Final = 3600.0
+UNCONFIRMED_LOSS_SECONDS: Final = 12.0
+# How long a request is barred after its last loss; doubles with each further one.
 BARRED_SECONDS: Final = 600.0
-# A replica's silence is not held against a request that was answered whole so lately.
+# A replica's silence does not count against a request answered completely within this time.
 KNOWN_GOOD_SECONDS: Final = 60.0
 MAX_LOSSES: Final = 128
 MAX_REQUESTS_PER_LOSS: Final = 32
@@ -39,7 +38,7 @@
 
 
 class Standing(Enum):
-    """What is known of a request from its earlier tries."""
+    """How a request may be run, given the replicas lost under its earlier tries."""
 
     CLEAR = "clear"
     SUSPECT = "suspect"  # one replica for each try, and one try at a time at each entry
@@ -47,16 +46,16 @@
 
 
 class Evidence(IntEnum):
-    """How well it is known that a replica was lost; the greater, the better."""
+    """How certain the loss of a replica is; a greater value is stronger evidence."""
 
-    SILENT = 0  # it gave no sign of life in time
+    SILENT = 0  # it sent nothing within the time limit
     BROKEN = 1  # connections to it broke
     ENDED = 2  # it has ended
 
 
 @dataclass(frozen=True, slots=True)
 class LossKey:
-    """One life of a replica, which was lost."""
+    """Identifies a lost replica: its id and the start of the incarnation that was lost."""
 
     replica: str
     started_ms: int | None
@@ -64,7 +63,7 @@
 
 @dataclass(slots=True)
 class Loss:
-    """What is known of one replica that was lost."""
+    """The loss of one incarnation: when, on what evidence, and which requests ran there."""
 
     at: float
     evidence: Evidence
@@ -76,51 +75,51 @@
         return self.evidence is Evidence.ENDED
 
     def expires_at(self) -> float:
-        """Return when it is forgotten."""
-        return self.at + (REMEMBERED_SECONDS if self.is_certain else UNCERTAIN_SECONDS)
+        """Return when this loss is dropped."""
+        return self.at + (LOSS_RETENTION_SECONDS if self.is_certain else UNCONFIRMED_LOSS_SECONDS)
 
 
 @dataclass(frozen=True, slots=True)
 class Suspicion:
-    """A request with what counts against it."""
+    """The losses attributed to one request."""
 
     identity: RequestIdentity
     losses: int
     last_at: float
-    silences: int = 0  # replicas that fell silent under it and may live
+    silences: int = 0  # replicas that fell silent under it and may still run
 
     @property
     def standing(self) -> Standing:
-        """Return what may be done with the request before any bar is over."""
+        """Return the standing, without regard to the end of a bar."""
         if self.losses >= BARRED_LOSSES:
             return Standing.BARRED
         is_suspect = self.losses + self.silences >= SUSPECT_LOSSES
         return Standing.SUSPECT if is_suspect else Standing.CLEAR
 
     def barred_until(self) -> float:
-        """Return when it may be tried again, the moment of its last loss if that is at once."""
+        """Return when the request may be tried again; `last_at` if it is not barred."""
         if self.losses < BARRED_LOSSES:
             return self.last_at
         return self.last_at + BARRED_SECONDS * 2.0 ** (self.losses - BARRED_LOSSES)
 
 
 class ReplicaLosses:
-    """The losses that one entry knows of, its own and those that others told."""
+    """The losses known to one entry, its own and those that other entries reported."""
 
     def __init__(self) -> None:
         self._losses: OrderedDict[LossKey, Loss] = OrderedDict()
-        # When whole answers to requests that had been blamed came.
+        # When requests were last answered completely.
         self._answered_at: OrderedDict[RequestIdentity, float] = OrderedDict()
-        # Replicas that were found alive, and when: news of their loss may still be on its way.
+        # When replicas were last found alive: older news of their loss may still arrive.
         self._alive_at: OrderedDict[LossKey, float] = OrderedDict()
         self._suspicions: dict[RequestIdentity, Suspicion] = {}
-        # The losses by request, and how many requests of each scope are blamed.
+        # The losses by request, and how many blamed requests each scope has.
         self._lost_under: dict[RequestIdentity, set[LossKey]] = {}
         self._scopes: Counter[bytes] = Counter()
-        # Whether the suspicions are those of the losses as they are now.
-        self._judged = True
+        # Whether the suspicions reflect the current losses.
+        self._is_current = True
 
-    # What is learned.
+    # Input.
 
     def blame(
         self,
@@ -129,7 +128,7 @@
         at: float,
         evidence: Evidence = Evidence.BROKEN,
     ) -> bool:
-        """Note requests that were on a replica as it was lost; return whether that is new."""
+        """Record requests that were on a replica when it was lost; return whether that is new."""
         if self._alive_at.get(key, NEVER) >= at:
             return False
         loss = self._losses.setdefault(key, Loss(at, evidence))
@@ -141,7 +140,7 @@
             self._add(key, identity)
         self._drop_excess()
         is_news = is_stronger or bool(new and room)
-        self._judged = not is_news and self._judged
+        self._is_current = not is_news and self._is_current
         return is_news
 
     def _may_blame(self, identity: RequestIdentity, loss: Loss) -> bool:
@@ -151,46 +150,49 @@
         return self._answered_at.get(identity, NEVER) + good_for < loss.at
 
     def retract(self, key: LossKey, at: float) -> bool:
-        """Note that a replica was alive at a moment, so that only connections to it were lost."""
+        """Drop an uncertain loss of a replica that was alive at `at`; return whether it existed.
+
+        Only connections to the replica were lost.
+        """
         loss = self._losses.get(key)
         if loss is None or loss.is_certain or loss.at > at:
             return False
         self._drop(key)
         _remember(self._alive_at, key, at, MAX_LOSSES)
-        self._judged = False
+        self._is_current = False
         return True
 
-    def answered(self, identity: RequestIdentity, at: float) -> bool:
-        """Note a whole answer to a request; return whether it had been blamed."""
+    def note_answer(self, identity: RequestIdentity, at: float) -> bool:
+        """Record a complete answer to a request; return whether earlier losses were removed."""
         _remember(self._answered_at, identity, at, MAX_ANSWERED)
         blamed_for = self._lost_under.get(identity, set())
         earlier = [key for key in blamed_for if self._losses[key].at <= at]
         for key in earlier:
             self._remove(key, identity)
-        self._judged = not earlier and self._judged
+        self._is_current = not earlier and self._is_current
         return bool(earlier)
 
     def expire(self, now: float) -> None:
-        """Forget what is too old."""
+        """Drop the losses whose retention time is over."""
         expired = [key for key, loss in self._losses.items() if now >= loss.expires_at()]
         for key in expired:
             self._drop(key)
-        self._judged = not expired and self._judged
+        self._is_current = not expired and self._is_current
 
-    # What follows.
+    # Decisions.
 
     @property
     def is_empty(self) -> bool:
-        """Whether no request is blamed for anything."""
+        """Whether no loss is recorded against any request."""
         return not self._lost_under
 
     def concerns(self, scope: bytes) -> bool:
-        """Tell whether any request of this scope is blamed."""
+        """Return whether any request of this scope has a recorded loss."""
         return scope in self._scopes
 
     def standing(self, identity: RequestIdentity, now: float) -> Standing:
-        """Return what may be done with a request."""
-        self._judge()
+        """Return a request's standing; a barred one is suspect again when its bar is over."""
+        self._update_suspicions()
         suspicion = self._suspicions.get(identity)
         if suspicion is None:
             return Standing.CLEAR
@@ -199,26 +201,26 @@
         return suspicion.standing
 
     def suspicion(self, identity: RequestIdentity) -> Suspicion | None:
-        """Return what counts against a request, None if nothing does."""
-        self._judge()
+        """Return the losses attributed to a request, None if there are none."""
+        self._update_suspicions()
         return self._suspicions.get(identity)
 
     def suspicions(self) -> list[Suspicion]:
         """Return the requests that are suspect or barred."""
-        self._judge()
+        self._update_suspicions()
         found = self._suspicions.values()
         return [each for each in found if each.standing is not Standing.CLEAR]
 
     def groups(self) -> set[bytes]:
-        """Return the groups of the requests that are blamed."""
+        """Return the groups of all requests that have a recorded loss."""
         return {each.group for loss in self._losses.values() for each in loss.requests}
 
     def lost_under(self, group: bytes) -> list[float]:
-        """Return when replicas were lost that one request of a group, not barred, may have ended.
+        """Return the times of the losses that count against a group.
 
-        What a barred request explains is not held against others.
+        Losses that a barred request explains, and replicas that only fell silent, do not count.
         """
-        self._judge()
+        self._update_suspicions()
         barred = {s.identity for s in self._suspicions.values() if s.losses >= BARRED_LOSSES}
         return [
             loss.at
@@ -229,18 +231,18 @@
         ]
 
     def losses(self) -> dict[LossKey, Loss]:
-        """Return every loss that is remembered."""
+        """Return a copy of the recorded losses."""
         return dict(self._losses)
 
-    def _judge(self) -> None:
-        """Put the losses down to as few requests as explain them, if they have changed."""
-        if self._judged:
+    def _update_suspicions(self) -> None:
+        """Attribute the losses to as few requests as explain them, if they have changed."""
+        if self._is_current:
             return
-        self._judged = True
+        self._is_current = True
         blamed_for: dict[RequestIdentity, set[LossKey]] = {}
         silent_under: dict[RequestIdentity, set[LossKey]] = {}
         for identity, keys in self._lost_under.items():
-            # Nothing follows from one loss, neither for this request nor for others.
+            # A single loss has no effect, neither on this request nor on others.
             if len(keys) < SUSPECT_LOSSES:
                 continue
             silent = {key for key in keys if self._losses[key].evidence is Evidence.SILENT}
@@ -248,7 +250,7 @@
                 silent_under[identity] = silent
             if keys - silent:
                 blamed_for[identity] = keys - silent
-        explained_by = _fewest_explaining(blamed_for)
+        explained_by = _attribute_losses(blamed_for)
         self._suspicions = {
             identity: self._suspicion(
                 identity, explained_by.get(identity, ()), silent_under.get(identity, ())
@@ -263,9 +265,9 @@
         return Suspicion(identity, len(lost), last_at, len(silent))
 
     def _drop_excess(self) -> None:
-        """Keep within bounds; losses that bar a request go last."""
+        """Drop losses above MAX_LOSSES; those that bar a request are dropped last."""
         while len(self._losses) > MAX_LOSSES:
-            # As it was judged last: judging anew for each loss of a flood would cost more than it.
+            # Uses the last attribution: a new one for each of many losses would cost too much.
             barred = {s.identity for s in self._suspicions.values() if s.losses >= BARRED_LOSSES}
             free = [k for k, loss in self._losses.items() if not loss.requests & barred]
             self._drop(free[0] if free else next(iter(self._losses)))
@@ -288,16 +290,16 @@
             del self._scopes[identity.scope]
 
     def _drop(self, key: LossKey) -> None:
-        """Forget a loss."""
+        """Remove a loss from all indexes."""
         for identity in list(self._losses[key].requests):
             self._remove(key, identity)
         del self._losses[key]
 
 
-def _fewest_explaining(
+def _attribute_losses(
     blamed_for: dict[RequestIdentity, set[LossKey]],
 ) -> dict[RequestIdentity, frozenset[LossKey]]:
-    """Return the losses that are put down to each request; each loss to as few as possible."""
+    """Return the losses attributed to each request; each loss to as few requests as possible."""
     explained_by: dict[RequestIdentity, frozenset[LossKey]] = {}
     left = {identity: frozenset(keys) for identity, keys in blamed_for.items()}
     while left:
@@ -311,7 +313,7 @@
 
 
 def _remember(moments: OrderedDict[K, float], key: K, at: float, most: int) -> None:
-    """Note the latest moment for a key, and forget the keys that were noted longest ago."""
+    """Store the latest time for a key, and drop the least recently stored beyond `most` keys."""
     moments[key] = max(at, moments.get(key, at))
     moments.move_to_end(key)
     while len(moments) > most:
--- a/libs/gateway/src/headcross_gateway/replicanews.py
+++ b/libs/gateway/src/headcross_gateway/replicanews.py
@@ -1,9 +1,9 @@
-"""What entries tell one another of what replicas ask of them.
+"""Exchanges what replicas ask of entries (limits, leaving) between entries.
 
-An entry learns from the answers to its own requests what a replica asks of all entries. It tells
-the others at once, and now and then a few of them everything it knows, so that entries that start,
-or were cut off, learn it too. News may come late, twice or never: the newer item of a replica
-counts. Items that cannot be right are left out.
+An entry learns from the answers to its own requests what a replica asks of all entries. It sends
+this to the others at once, and everything it knows to a few of them at intervals, so that entries
+that start or were disconnected learn it too. News may arrive late, twice or never: the newer item
+of a replica applies. Implausible items are ignored.
 """
 
 import logging
@@ -17,33 +17,33 @@
 from headcross_gateway.backpressure import Backpressure
 from headcross_gateway.replicastate import ReplicaState
 
-# Items of one message; more than a fleet of the size designed for has at a time.
+# Items in one message; more than a fleet of the intended size has at one time.
 MAX_ITEMS: Final = 1024
-# An item that is older says nothing of the replica now.
+# An older item says nothing about the present state of the replica.
 MAX_AGE_SECONDS: Final = 3600.0
 
 logger = logging.getLogger(__name__)
 
 
 def pending_news(states: Iterable[ReplicaState], now: float) -> ReplicaNews | None:
-    """Return what was learned since the last call, None if nothing was."""
+    """Return what answers to this entry showed since the last call, None if nothing."""
     pending = [state for state in states if state.backpressure.has_pending_news()]
     for state in pending:
-        state.backpressure.mark_told()
+        state.backpressure.mark_sent()
     return _news(pending, now)
 
 
 def all_news(states: Iterable[ReplicaState], now: float) -> ReplicaNews | None:
-    """Return everything that replicas ask, None if none asks anything."""
+    """Return the limits and leavings of all replicas, None if there are none."""
     return _news([state for state in states if _asks(state.backpressure)], now)
 
 
 def receive_news(
     news: ReplicaNews, find: Callable[[str], ReplicaState | None], now: float
 ) -> list[ReplicaState]:
-    """Take the news of another entry; return the replicas of which they change anything.
+    """Apply the news of another entry; return the replicas that they change.
 
-    `find` returns a listed replica by its id.
+    `find` returns a listed replica by its id, None if it is not listed.
     """
     changed: list[ReplicaState] = []
     rejected = 0
@@ -68,7 +68,7 @@
         ReplicaBackpressure(
             state.replica.id,
             state.replica.started_ms,
-            min(MAX_AGE_SECONDS, max(0.0, now - state.backpressure.limit.said_at)),
+            min(MAX_AGE_SECONDS, max(0.0, now - state.backpressure.limit.stated_at)),
             state.backpressure.limit.per_second,
             state.backpressure.leaving,
         )
@@ -78,7 +78,7 @@
 
 
 def _asks(asked: Backpressure) -> bool:
-    """Tell whether a replica asks anything that others should know."""
+    """Return whether a replica has a limit or leaves."""
     return asked.leaving or asked.limit.per_second is not None
 
 
--- a/libs/gateway/src/headcross_gateway/requestidentity.py
+++ b/libs/gateway/src/headcross_gateway/requestidentity.py
@@ -1,8 +1,8 @@
-"""What tells one request from others, whoever sends it again and at whichever entry.
+"""Identifies a request independent of who sends it again and at which entry.
 
-Each try of a caller has an id of its own. Two tries are the same request if they have the same
-method, host, path with query, key and body. What a caller says of its prompt in headers is not
-part of it.
+Each try of a caller has its own request id. Two tries are the same request if they have the same
+method, host, path with query, key and body. Headers that describe the prompt are not part of the
+identity.
 """
 
 import hashlib
@@ -17,7 +17,7 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestIdentity:
-    """Digests of a request: of its group and scope, which are cheap to compute, and of its body.
+    """Digests of a request's group and scope, which are cheap to compute, and of its body.
 
     >>> RequestIdentity.from_bytes(bytes(24)).to_bytes() == bytes(24)
     True
@@ -28,14 +28,14 @@
     body: bytes
 
     def to_bytes(self) -> bytes:
-        """Return the identity as it is sent to other entries."""
+        """Return the encoding that is sent to other entries."""
         return self.group + self.scope + self.body
 
     @classmethod
     def from_bytes(cls, data: bytes) -> "RequestIdentity":
-        """Read an identity; raise ValueError if `data` has another length."""
+        """Decode an identity; raises ValueError if `data` is not IDENTITY_BYTES long."""
         if len(data) != IDENTITY_BYTES:
-            raise ValueError(f"an identity of {len(data)} bytes, expected {IDENTITY_BYTES}")
+            raise ValueError(f"request identity has {len(data)} bytes, expected {IDENTITY_BYTES}")
         group_end, scope_end = PART_BYTES, 2 * PART_BYTES
         return cls(data[:group_end], data[group_end:scope_end], data[scope_end:])
 
@@ -44,19 +44,19 @@
 
 
 def scope_of(request: Request, key: str | None) -> bytes:
-    """Return the digest of what a request asks for and as whom, without its body."""
+    """Return the digest of a request's method, host, path with query, and key."""
     host = request.header("host") or ""
     parts = (request.method, host, request.target, "" if key is None else f"key {key}")
     return _digest("\0".join(parts).encode())
 
 
 def group_of(team: str | None, route: str) -> bytes:
-    """Return the digest of a team and a route, whose requests are also looked at together."""
+    """Return the digest of a team and a route, whose requests are also judged as a group."""
     return _digest("\0".join((route, "" if team is None else f"team {team}")).encode())
 
 
 def identity_of(request: Request, key: str | None, group: bytes) -> RequestIdentity:
-    """Return the identity of a request.
+    """Return the identity of a request: the same for each try, whatever its request id.
 
     >>> first = Request("POST", "/x", [("host", "a.example"), ("id", "1")], b"body")
     >>> again = Request("POST", "/x", [("host", "a.example"), ("id", "2")], b"body")
--- a/libs/gateway/src/headcross_gateway/requestlimit.py
+++ b/libs/gateway/src/headcross_gateway/requestlimit.py
@@ -1,11 +1,12 @@
-"""The limit that a replica names on the requests a second from all entries together.
+"""Paces requests to the limit that a replica names, in requests per second of all entries.
 
-No entry knows what the others send. Each paces its own requests to its part of the limit, so that
-all together stay within what the limit allows in any few seconds, whoever of them has requests. A
-place that an entry did not use may be saved only as far as all entries may do so at once; where
-there are too many entries for that, it lapses.
+No entry knows what the others send. Each paces its own requests to its share of the limit, so that
+all together stay within what the limit allows in any window of WINDOW_SECONDS, whichever entries
+have requests. Pacing assigns an entry one slot per period. A slot that an entry did not use may be
+saved only as far as all entries may do so at once; if there are too many entries for that, it
+expires.
 
-Moments are in seconds on any one clock that does not go back.
+Times are in seconds on any one clock that does not go back.
 """
 
 import math
@@ -13,117 +14,127 @@
 from dataclasses import dataclass
 from typing import Final
 
-# What a limit allows in any span of so many seconds: so many times its requests, and some more
-# (source: the platform's pages on replicas in need).
-SPAN_SECONDS: Final = 4.0
-SPAN_PART: Final = 1.5
-SPAN_EXTRA: Final = 5
-# An unused place is saved for so long at most.
-MOST_SAVED_SECONDS: Final = 1.5
-# Where no place may be saved it can be used for so long, and so much of the limit is used: the
-# entries' places may coincide.
-PLACE_SECONDS: Final = 1.0
-LAPSING_PART: Final = 0.75
-# A lower limit is taken for this one: one request now and then finds out whether it still holds.
-LEAST_LIMIT: Final = 0.25
-LEAST_LAPSING_LIMIT: Final = 0.1  # where no place may be saved
-# Each entry sends a request so often to find out whether a lower limit still holds, as far as
-# what the limit allows in a span has room for that, and all together at most so many a second.
-FIND_OUT_SECONDS: Final = 3.5
-MOST_TO_FIND_OUT: Final = 0.6
+# The platform allows WINDOW_LIMIT_FACTOR * WINDOW_SECONDS * limit + WINDOW_EXTRA_REQUESTS requests
+# in any window, as its documentation of backpressure specifies.
+WINDOW_SECONDS: Final = 4.0
+WINDOW_LIMIT_FACTOR: Final = 1.5
+WINDOW_EXTRA_REQUESTS: Final = 5
+# The longest time for which an unused slot is saved.
+MAX_SAVED_SECONDS: Final = 1.5
+# If slots expire, each can be used for SLOT_LIFETIME_SECONDS, and only this fraction of the limit
+# is used, since slots of several entries may coincide.
+SLOT_LIFETIME_SECONDS: Final = 1.0
+EXPIRING_LIMIT_FRACTION: Final = 0.75
+# Lower limits are raised to this one, so that a request now and then probes whether the limit
+# still applies.
+MIN_LIMIT_PER_SECOND: Final = 0.25
+MIN_EXPIRING_LIMIT_PER_SECOND: Final = 0.1  # the same if slots expire
+# Each entry probes a lower limit once per interval, as far as the requests allowed in a window
+# have room for that, and all entries together send at most MAX_PROBES_PER_SECOND.
+PROBE_INTERVAL_SECONDS: Final = 3.5
+MAX_PROBES_PER_SECOND: Final = 0.6
 
 
 @dataclass(slots=True)
 class RequestLimit:
-    """What one entry knows of the limit of one replica, and what it has sent there."""
+    """One entry's view of the limit of one replica, with the time of its next request."""
 
-    per_second: float | None = None  # None while the replica names none
-    said_at: float = -math.inf  # when the replica last named it, or was seen to name it no more
-    pending: bool = False  # other entries have yet to be told
-    _next_at: float = -math.inf  # from when on the next request may be sent
+    per_second: float | None = None  # None while the replica names no limit
+    stated_at: float = -math.inf  # when the limit, or its end, was last seen in an answer
+    pending: bool = False  # not yet sent to other entries
+    _next_at: float = -math.inf  # the time of the next slot
 
-    def answered(self, limit: float | None, sent_at: float, share: float, now: float) -> bool:
-        """Take what an answer names as the limit; return whether that changes anything.
+    def note_answer(self, limit: float | None, sent_at: float, share: float, now: float) -> bool:
+        """Apply the limit that an answer names, None if it names none; return whether it changed.
 
-        An answer without a limit ends it only if its request was sent after the limit was known:
-        another answer may have been given before the limit and come after it. `share` is this
-        entry's part of the limit, 0 to 1.
+        An answer without a limit ends the limit only if its request was sent after the limit was
+        known: other answers may have been given before the limit and arrive after it. `share` is
+        this entry's share of the limit, 0 to 1.
         """
-        if limit is None and (self.per_second is None or sent_at <= self.said_at):
+        if limit is None and (self.per_second is None or sent_at <= self.stated_at):
             return False
         changed = self.receive(limit, now, share, now)
         self.pending |= changed
         return changed
 
-    def receive(self, limit: float | None, said_at: float, share: float, now: float) -> bool:
-        """Take what a replica said at a moment; return whether that changes anything."""
-        if said_at <= self.said_at:
+    def receive(self, limit: float | None, stated_at: float, share: float, now: float) -> bool:
+        """Apply a limit that a replica stated at `stated_at`; return whether the limit changed.
+
+        It is ignored if a statement of the same time or later is known.
+        """
+        if stated_at <= self.stated_at:
             return False
         before, self.per_second = self.per_second, limit
-        self.said_at = said_at
+        self.stated_at = stated_at
         if before is None and limit is not None:
-            self._begin(share, now)
+            self._draw_first_slot(share, now)
         return limit != before
 
     def seconds_to_next(self, share: float, now: float) -> float:
-        """Return after how many seconds a request may be sent, 0 if it may be now."""
+        """Return the seconds until this entry may send a request, 0 if it may now."""
         if self.per_second is None:
             return 0.0
-        return max(0.0, self._next_place(share, now) - now)
+        return max(0.0, self._next_slot(share, now) - now)
 
     def count(self, share: float, now: float) -> None:
-        """Count a request that is sent."""
+        """Use up a slot for a request that is sent."""
         if self.per_second is None:
             return
-        used = self._next_place(share, now)
+        used = self._next_slot(share, now)
         saved = self._saved_seconds(share)
         if saved >= 0:
             used = max(used, now - saved)
         self._next_at = used + 1 / self._rate(share)
 
-    def _begin(self, share: float, now: float) -> None:
-        """Begin to pace requests, at a moment that differs from entry to entry."""
+    def _draw_first_slot(self, share: float, now: float) -> None:
+        """Set the first slot at a random time, so that the slots of entries differ."""
         self._next_at = now + random.uniform(0.0, 1 / self._rate(share))
 
-    def _next_place(self, share: float, now: float) -> float:
-        """Return from when on the next place may be used."""
+    def _next_slot(self, share: float, now: float) -> float:
+        """Return the time from which the next slot may be used."""
         period = 1 / self._rate(share)
-        # Of a smaller share or limit, which held before, no longer wait is left over.
+        # A smaller earlier share or limit must not cause a wait longer than the present period.
         next_at = min(self._next_at, now + period)
-        if self._places_lapse(share) and now - next_at > PLACE_SECONDS:
-            next_at += math.ceil((now - PLACE_SECONDS - next_at) / period) * period
+        if self._slots_expire(share) and now - next_at > SLOT_LIFETIME_SECONDS:
+            next_at += math.ceil((now - SLOT_LIFETIME_SECONDS - next_at) / period) * period
         return next_at
 
     def _rate(self, share: float) -> float:
-        """Return the requests a second that this entry may send."""
+        """Return the requests per second that this entry may send."""
         limit = self.per_second or 0.0
-        if self._places_lapse(share):
-            return max(LEAST_LAPSING_LIMIT, LAPSING_PART * limit) * share
-        return self._pace(share) * share
+        if self._slots_expire(share):
+            return max(MIN_EXPIRING_LIMIT_PER_SECOND, EXPIRING_LIMIT_FRACTION * limit) * share
+        return self._total_rate(share) * share
 
-    def _pace(self, share: float) -> float:
-        """Return the requests a second that all entries send together where no place lapses."""
+    def _total_rate(self, share: float) -> float:
+        """Return the requests per second of all entries together if slots do not expire."""
         limit = self.per_second or 0.0
         entries = 1 / share
-        spare = _spare_places(limit, entries) / SPAN_SECONDS
-        return max(LEAST_LIMIT, limit, min(entries / FIND_OUT_SECONDS, spare, MOST_TO_FIND_OUT))
-
-    def _places_lapse(self, share: float) -> bool:
+        spare = _spare_requests(limit, entries) / WINDOW_SECONDS
+        return max(
+            MIN_LIMIT_PER_SECOND,
+            limit,
+            min(entries / PROBE_INTERVAL_SECONDS, spare, MAX_PROBES_PER_SECOND),
+        )
+
+    def _slots_expire(self, share: float) -> bool:
         return self._saved_seconds(share) < 0
 
     def _saved_seconds(self, share: float) -> float:
-        """Return for how long unused places are saved, below 0 if none may be.
+        """Return how long unused slots are saved, in seconds; negative if none may be saved.
 
-        With E entries, a pace of P and c saved seconds, E + (SPAN + c) P requests come in a span
-        at most.
+        With E entries, a total rate of R and s saved seconds, at most
+        E + (WINDOW_SECONDS + s) * R requests are sent in a window.
         """
         limit = self.per_second or 0.0
-        pace = self._pace(share)
-        if pace == LEAST_LIMIT:
-            limit = LEAST_LIMIT
-        return min(MOST_SAVED_SECONDS, _spare_places(limit, 1 / share) / pace - SPAN_SECONDS)
+        total_rate = self._total_rate(share)
+        if total_rate == MIN_LIMIT_PER_SECOND:
+            limit = MIN_LIMIT_PER_SECOND
+        return min(
+            MAX_SAVED_SECONDS, _spare_requests(limit, 1 / share) / total_rate - WINDOW_SECONDS
+        )
 
 
-def _spare_places(limit: float, entries: float) -> float:
-    """Return how many requests a limit allows in a span beside the first one of each entry."""
-    return SPAN_EXTRA + SPAN_SECONDS * SPAN_PART * limit - entries
+def _spare_requests(limit: float, entries: float) -> float:
+    """Return the requests that a limit allows in a window beyond the first of each entry."""
+    return WINDOW_EXTRA_REQUESTS + WINDOW_SECONDS * WINDOW_LIMIT_FACTOR * limit - entries
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -45,8 +45,8 @@
 from headcross_gateway.linkproofs import LinkProofs
 from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
 from headcross_gateway.overload import (
-    COME_BACK_LATER_SECONDS,
-    COME_BACK_SECONDS,
+    MAX_RETRY_AFTER_SECONDS,
+    MIN_RETRY_AFTER_SECONDS,
     Overload,
 )
 from headcross_gateway.picking import Wish, wish_of
@@ -146,7 +146,7 @@
             return NotAdmitted(NotRun(BAD_REQUEST, facts.detail), None)
         configuration = self._facts.configuration
         if configuration is None:
-            refusal = NotRun(NOT_READY, "no configuration yet", COME_BACK_SECONDS)
+            refusal = NotRun(NOT_READY, "no configuration yet", MIN_RETRY_AFTER_SECONDS)
             return NotAdmitted(refusal, facts.id)
         route = configuration.find_route(request.header("host") or "", request.path)
         if route is None:
@@ -163,7 +163,9 @@
         relay = StreamRelay(exchange, facts.resume_after) if route.repetition.is_stream else None
         service = route.pick_service()
         fingerprint = _fingerprint_of(request, facts)
-        returning = fingerprint is not None and self._overload.refused.returns(fingerprint, now)
+        returning = fingerprint is not None and self._overload.refused.was_refused(
+            fingerprint, now
+        )
         self.budget.earn(service)
         self._overload.note_request(service, returning=returning)
         return Admitted(
@@ -227,7 +229,7 @@
                 case Streamed():
                     return Completed(200)
                 case DidNotRun(reason=reason, detail=detail):
-                    last = self._worse(last, NotRun(reason, detail, COME_BACK_SECONDS))
+                    last = self._worse(last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS))
                     if not self._retries.may_go_on_after_refusal(request, outcome):
                         opening = self._admission.seconds_to_opening(wish, request.configuration)
                         return self._last_word(request, self._no_room(request, last, opening))
@@ -242,9 +244,9 @@
             return last
         if opening == math.inf:
             return last or NotRun(
-                NO_REPLICA, "no replica may serve this now", COME_BACK_LATER_SECONDS
+                NO_REPLICA, "no replica may serve this now", MAX_RETRY_AFTER_SECONDS
             )
-        seconds = self._overload.come_back_seconds(request.service, opening)
+        seconds = self._overload.retry_after_seconds(request.service, opening)
         if last is not None:
             return replace(last, retry_after_seconds=seconds) if opening > 0 else last
         if opening > 0:
@@ -273,7 +275,7 @@
         else:
             until = request.arrived_at + wait
         until = min(until, request.deadline)
-        last = self._overload.comes_last(returning=returning)
+        last = self._overload.queues_last(returning=returning)
         order = QueueOrder(priority, last, request.deadline)
         return await self._admission.take_place(
             wish, request.configuration, order, until, returning=returning
@@ -395,4 +397,4 @@
         return MayHaveRun(STREAM_BROKEN, "the time is up")
     if request.runs:
         return MayHaveRun(DEADLINE, "the time is up")
-    return NotRun(NO_RUN_IN_TIME, "the time is up", COME_BACK_SECONDS)
+    return NotRun(NO_RUN_IN_TIME, "the time is up", MIN_RETRY_AFTER_SECONDS)
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -1,7 +1,7 @@
-"""Whether a request is sent to another replica after an attempt, or leaves one that is silent.
+"""Decides whether a request is sent to another replica, or leaves a silent one.
 
-Each repeat takes a retry of the budget that all entries have in common. A request that replicas
-were lost under gets none.
+Each retry is taken from the budget that bounds the retries of all entries. A request under which
+replicas were lost gets none.
 """
 
 from dataclasses import replace
@@ -16,19 +16,20 @@
 from headcross_gateway.picking import wish_of
 from headcross_gateway.replicastate import ReplicaState
 
-# Refusals that one request is carried on after; each is an arrival that the budget pays for.
+# Refusals by replicas after which a request is still sent elsewhere; each is an arrival at a
+# replica and takes a retry from the budget.
 MAX_REFUSALS: Final = 3
 MAX_UNREACHED: Final = 4
-# A repeatable request whose replica shows no sign of life goes elsewhere after this.
-REPEATABLE_PATIENCE_SECONDS: Final = 1.0
-# A request that may have run waits so long for its second place, and goes first.
+# A repeatable request moves to another replica when its replica has been silent for this long.
+REPEATABLE_SILENCE_SECONDS: Final = 1.0
+# How long a request that may have run waits for a second replica; it has the highest priority.
 RUN_AGAIN_WAIT_SECONDS: Final = 1.0
-STREAM_FIRST_SECONDS: Final = 1.6
-STREAM_PAUSE_SECONDS: Final = 1.1
+STREAM_FIRST_EVENT_SECONDS: Final = 1.6
+STREAM_SILENCE_SECONDS: Final = 1.1
 
 
 class Retries:
-    """The repeats of one entry's requests."""
+    """Decides about the retries of one entry's requests, and takes them from the budget."""
 
     def __init__(
         self, admission: Admission, budget: RetryBudget, containment: Containment
@@ -37,8 +38,8 @@
         self._budget = budget
         self._containment = containment
 
-    def patience(self, request: Admitted, place: ReplicaState) -> Patience:
-        """Return how long a request waits for signs of life of a replica."""
+    def patience(self, request: Admitted, state: ReplicaState) -> Patience:
+        """Return how long a request waits for a silent replica; forever if it may run only once."""
         if (
             not request.route.repetition.may_run_again
             or request.runs >= request.route.max_attempts
@@ -46,21 +47,23 @@
             return Patience(float("inf"), float("inf"))
 
         def leave() -> bool:
-            return self._containment.is_clear(request) and self._pay_to_leave(request, place)
+            return self._containment.is_clear(request) and self._take_retry_to_leave(
+                request, state
+            )
 
         if request.relay is not None:
-            return Patience(STREAM_FIRST_SECONDS, STREAM_PAUSE_SECONDS, leave)
-        return Patience(REPEATABLE_PATIENCE_SECONDS, REPEATABLE_PATIENCE_SECONDS, leave)
+            return Patience(STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, leave)
+        return Patience(REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, leave)
 
-    def _pay_to_leave(self, request: Admitted, place: ReplicaState) -> bool:
-        """Take the retry with which a request leaves a silent replica; False if it has to stay.
+    def _take_retry_to_leave(self, request: Admitted, state: ReplicaState) -> bool:
+        """Take a retry for a request that leaves a silent replica; False if it has to stay.
 
-        It stays where no other replica could take it, or no retry is left: a stream that was given
-        up for a pause of its replica was lost for nothing, since the replica might have gone on.
-        Where a full link silences many replicas at once, only as many leave as there are retries.
+        It stays if no other replica could take it soon or no retry is left: otherwise a stream
+        would be lost to a mere pause of its replica, which may still continue. If a saturated link
+        silences many replicas at once, only as many requests leave as there are retries.
         """
         wish = wish_of(request.facts, request.service, may_run_again=True)
-        tried = frozenset({*request.tried, place.replica.id})
+        tried = frozenset({*request.tried, state.replica.id})
         wish = replace(wish, tried=tried, exact_version=request.bound_version)
         opening = self._admission.seconds_to_opening(wish, request.configuration)
         if opening > RUN_AGAIN_WAIT_SECONDS:
@@ -71,23 +74,26 @@
         return request.retry_paid
 
     def should_repeat_failure(self, request: Admitted, outcome: Whole) -> bool:
-        """Tell whether a replica's own failure is tried elsewhere, and pay for it."""
+        """Return whether a failure answered by a replica is retried; takes the retry."""
         return outcome.failed and self.may_run_again(request)
 
     def may_run_again(self, request: Admitted) -> bool:
-        """Tell whether a request that may have run may be sent once more, and pay for it."""
+        """Return whether a request that may have run may be sent again; takes the retry."""
         if not request.route.repetition.may_run_again:
             return False
         if request.runs >= request.route.max_attempts:
             return False
         if request.retry_paid:
-            # It was clear as it left a silent replica, and that silence now counts against it.
+            # It was clear when it left the silent replica; that silence now counts against it.
             request.retry_paid = False
             return True
         return self._containment.is_clear(request) and self._budget.spend(request.service)
 
     def may_go_on_after_refusal(self, request: Admitted, outcome: DidNotRun) -> bool:
-        """Tell whether a request that did not run is sent elsewhere, and pay for its arrival."""
+        """Return whether a request that did not run is sent elsewhere.
+
+        If it arrived at the replica, this takes a retry.
+        """
         request.runs -= 1
         if not outcome.arrived:
             request.unreached += 1
--- a/libs/gateway/src/headcross_gateway/waittimes.py
+++ b/libs/gateway/src/headcross_gateway/waittimes.py
@@ -1,7 +1,8 @@
-"""How long requests of one entry wait at one replica until they begin.
+"""Estimates how long requests of one entry wait at one replica until they begin.
 
-What a replica's daemon tells, requests at work and queued, does not say how long a queue lasts.
-The entry's own requests do: those that wait there now, and the one that waited longest lately.
+A replica's daemon reports the numbers of running and queued requests, which do not show how long
+the queue takes. The waits of this entry's own requests do: those that wait now, and the longest
+recent one.
 """
 
 from collections.abc import Iterator
@@ -11,17 +12,17 @@
 
 from headcross_base.clocks import monotonic
 
-# After this the longest wait counts half. By judgement: a replica's queue lasts some seconds.
+# Half-life of the longest recent wait; a replica's queue lasts some seconds.
 HALF_LIFE_SECONDS: Final = 2.0
 
 
 @dataclass(slots=True)
 class WaitTimes:
-    """The waits at one replica."""
+    """The waits of one entry's requests at one replica."""
 
-    _since: list[float] = field(default_factory=list)  # of those that wait now, oldest first
-    _longest: float = 0.0  # seconds
-    _longest_at: float = float("-inf")  # monotonic
+    _since: list[float] = field(default_factory=list)  # start times of present waits, oldest first
+    _longest: float = 0.0  # in seconds
+    _longest_at: float = float("-inf")  # on the monotonic clock
 
     @contextmanager
     def waiting(self) -> Iterator[None]:
@@ -35,16 +36,16 @@
             self._note(monotonic() - placed_at)
 
     def expected(self) -> float:
-        """Return how long a request may wait there, in seconds; 0 if nothing is known."""
+        """Return how many seconds a request may wait at the replica, 0 if nothing is known."""
         waits_now = monotonic() - self._since[0] if self._since else 0.0
-        return max(waits_now, self._lately())
+        return max(waits_now, self._decayed_longest())
 
     def _note(self, seconds: float) -> None:
-        if seconds >= self._lately():
+        if seconds >= self._decayed_longest():
             self._longest = seconds
             self._longest_at = monotonic()
 
-    def _lately(self) -> float:
-        """Return the longest wait, worth less the longer ago it was."""
+    def _decayed_longest(self) -> float:
+        """Return the longest recent wait in seconds, which decays with its age."""
         age = monotonic() - self._longest_at
         return float(self._longest * 0.5 ** (age / HALF_LIFE_SECONDS))
--- a/tests/test_gateway_budget.py
+++ b/tests/test_gateway_budget.py
@@ -2,7 +2,7 @@
 
 import random
 
-from headcross_gateway.budget import STARTS_COUNTED_ON, RetryBudget
+from headcross_gateway.budget import STARTS_PER_WINDOW, RetryBudget
 from hypothesis import given
 from hypothesis import strategies as st
 
@@ -64,7 +64,7 @@
     spent, requests = 0, 0
 
     def start_anew(entry: int) -> None:
-        if starts[entry] < STARTS_COUNTED_ON:
+        if starts[entry] < STARTS_PER_WINDOW:
             starts[entry] += 1
             budgets[entry] = RetryBudget(RATIO, slack)
 
--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -81,7 +81,7 @@
     opening: float,
 ) -> None:
     overload = Overload()
-    told = {overload.come_back_seconds("api", opening) for _ in range(100)}
+    told = {overload.retry_after_seconds("api", opening) for _ in range(100)}
     assert len(told) > 50
     assert min(told) >= opening
 
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -13,7 +13,7 @@
 from headcross_gateway.demand import DemandMeter
 from headcross_gateway.directory import Directory
 from headcross_gateway.health import Health
-from headcross_gateway.overload import COME_BACK_LATER_SECONDS, Overload
+from headcross_gateway.overload import MAX_RETRY_AFTER_SECONDS, Overload
 from headcross_gateway.picking import Picker, Wish
 from headcross_gateway.replicastate import (
     PLACED_TOGETHER,
@@ -295,10 +295,10 @@
             overload.note_refused("lm", returning=False)
         now += 100.0  # what was before has faded
         overload.measure(now)
-        waits.append([overload.come_back_seconds("lm") for _ in range(200)])
+        waits.append([overload.retry_after_seconds("lm") for _ in range(200)])
     means = [sum(each) / len(each) for each in waits]
     assert means == sorted(means) and means[2] > 2 * means[0]
-    assert all(0 < seconds <= COME_BACK_LATER_SECONDS for each in waits for seconds in each)
+    assert all(0 < seconds <= MAX_RETRY_AFTER_SECONDS for each in waits for seconds in each)
     # They do not come back all at once.
     assert all(len(set(each)) > 1 for each in waits)
 
--- a/tests/test_group_losses.py
+++ b/tests/test_group_losses.py
@@ -25,7 +25,7 @@
 def test_what_other_entries_answered_counts_as_long_as_it_is_recent() -> None:
     losses = GroupLosses()
     losses.note_lost(GROUP, 1.0 + WINDOW_SECONDS)
-    losses.hear(GROUP, "entry1", GroupOutcomes(lost=1, answered=2), 2.0)
+    losses.receive(GROUP, "entry1", GroupOutcomes(lost=1, answered=2), 2.0)
     assert not losses.is_mostly_lost(GROUP, 1.0 + WINDOW_SECONDS)
     assert losses.is_mostly_lost(GROUP, 3.0 + WINDOW_SECONDS)
 
@@ -38,8 +38,8 @@
     assert len(losses._own[GROUP].answered) <= WINDOW_SECONDS + 1
     for number in range(2 * MAX_GROUPS):
         losses.note_lost(number.to_bytes(8, "big"), 1000.0)
-        losses.hear(number.to_bytes(8, "big"), "entry1", GroupOutcomes(1, 0), 1000.0)
-    assert len(losses._own) <= MAX_GROUPS and len(losses._told) <= MAX_GROUPS
+        losses.receive(number.to_bytes(8, "big"), "entry1", GroupOutcomes(1, 0), 1000.0)
+    assert len(losses._own) <= MAX_GROUPS and len(losses._reports) <= MAX_GROUPS
 
 
 @pytest.mark.parametrize(("count", "pause"), [(2, float("-inf")), (3, 2.0), (4, 4.0), (9, 30.0)])
--- a/tests/test_machine_attempts.py
+++ b/tests/test_machine_attempts.py
@@ -10,7 +10,7 @@
 import pytest
 import trio
 import trio.testing
-from headcross_gateway.retries import STREAM_PAUSE_SECONDS
+from headcross_gateway.retries import STREAM_SILENCE_SECONDS
 from headcross_platform import names
 
 from testing.machinecaller import Reply, ask
@@ -254,7 +254,7 @@
     async with small_site(tmp_path, models=1, plain=0) as site:
         replica = replicas_of(site, MODEL_SERVICE)[0]
         replica.events = 3  # the route gives 4 s
-        replica.event_seconds = 1.08 * STREAM_PAUSE_SECONDS
+        replica.event_seconds = 1.08 * STREAM_SILENCE_SECONDS
         reply = await ask(site.callers("entry0"), "/stream/x")
         assert reply.whole and reply.events == [0, 1, 2]
         assert len(replica.runs) == 1
@@ -267,7 +267,7 @@
     async with small_site(tmp_path, models=3, plain=0) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.events = 2
-            replica.event_seconds = 1.08 * STREAM_PAUSE_SECONDS
+            replica.event_seconds = 1.08 * STREAM_SILENCE_SECONDS
         replies: list[Reply] = []
 
         async def stream() -> None:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -15,8 +15,8 @@
 from headcross_gateway.overload import Overload, OverloadSettings
 from headcross_gateway.picking import Picker, Wish
 from headcross_gateway.refusedrequests import (
-    MAX_REMEMBERED,
-    REMEMBERED_SECONDS,
+    MAX_FINGERPRINTS,
+    REFUSAL_RETENTION_SECONDS,
     RefusedRequests,
 )
 from headcross_gateway.weightsrules import WeightsRules
@@ -104,13 +104,13 @@
 def test_a_caller_that_comes_back_to_another_entry_is_known_again_for_a_while() -> None:
     here, there = RefusedRequests(), RefusedRequests()
     here.note(7, 10.0)
-    assert here.returns(7, 10.5) and not here.returns(8, 10.5)
-    there.hear(here.take_untold(), 10.2)
-    assert there.returns(7, 10.5) and not here.take_untold()
-    assert not there.returns(7, 10.3 + REMEMBERED_SECONDS)
-    for fingerprint in range(100, 101 + MAX_REMEMBERED):
-        there.hear([fingerprint], 10.4)
-    assert not there.returns(7, 10.5) and there.returns(101, 10.5)
+    assert here.was_refused(7, 10.5) and not here.was_refused(8, 10.5)
+    there.receive(here.take_pending(), 10.2)
+    assert there.was_refused(7, 10.5) and not here.take_pending()
+    assert not there.was_refused(7, 10.3 + REFUSAL_RETENTION_SECONDS)
+    for fingerprint in range(100, 101 + MAX_FINGERPRINTS):
+        there.receive([fingerprint], 10.4)
+    assert not there.was_refused(7, 10.5) and there.was_refused(101, 10.5)
 
 
 def test_places_are_kept_for_fresh_callers_as_long_as_some_of_them_are_refused() -> None:
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -32,11 +32,11 @@
 LIMITED_SECONDS: Final = 11.0
 # What the users allow, in each span of so many seconds that begins so long after the first word.
 CONTACT_SECONDS: Final = 3.0
-SPAN_SECONDS: Final = 4.0
-ALLOWED_PART: Final = 1.5
+WINDOW_SECONDS: Final = 4.0
+ALLOWED_FACTOR: Final = 1.5
 ALLOWED_EXTRA: Final = 5
 # Of the requests that a limit allows, those that are placed where enough come.
-USED_PART: Final = 0.7
+MIN_USED_FRACTION: Final = 0.7
 # After so long every entry in touch has heard what one was told.
 NEWS_SECONDS: Final = 5.0
 # A replica without a limit has its full share again after so long.
@@ -44,12 +44,12 @@
 FROZEN_SECONDS: Final = 2.0
 RUNNING_SECONDS: Final = 1.5
 
-Trouble = Callable[[Machines, str], Awaitable[None]]
+Disturbance = Callable[[Machines, str], Awaitable[None]]
 
 
 @dataclass
-class Played:
-    """What was seen of a play."""
+class LoadResult:
+    """What was seen of a run_load."""
 
     limited_at: float = 0.0  # trio's clock
     until: float = 0.0  # trio's clock
@@ -59,16 +59,16 @@
         """Return how many requests were answered whole."""
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
-    def most_in_span(self, replica: FakeReplica) -> int:
+    def max_in_window(self, replica: FakeReplica) -> int:
         """Return the most requests that a replica got in one span that counts."""
         first = self.limited_at + CONTACT_SECONDS
         moments = [r.at for r in replica.arrived if first <= r.at < self.until]
         return max(
-            (sum(start <= at < start + SPAN_SECONDS for at in moments) for start in moments),
+            (sum(start <= at < start + WINDOW_SECONDS for at in moments) for start in moments),
             default=0,
         )
 
-    def pace(self, replica: FakeReplica) -> float:
+    def rate(self, replica: FakeReplica) -> float:
         """Return the requests a second that a replica got from the moment that counts on."""
         first = self.limited_at + CONTACT_SECONDS
         arrived = sum(first <= r.at < self.until for r in replica.arrived)
@@ -77,7 +77,7 @@
 
 def allowed(limit: float) -> int:
     """Return how many requests a replica may get in one span."""
-    return math.floor(ALLOWED_PART * SPAN_SECONDS * limit + ALLOWED_EXTRA)
+    return math.floor(ALLOWED_FACTOR * WINDOW_SECONDS * limit + ALLOWED_EXTRA)
 
 
 @asynccontextmanager
@@ -105,20 +105,22 @@
             await trio.sleep(REQUEST_SECONDS)
 
 
-async def play(site: Machines, path: str, limited: Sequence[FakeReplica], limit: str) -> Played:
+async def run_load(
+    site: Machines, path: str, limited: Sequence[FakeReplica], limit: str
+) -> LoadResult:
     """Send requests while some replicas name a limit."""
-    played = Played()
+    result = LoadResult()
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(keep_asking, site, path, played.replies, stop)
+        nursery.start_soon(keep_asking, site, path, result.replies, stop)
         await trio.sleep(BEFORE_SECONDS)
         for replica in limited:
             replica.limit = limit
-        played.limited_at = trio.current_time()
+        result.limited_at = trio.current_time()
         await trio.sleep(LIMITED_SECONDS)
-        played.until = trio.current_time()
+        result.until = trio.current_time()
         stop.set()
-    return played
+    return result
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -127,11 +129,11 @@
 ) -> None:
     async with limited_site(tmp_path, SERVICES[path]) as site:
         limited, *_ = replicas_of(site, SERVICES[path])
-        played = await play(site, path, [limited], "2.0")
-    print(played.most_in_span(limited), played.pace(limited), played.served())
-    assert played.most_in_span(limited) <= allowed(2.0)
-    assert played.pace(limited) >= USED_PART * 2.0
-    assert played.served() == len(played.replies)
+        result = await run_load(site, path, [limited], "2.0")
+    print(result.max_in_window(limited), result.rate(limited), result.served())
+    assert result.max_in_window(limited) <= allowed(2.0)
+    assert result.rate(limited) >= MIN_USED_FRACTION * 2.0
+    assert result.served() == len(result.replies)
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -140,11 +142,11 @@
 ) -> None:
     async with limited_site(tmp_path, SERVICES[path]) as site:
         limited = replicas_of(site, SERVICES[path])
-        played = await play(site, path, limited, "2.0")
-    print([(played.most_in_span(r), played.pace(r)) for r in limited], played.served())
+        result = await run_load(site, path, limited, "2.0")
+    print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert played.most_in_span(replica) <= allowed(2.0)
-        assert played.pace(replica) >= USED_PART * 2.0
+        assert result.max_in_window(replica) <= allowed(2.0)
+        assert result.rate(replica) >= MIN_USED_FRACTION * 2.0
 
 
 @pytest.mark.parametrize("limit", ["1.4", "20"])
@@ -153,14 +155,14 @@
 ) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE, entries=5, daemons=True) as site:
         limited = replicas_of(site, MODEL_SERVICE)[:2]
-        played = await play(site, "/stream/x", limited, limit)
-    print([(played.most_in_span(r), played.pace(r)) for r in limited], played.served())
+        result = await run_load(site, "/stream/x", limited, limit)
+    print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert played.most_in_span(replica) <= allowed(float(limit))
-    assert played.served() == len(played.replies)
+        assert result.max_in_window(replica) <= allowed(float(limit))
+    assert result.served() == len(result.replies)
 
 
-async def kill_again_and_again(site: Machines, entry: str) -> None:
+async def kill_repeatedly(site: Machines, entry: str) -> None:
     """Kill an entry and start it again until cancelled."""
     while True:
         site.signal(entry, signal.SIGKILL)
@@ -170,7 +172,7 @@
         await trio.sleep(RUNNING_SECONDS)
 
 
-async def freeze_again_and_again(site: Machines, entry: str) -> None:
+async def freeze_repeatedly(site: Machines, entry: str) -> None:
     """Stop an entry for a while again and again until cancelled."""
     while True:
         site.signal(entry, signal.SIGSTOP)
@@ -179,20 +181,20 @@
         await trio.sleep(RUNNING_SECONDS)
 
 
-@pytest.mark.parametrize("trouble", [kill_again_and_again, freeze_again_and_again])
+@pytest.mark.parametrize("disturbance", [kill_repeatedly, freeze_repeatedly])
 async def test_entries_keep_a_limit_while_one_of_them_is_in_trouble(
-    tmp_path: Path, trouble: Trouble
+    tmp_path: Path, disturbance: Disturbance
 ) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE, entries=3, daemons=True) as site:
         limited = replicas_of(site, MODEL_SERVICE)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trouble, site, "entry2")
-            played = await play(site, "/stream/x", limited, "2.0")
+            nursery.start_soon(disturbance, site, "entry2")
+            result = await run_load(site, "/stream/x", limited, "2.0")
             nursery.cancel_scope.cancel()
         site.signal("entry2", signal.SIGCONT)
-    print([(played.most_in_span(r), played.pace(r)) for r in limited], played.served())
+    print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert played.most_in_span(replica) <= allowed(2.0)
+        assert result.max_in_window(replica) <= allowed(2.0)
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -209,7 +211,7 @@
             limited.limit = None
             await trio.sleep(FULL_SHARE_SECONDS)
             before = [replica.arrivals for replica in (limited, *others)]
-            await trio.sleep(SPAN_SECONDS)
+            await trio.sleep(WINDOW_SECONDS)
             own, *theirs = (
                 replica.arrivals - count
                 for replica, count in zip((limited, *others), before, strict=True)
--- a/tests/test_replica_losses.py
+++ b/tests/test_replica_losses.py
@@ -11,7 +11,7 @@
     KNOWN_GOOD_SECONDS,
     MAX_LOSSES,
     MAX_REQUESTS_PER_LOSS,
-    UNCERTAIN_SECONDS,
+    UNCONFIRMED_LOSS_SECONDS,
     Evidence,
     LossKey,
     ReplicaLosses,
@@ -47,114 +47,116 @@
     return known
 
 
-DEADLY = 0
+CRASHING = 0
 
 
 @pytest.mark.parametrize(
     ("losses", "standing"),
     [
-        ([[DEADLY]], Standing.CLEAR),
-        ([[DEADLY]] * 2, Standing.SUSPECT),
-        ([[DEADLY]] * 3, Standing.BARRED),
+        ([[CRASHING]], Standing.CLEAR),
+        ([[CRASHING]] * 2, Standing.SUSPECT),
+        ([[CRASHING]] * 3, Standing.BARRED),
     ],
 )
 def test_a_request_is_suspect_after_two_losses_and_barred_after_three(
     losses: list[list[int]], standing: Standing
 ) -> None:
-    assert with_losses(*losses).standing(request(DEADLY), 4.0) is standing
+    assert with_losses(*losses).standing(request(CRASHING), 4.0) is standing
 
 
 def test_silent_replicas_make_a_request_suspect_and_never_bar_it() -> None:
     known = ReplicaLosses()
     for number in range(5):
-        known.blame(lost(number), [request(DEADLY)], 1.0, Evidence.SILENT)
-    assert known.standing(request(DEADLY), 2.0) is Standing.SUSPECT
+        known.blame(lost(number), [request(CRASHING)], 1.0, Evidence.SILENT)
+    assert known.standing(request(CRASHING), 2.0) is Standing.SUSPECT
     for number in range(3):
         confirm(known, lost(number))
-    assert known.standing(request(DEADLY), 2.0) is Standing.BARRED
+    assert known.standing(request(CRASHING), 2.0) is Standing.BARRED
 
 
 def test_silence_is_not_held_against_a_request_that_was_answered_lately() -> None:
     known = ReplicaLosses()
-    known.answered(request(DEADLY), 1.0)
+    known.note_answer(request(CRASHING), 1.0)
     for number in range(2):
-        known.blame(lost(number), [request(DEADLY)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.SILENT)
-    assert known.standing(request(DEADLY), 62.0) is Standing.CLEAR
+        known.blame(lost(number), [request(CRASHING)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.SILENT)
+    assert known.standing(request(CRASHING), 62.0) is Standing.CLEAR
     for number in range(2):
-        known.blame(lost(number), [request(DEADLY)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.ENDED)
-    assert known.standing(request(DEADLY), 62.0) is Standing.SUSPECT
+        known.blame(lost(number), [request(CRASHING)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.ENDED)
+    assert known.standing(request(CRASHING), 62.0) is Standing.SUSPECT
 
 
 def test_the_same_loss_told_by_several_entries_counts_once() -> None:
     known = ReplicaLosses()
     for at in (1.0, 1.1, 1.2):
-        known.blame(lost(0), [request(DEADLY)], at)
-    assert known.standing(request(DEADLY), 2.0) is Standing.CLEAR
+        known.blame(lost(0), [request(CRASHING)], at)
+    assert known.standing(request(CRASHING), 2.0) is Standing.CLEAR
 
 
-def test_requests_beside_a_deadly_one_stay_clear_although_they_lost_three_replicas_too() -> None:
+def test_requests_beside_a_crashing_one_stay_clear_although_they_lost_three_replicas_too() -> None:
     # Requests 1 and 2 stood beside it three times, and never without it.
-    known = with_losses([DEADLY, 1], [DEADLY, 1, 2], [DEADLY, 1, 2], [DEADLY, 2], [DEADLY])
-    assert known.standing(request(DEADLY), 6.0) is Standing.BARRED
+    known = with_losses(
+        [CRASHING, 1], [CRASHING, 1, 2], [CRASHING, 1, 2], [CRASHING, 2], [CRASHING]
+    )
+    assert known.standing(request(CRASHING), 6.0) is Standing.BARRED
     assert known.standing(request(1), 6.0) is Standing.CLEAR
     assert known.standing(request(2), 6.0) is Standing.CLEAR
 
 
-def test_two_deadly_requests_at_once_are_both_barred() -> None:
+def test_two_crashing_requests_at_once_are_both_barred() -> None:
     known = with_losses([0, 1, 5], [0, 6], [1, 5], [0], [1, 7], [1, 0])
     assert {known.standing(request(n), 7.0) for n in (0, 1)} == {Standing.BARRED}
     assert {known.standing(request(n), 7.0) for n in (5, 6, 7)} == {Standing.CLEAR}
 
 
 def test_a_whole_answer_clears_a_request_of_all_that_came_before() -> None:
-    known = with_losses([DEADLY], [DEADLY], [DEADLY])
-    assert known.answered(request(DEADLY), 3.5)
-    assert known.standing(request(DEADLY), 4.0) is Standing.CLEAR
+    known = with_losses([CRASHING], [CRASHING], [CRASHING])
+    assert known.note_answer(request(CRASHING), 3.5)
+    assert known.standing(request(CRASHING), 4.0) is Standing.CLEAR
     assert known.is_empty
 
 
 def test_news_of_a_loss_that_come_after_the_answer_that_cleared_it_change_nothing() -> None:
-    known = with_losses([DEADLY], [DEADLY], [DEADLY])
-    known.answered(request(DEADLY), 3.5)
-    assert not known.blame(lost(8), [request(DEADLY)], 3.4)
-    assert known.blame(lost(9), [request(DEADLY)], 3.6)
+    known = with_losses([CRASHING], [CRASHING], [CRASHING])
+    known.note_answer(request(CRASHING), 3.5)
+    assert not known.blame(lost(8), [request(CRASHING)], 3.4)
+    assert known.blame(lost(9), [request(CRASHING)], 3.6)
 
 
 def test_broken_connections_to_replicas_that_live_bar_nobody() -> None:
     """A cut, a reset of connections, a replica that resets a part of its requests."""
     known = ReplicaLosses()
     for number in range(5):
-        known.blame(lost(number), [request(DEADLY)], 1.0)
+        known.blame(lost(number), [request(CRASHING)], 1.0)
     for number in range(3):
         assert known.retract(lost(number), 1.6)
-    assert known.standing(request(DEADLY), 1.7) is Standing.SUSPECT
+    assert known.standing(request(CRASHING), 1.7) is Standing.SUSPECT
     for number in range(3, 5):
         assert known.retract(lost(number), 1.6)
-    assert known.standing(request(DEADLY), 1.7) is Standing.CLEAR
-    assert not known.blame(lost(0), [request(DEADLY)], 1.0), "older news of a replica that lives"
+    assert known.standing(request(CRASHING), 1.7) is Standing.CLEAR
+    assert not known.blame(lost(0), [request(CRASHING)], 1.0), "older news of a replica that lives"
 
 
 def test_a_loss_that_nothing_confirms_is_forgotten_soon_and_a_certain_one_is_not() -> None:
     known = ReplicaLosses()
     for number in range(3):
-        known.blame(lost(number), [request(DEADLY)], 1.0)
+        known.blame(lost(number), [request(CRASHING)], 1.0)
     confirm(known, lost(0))
-    known.expire(1.0 + UNCERTAIN_SECONDS)
-    blamed = [key for key, loss in known.losses().items() if request(DEADLY) in loss.requests]
+    known.expire(1.0 + UNCONFIRMED_LOSS_SECONDS)
+    blamed = [key for key, loss in known.losses().items() if request(CRASHING) in loss.requests]
     assert blamed == [lost(0)]
 
 
 def test_a_barred_request_is_tried_again_after_a_time_that_doubles_with_each_further_loss() -> (
     None
 ):
-    known = with_losses([DEADLY], [DEADLY], [DEADLY])
+    known = with_losses([CRASHING], [CRASHING], [CRASHING])
     tried_at = 3.0 + BARRED_SECONDS
-    assert known.standing(request(DEADLY), tried_at - 1) is Standing.BARRED
-    assert known.standing(request(DEADLY), tried_at) is Standing.SUSPECT
-    known.blame(lost(9), [request(DEADLY)], tried_at)
+    assert known.standing(request(CRASHING), tried_at - 1) is Standing.BARRED
+    assert known.standing(request(CRASHING), tried_at) is Standing.SUSPECT
+    known.blame(lost(9), [request(CRASHING)], tried_at)
     confirm(known, lost(9))
-    assert known.standing(request(DEADLY), tried_at + 2 * BARRED_SECONDS - 1) is Standing.BARRED
-    assert known.standing(request(DEADLY), tried_at + 2 * BARRED_SECONDS) is Standing.SUSPECT
+    assert known.standing(request(CRASHING), tried_at + 2 * BARRED_SECONDS - 1) is Standing.BARRED
+    assert known.standing(request(CRASHING), tried_at + 2 * BARRED_SECONDS) is Standing.SUSPECT
 
 
 @given(st.integers(0, 1 << 30))
@@ -171,16 +173,16 @@
             assert known.standing(request(each), at) is not Standing.BARRED
             for attempt in range(5):
                 if generator.random() < 0.8:
-                    known.answered(request(each), at + 0.3 * attempt)
+                    known.note_answer(request(each), at + 0.3 * attempt)
 
 
 def test_a_flood_of_other_requests_evicts_no_barred_one_and_stays_within_bounds() -> None:
-    known = with_losses([DEADLY], [DEADLY], [DEADLY])
-    assert known.standing(request(DEADLY), 4.0) is Standing.BARRED
+    known = with_losses([CRASHING], [CRASHING], [CRASHING])
+    assert known.standing(request(CRASHING), 4.0) is Standing.BARRED
     for number in range(10, 3 * MAX_LOSSES):
         there = [request(1000 * number + n) for n in range(100)]
         known.blame(lost(number), there, 10.0, Evidence.ENDED)
-    assert known.standing(request(DEADLY), 11.0) is Standing.BARRED
+    assert known.standing(request(CRASHING), 11.0) is Standing.BARRED
     assert len(known.losses()) <= MAX_LOSSES
     assert max(len(loss.requests) for loss in known.losses().values()) <= MAX_REQUESTS_PER_LOSS
 
@@ -200,18 +202,18 @@
         there = [request(n) for n in generator.sample(range(4), 2)]
         teller.blame(key, there, now, generator.choice(list(Evidence)))
         if generator.random() < 0.2:
-            teller.answered(request(generator.randrange(4)), now)
-        told = teller.take_untold(now)
+            teller.note_answer(request(generator.randrange(4)), now)
+        told = teller.take_pending(now)
         if told is not None:
             news.append((told, now))
     for other in heard:
         order = news + generator.sample(news, len(news) // 2)
         generator.shuffle(order)
         for told, told_at in order:
-            other.hear(_aged(told, now - told_at), now)
-        everything = teller.everything(now)
-        if everything is not None:
-            other.hear(everything, now)
+            other.receive(_aged(told, now - told_at), now)
+        all_known = teller.all_news(now)
+        if all_known is not None:
+            other.receive(all_known, now)
         for number in range(4):
             expected = teller.losses.standing(request(number), now)
             assert other.losses.standing(request(number), now) is expected
@@ -237,7 +239,7 @@
 def test_news_that_cannot_be_right_are_left_out(item: LostReplica) -> None:
     shared = SharedLosses()
     good = LostReplica("i-2", None, 1.0, 1, [request(1).to_bytes()])
-    shared.hear(LossNews([item, good]), 100.0)
+    shared.receive(LossNews([item, good]), 100.0)
     assert shared.rejected == 1
     assert set(shared.losses.losses()) == {LossKey("i-2", None)}
 
@@ -245,19 +247,19 @@
 def test_news_survive_their_encoding() -> None:
     shared = SharedLosses()
     shared.blame(lost(1), [request(1)], 1.0, Evidence.BROKEN)
-    news = shared.take_untold(2.0)
+    news = shared.take_pending(2.0)
     assert news is not None and decode(encode(news)) == news
-    assert shared.take_untold(2.0) is None
+    assert shared.take_pending(2.0) is None
 
 
 def test_news_hold_what_was_learned_since_and_not_what_others_told() -> None:
     shared = SharedLosses()
     shared.blame(lost(1), [request(1)], 1.0, Evidence.BROKEN)
-    shared.take_untold(1.0)
+    shared.take_pending(1.0)
     other = LostReplica("i-1", None, 0.5, 1, [request(2).to_bytes()])
-    shared.hear(LossNews([other]), 1.5)
+    shared.receive(LossNews([other]), 1.5)
     shared.blame(lost(1), [request(3)], 1.5, Evidence.BROKEN)
-    news = shared.take_untold(2.0)
+    news = shared.take_pending(2.0)
     assert news is not None
     assert [each.requests for each in news.lost] == [[request(3).to_bytes()]]
 
@@ -265,8 +267,8 @@
 def test_only_what_makes_requests_suspect_is_kept_by_daemons() -> None:
     shared = SharedLosses()
     for number in range(2):
-        there = [request(DEADLY), request(number + 1)]
+        there = [request(CRASHING), request(number + 1)]
         shared.blame(lost(number), there, 1.0, Evidence.BROKEN)
-    news = shared.of_suspects(2.0)
+    news = shared.suspect_news(2.0)
     assert news is not None
-    assert [each.requests for each in news.lost] == [[request(DEADLY).to_bytes()]] * 2
+    assert [each.requests for each in news.lost] == [[request(CRASHING).to_bytes()]] * 2
--- a/tests/test_replica_news.py
+++ b/tests/test_replica_news.py
@@ -16,13 +16,13 @@
     return ReplicaState(replica)
 
 
-def hear(state: ReplicaState, word: ReplicaBackpressure, now: float = 100.0) -> bool:
+def receive(state: ReplicaState, word: ReplicaBackpressure, now: float = 100.0) -> bool:
     return bool(receive_news(ReplicaNews([word]), {state.replica.id: state}.get, now))
 
 
 def test_what_an_answer_told_is_told_once_and_repeated_while_it_holds() -> None:
     state = state_of("a")
-    state.backpressure.limit.answered(2.0, 0.0, 1.0, 99.0)
+    state.backpressure.limit.note_answer(2.0, 0.0, 1.0, 99.0)
     news = pending_news([state], 100.0)
     assert news == ReplicaNews([ReplicaBackpressure("a", 7, 1.0, 2.0)])
     assert decode(encode(news)) == news
@@ -32,22 +32,22 @@
 
 def test_what_was_heard_is_not_told_on_at_once() -> None:
     state = state_of("a")
-    assert hear(state, ReplicaBackpressure("a", 7, 1.0, 2.0))
+    assert receive(state, ReplicaBackpressure("a", 7, 1.0, 2.0))
     assert pending_news([state], 100.0) is None
 
 
 def test_the_newer_word_counts() -> None:
     state = state_of("a")
-    assert hear(state, ReplicaBackpressure("a", 7, 1.0, 2.0))
-    assert not hear(state, ReplicaBackpressure("a", 7, 3.0, None))
-    assert hear(state, ReplicaBackpressure("a", 7, 0.5, None))
+    assert receive(state, ReplicaBackpressure("a", 7, 1.0, 2.0))
+    assert not receive(state, ReplicaBackpressure("a", 7, 3.0, None))
+    assert receive(state, ReplicaBackpressure("a", 7, 0.5, None))
     assert state.backpressure.limit.per_second is None
 
 
 def test_the_word_of_an_earlier_life_or_of_an_unknown_replica_changes_nothing() -> None:
     state = state_of("a")
-    assert not hear(state, ReplicaBackpressure("a", 6, 0.0, 2.0))
-    assert not hear(state, ReplicaBackpressure("b", 7, 0.0, 2.0))
+    assert not receive(state, ReplicaBackpressure("a", 6, 0.0, 2.0))
+    assert not receive(state, ReplicaBackpressure("b", 7, 0.0, 2.0))
     assert state.backpressure.limit.per_second is None
 
 
@@ -58,5 +58,5 @@
 def test_news_that_cannot_be_right_change_nothing(wrong: dict[str, float]) -> None:
     state = state_of("a")
     word = msgspec.structs.replace(ReplicaBackpressure("a", 7, 0.0, 2.0), **wrong)
-    assert not hear(state, word)
+    assert not receive(state, word)
     assert state.backpressure.limit.per_second is None
--- a/tests/test_replica_rest.py
+++ b/tests/test_replica_rest.py
@@ -34,7 +34,7 @@
 
 
 @dataclass
-class Played:
+class LoadResult:
     """What callers sent and got."""
 
     entry_of: dict[str, str] = field(default_factory=dict)  # by request
@@ -44,32 +44,32 @@
         """Return how many requests were answered whole."""
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
-    def most_in_rest(self, replica: FakeReplica) -> int:
-        """Return the most requests of one entry within a rest that the replica asked it for."""
-        most = 0
+    def max_in_rest(self, replica: FakeReplica) -> int:
+        """Return the highest requests of one entry within a rest that the replica asked it for."""
+        highest = 0
         for entry in ENTRIES:
             arrived = [r for r in replica.arrived if self.entry_of.get(r.id) == entry]
             for asked in (r for r in arrived if r.asked_rest):
                 first, last = asked.at + GRACE_SECONDS, asked.at + REST_SECONDS
-                most = max(most, sum(first < r.at < last for r in arrived))
-        return most
+                highest = max(highest, sum(first < r.at < last for r in arrived))
+        return highest
 
 
-async def play(site: Machines, path: str, seconds: float) -> Played:
+async def run_load(site: Machines, path: str, seconds: float) -> LoadResult:
     """Send requests to both entries in turn."""
-    played = Played()
+    result = LoadResult()
 
     async def call(entry: str) -> None:
         request_id = new_request_id()
-        played.entry_of[request_id] = entry
+        result.entry_of[request_id] = entry
         reply = await ask(site.callers(entry), path, request_id=request_id)
-        played.replies.append(reply)
+        result.replies.append(reply)
 
     async with trio.open_nursery() as nursery:
         for number in range(int(seconds / REQUEST_SECONDS)):
             nursery.start_soon(call, ENTRIES[number % 2])
             await trio.sleep(REQUEST_SECONDS)
-    return played
+    return result
 
 
 def site_for(tmp_path: Path, path: str) -> AbstractAsyncContextManager[Machines]:
@@ -83,13 +83,13 @@
     async with site_for(tmp_path, path) as site:
         resting, *_ = replicas_of(site, SERVICES[path])
         resting.rest = str(REST_SECONDS)
-        played = await play(site, path, RESTING_SECONDS)
-        print(played.most_in_rest(resting), played.served(), len(played.replies))
-        assert played.most_in_rest(resting) <= ALLOWED
-        assert played.served() == len(played.replies)
+        result = await run_load(site, path, RESTING_SECONDS)
+        print(result.max_in_rest(resting), result.served(), len(result.replies))
+        assert result.max_in_rest(resting) <= ALLOWED
+        assert result.served() == len(result.replies)
         resting.rest = None
         runs = len(resting.runs)
-        await play(site, path, AFTER_SECONDS)
+        await run_load(site, path, AFTER_SECONDS)
         assert len(resting.runs) > runs
 
 
@@ -101,18 +101,18 @@
         resting = replicas_of(site, SERVICES[path])
         for replica in resting:
             replica.rest = str(REST_SECONDS)
-        played = await play(site, path, RESTING_SECONDS)
-        print([played.most_in_rest(replica) for replica in resting])
-        assert all(played.most_in_rest(replica) <= ALLOWED for replica in resting)
-        assert {reply.status for reply in played.replies} == {503}
-        told = [float(reply.headers[names.RETRY_AFTER]) for reply in played.replies]
+        result = await run_load(site, path, RESTING_SECONDS)
+        print([result.max_in_rest(replica) for replica in resting])
+        assert all(result.max_in_rest(replica) <= ALLOWED for replica in resting)
+        assert {reply.status for reply in result.replies} == {503}
+        told = [float(reply.headers[names.RETRY_AFTER]) for reply in result.replies]
         print(min(told), max(told))
         assert max(told) > GRACE_SECONDS
         assert len(set(told)) > len(told) / 2
         for replica in resting:
             replica.rest = None
         await trio.sleep(REST_SECONDS)
-        after = await play(site, path, AFTER_SECONDS)
+        after = await run_load(site, path, AFTER_SECONDS)
         print(after.served(), len(after.replies))
         assert after.served() >= 0.9 * len(after.replies)
 
--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -9,16 +9,16 @@
 from typing import Final
 
 import pytest
-from headcross_gateway.requestlimit import LEAST_LIMIT, RequestLimit
+from headcross_gateway.requestlimit import MIN_LIMIT_PER_SECOND, RequestLimit
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-SPAN_SECONDS: Final = 4.0
+WINDOW_SECONDS: Final = 4.0
 STEP_SECONDS: Final = 0.05
-PLAYED_SECONDS: Final = 40.0
+RUN_SECONDS: Final = 40.0
 # Every entry has its turn several times in it, also at the least limit.
 LONG_SECONDS: Final = 240.0
-USED_PART: Final = 0.7
+MIN_USED_FRACTION: Final = 0.7
 
 Demand = Callable[[int, float], bool]  # whether an entry has a request at a moment
 
@@ -35,9 +35,9 @@
     def __post_init__(self) -> None:
         self.states = [RequestLimit() for _ in range(self.entries)]
         for state in self.states:
-            state.answered(self.limit, 0.0, 1 / self.entries, 0.0)
+            state.note_answer(self.limit, 0.0, 1 / self.entries, 0.0)
 
-    def play(self, demand: Demand, seconds: float = PLAYED_SECONDS) -> None:
+    def run(self, demand: Demand, seconds: float = RUN_SECONDS) -> None:
         """Let each entry send what it has as soon as it may."""
         for step in range(int(seconds / STEP_SECONDS)):
             now = step * STEP_SECONDS
@@ -46,11 +46,11 @@
                     state.count(1 / self.entries, now)
                     self.moments.append(now)
 
-    def most_in_span(self) -> int:
+    def max_in_window(self) -> int:
         """Return the most requests in one span."""
         return max(
             (
-                bisect_left(self.moments, a + SPAN_SECONDS) - bisect_left(self.moments, a)
+                bisect_left(self.moments, a + WINDOW_SECONDS) - bisect_left(self.moments, a)
                 for a in self.moments
             ),
             default=0,
@@ -58,7 +58,7 @@
 
 
 def allowed(limit: float) -> int:
-    return math.floor(1.5 * SPAN_SECONDS * limit + 5)
+    return math.floor(1.5 * WINDOW_SECONDS * limit + 5)
 
 
 LIMITS: Final = (0.0, 0.2, 1.4, 2.0, 20.0)
@@ -71,9 +71,9 @@
     entries: int, limit: float
 ) -> None:
     fleet = Fleet(entries, limit)
-    fleet.play(lambda number, now: True, LONG_SECONDS)
-    assert fleet.most_in_span() <= allowed(limit)
-    assert len(fleet.moments) >= USED_PART * limit * LONG_SECONDS
+    fleet.run(lambda number, now: True, LONG_SECONDS)
+    assert fleet.max_in_window() <= allowed(limit)
+    assert len(fleet.moments) >= MIN_USED_FRACTION * limit * LONG_SECONDS
 
 
 @pytest.mark.parametrize(
@@ -84,8 +84,8 @@
 ) -> None:
     random.seed(seed)
     fleet = Fleet(entries, limit)
-    fleet.play(lambda number, now: True)
-    assert fleet.most_in_span() <= allowed(limit)
+    fleet.run(lambda number, now: True)
+    assert fleet.max_in_window() <= allowed(limit)
 
 
 @pytest.mark.parametrize("limit", LIMITS)
@@ -94,8 +94,8 @@
     entries: int, limit: float
 ) -> None:
     fleet = Fleet(entries, limit)
-    fleet.play(lambda number, now: now % 13 > 9)
-    assert fleet.most_in_span() <= allowed(limit)
+    fleet.run(lambda number, now: now % 13 > 9)
+    assert fleet.max_in_window() <= allowed(limit)
 
 
 @given(
@@ -109,15 +109,15 @@
 ) -> None:
     random.seed(seed)
     fleet = Fleet(entries, limit)
-    fleet.play(lambda number, now: not quiet[number][0] <= now < quiet[number][1])
-    assert fleet.most_in_span() <= allowed(limit)
+    fleet.run(lambda number, now: not quiet[number][0] <= now < quiet[number][1])
+    assert fleet.max_in_window() <= allowed(limit)
 
 
 def test_a_limit_of_nothing_lets_a_request_find_out_now_and_then() -> None:
     state = RequestLimit()
-    state.answered(0.0, 0.0, 1.0, 0.0)
-    assert 0 < state.seconds_to_next(1.0, 0.0) <= 1 / LEAST_LIMIT
-    assert not state.seconds_to_next(1.0, 1 / LEAST_LIMIT)
+    state.note_answer(0.0, 0.0, 1.0, 0.0)
+    assert 0 < state.seconds_to_next(1.0, 0.0) <= 1 / MIN_LIMIT_PER_SECOND
+    assert not state.seconds_to_next(1.0, 1 / MIN_LIMIT_PER_SECOND)
 
 
 @pytest.mark.parametrize(("entries", "limit"), [(1, 0.0), (2, 0.0), (1, 0.2), (2, 0.2), (2, 0.5)])
@@ -128,31 +128,31 @@
     """The end of a limit shows in the next request only, and nothing else told it within 4 s."""
     random.seed(seed)
     fleet = Fleet(entries, limit)
-    fleet.play(lambda number, now: True)
-    pauses = [b - a for a, b in itertools.pairwise([0.0, *fleet.moments, PLAYED_SECONDS])]
-    assert max(pauses) < SPAN_SECONDS
-    assert fleet.most_in_span() <= allowed(limit)
+    fleet.run(lambda number, now: True)
+    pauses = [b - a for a, b in itertools.pairwise([0.0, *fleet.moments, RUN_SECONDS])]
+    assert max(pauses) < WINDOW_SECONDS
+    assert fleet.max_in_window() <= allowed(limit)
 
 
 def test_an_answer_without_a_limit_ends_it() -> None:
     state = RequestLimit()
-    assert state.answered(2.0, 0.0, 0.5, 1.0)
-    assert state.answered(None, 1.5, 0.5, 1.6)
+    assert state.note_answer(2.0, 0.0, 0.5, 1.0)
+    assert state.note_answer(None, 1.5, 0.5, 1.6)
     assert state.per_second is None
     assert not state.seconds_to_next(0.5, 1.6)
 
 
 def test_an_answer_to_a_request_from_before_the_limit_does_not_end_it() -> None:
     state = RequestLimit()
-    state.answered(2.0, 0.0, 0.5, 1.0)
-    assert not state.answered(None, 0.9, 0.5, 1.2)
+    state.note_answer(2.0, 0.0, 0.5, 1.0)
+    assert not state.note_answer(None, 0.9, 0.5, 1.2)
     assert state.per_second == 2.0
 
 
 def test_a_higher_limit_holds_at_once() -> None:
     state = RequestLimit()
-    state.answered(0.2, 0.0, 0.2, 0.0)
-    state.answered(20.0, 0.0, 0.2, 1.0)
+    state.note_answer(0.2, 0.0, 0.2, 0.0)
+    state.note_answer(20.0, 0.0, 0.2, 1.0)
     assert state.seconds_to_next(0.2, 1.0) <= 1 / (20.0 * 0.2)
 
 
@@ -170,7 +170,7 @@
     fleet = Fleet(entries, limit)
     share = 1 / entries
     due = sorted((at, number) for number, at in starts if number < entries)
-    for step in range(int(PLAYED_SECONDS / STEP_SECONDS)):
+    for step in range(int(RUN_SECONDS / STEP_SECONDS)):
         now = step * STEP_SECONDS
         while due and due[0][0] <= now:
             _, number = due.pop(0)
@@ -180,4 +180,4 @@
             if not state.seconds_to_next(share, now):
                 state.count(share, now)
                 fleet.moments.append(now)
-    assert fleet.most_in_span() <= allowed(limit) + len(starts)
+    assert fleet.max_in_window() <= allowed(limit) + len(starts)
--- a/tests/test_requests_that_end_replicas.py
+++ b/tests/test_requests_that_end_replicas.py
@@ -22,11 +22,11 @@
 from testing.platformreplica import Ending, Run
 from tests.test_machine_weights import wait_offered
 
-DEADLY: Final = b"ends what runs it"
+CRASHING: Final = b"ends what runs it"
 BACK_SECONDS: Final = 3.0
 TRIED_EVERY_SECONDS: Final = 0.3
 OTHERS_EVERY_SECONDS: Final = 0.05
-PLAYED_SECONDS: Final = 15.0
+LOAD_SECONDS: Final = 15.0
 # What the users allow: so many arrivals later than this after the third end.
 CONTACT_SECONDS: Final = 3.0
 LATE_ARRIVALS: Final = 3
@@ -36,19 +36,19 @@
 
 
 @dataclass
-class Played:
-    """What was seen of a play."""
+class LoadResult:
+    """What was seen of a run_load."""
 
     ends: list[float] = field(default_factory=list)  # trio's clock
-    deadly_arrivals: list[float] = field(default_factory=list)
+    crashing_arrivals: list[float] = field(default_factory=list)
     others: list[Reply] = field(default_factory=list)
 
     def late_arrivals(self) -> int:
-        """Return how often the deadly request began later than the users allow."""
+        """Return how often the crashing request began later than the users allow."""
         if len(self.ends) < 3:
             return 0
         third = sorted(self.ends)[2]
-        return sum(at > third + CONTACT_SECONDS for at in self.deadly_arrivals)
+        return sum(at > third + CONTACT_SECONDS for at in self.crashing_arrivals)
 
     def served_share(self) -> float:
         """Return the share of the other requests that were answered."""
@@ -56,32 +56,32 @@
 
 
 @asynccontextmanager
-async def deadly_site(directory: Path, service: str, ending: Ending) -> AsyncIterator[Machines]:
-    """Run two entries before ten replicas of a service, which the deadly body ends."""
+async def crashing_site(directory: Path, service: str, ending: Ending) -> AsyncIterator[Machines]:
+    """Run two entries before ten replicas of a service, which the crashing body ends."""
     models, plain = (10, 2) if service == MODEL_SERVICE else (2, 10)
     async with small_site(directory, models=models, plain=plain, entries=2) as site:
         for listed in site.replicas.values():
             if listed.service == service:
                 listed.replica.ending = ending
-                listed.replica.ends_under = lambda body: body == DEADLY
+                listed.replica.ends_under = lambda body: body == CRASHING
         site.nursery.start_soon(site.revive_replicas, service, BACK_SECONDS)
         yield site
 
 
-def deadly_runs(site: Machines) -> list[Run]:
-    """Return the runs of the deadly request."""
+def crashing_runs(site: Machines) -> list[Run]:
+    """Return the runs of the crashing request."""
     listed = site.replicas.values()
-    return [run for each in listed for run in each.replica.runs if run.body == DEADLY]
+    return [run for each in listed for run in each.replica.runs if run.body == CRASHING]
 
 
-async def play(site: Machines, path: str) -> Played:
-    """Send the deadly request again and again at either entry, and others beside it."""
-    played = Played()
+async def run_load(site: Machines, path: str) -> LoadResult:
+    """Send the crashing request again and again at either entry, and others beside it."""
+    result = LoadResult()
 
     async def call(entry: int, body: bytes) -> None:
         reply = await ask(site.callers(f"entry{entry}"), path, body)
-        if body != DEADLY:
-            played.others.append(reply)
+        if body != CRASHING:
+            result.others.append(reply)
 
     async def repeat(body: bytes, seconds: float) -> None:
         number = 0
@@ -92,13 +92,13 @@
             await trio.sleep(seconds)
 
     async with trio.open_nursery() as nursery:
-        with trio.move_on_after(PLAYED_SECONDS):
+        with trio.move_on_after(LOAD_SECONDS):
             async with trio.open_nursery() as callers:
-                callers.start_soon(repeat, DEADLY, TRIED_EVERY_SECONDS)
+                callers.start_soon(repeat, CRASHING, TRIED_EVERY_SECONDS)
                 callers.start_soon(repeat, b"", OTHERS_EVERY_SECONDS)
-    played.deadly_arrivals = sorted(run.began_at for run in deadly_runs(site))
-    played.ends = played.deadly_arrivals
-    return played
+    result.crashing_arrivals = sorted(run.began_at for run in crashing_runs(site))
+    result.ends = result.crashing_arrivals
+    return result
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -106,10 +106,10 @@
 async def test_a_request_that_ends_replicas_is_not_sent_on_after_the_third_end(
     tmp_path: Path, path: str, ending: Ending
 ) -> None:
-    async with deadly_site(tmp_path, SERVICES[path], ending) as site:
-        played = await play(site, path)
-    print(len(played.ends), "ended;", played.late_arrivals(), "late;", played.served_share())
-    assert played.late_arrivals() <= LATE_ARRIVALS
+    async with crashing_site(tmp_path, SERVICES[path], ending) as site:
+        result = await run_load(site, path)
+    print(len(result.ends), "ended;", result.late_arrivals(), "late;", result.served_share())
+    assert result.late_arrivals() <= LATE_ARRIVALS
 
 
 POPULAR_REQUESTS: Final = 6
@@ -122,7 +122,7 @@
 async def test_popular_requests_are_answered_while_replicas_end_of_themselves(
     tmp_path: Path, ending: Ending
 ) -> None:
-    async with deadly_site(tmp_path, MODEL_SERVICE, ending) as site:
+    async with crashing_site(tmp_path, MODEL_SERVICE, ending) as site:
         replies: list[Reply] = []
 
         async def call(number: int) -> None:
@@ -165,17 +165,17 @@
 async def test_others_are_served_while_a_request_that_ends_replicas_comes_again(
     tmp_path: Path, path: str, ending: Ending
 ) -> None:
-    async with deadly_site(tmp_path, SERVICES[path], ending) as site:
-        played = await play(site, path)
-    print(len(played.ends), "ended;", played.late_arrivals(), "late;", played.served_share())
-    assert played.served_share() >= SERVED_SHARE
+    async with crashing_site(tmp_path, SERVICES[path], ending) as site:
+        result = await run_load(site, path)
+    print(len(result.ends), "ended;", result.late_arrivals(), "late;", result.served_share())
+    assert result.served_share() >= SERVED_SHARE
 
 
-async def bar_deadly_request(site: Machines) -> None:
-    """Send the deadly request until it is refused."""
+async def bar_crashing_request(site: Machines) -> None:
+    """Send the crashing request until it is refused."""
     with trio.fail_after(WAIT_SECONDS):
         while True:
-            reply = await ask(site.callers("entry0"), "/stream/x", DEADLY)
+            reply = await ask(site.callers("entry0"), "/stream/x", CRASHING)
             if ENDS_REPLICAS.code.encode() in reply.body:
                 return
             await trio.sleep(0.1)
@@ -187,10 +187,10 @@
     async with small_site(tmp_path, models=6, plain=1, entries=2, daemons=True) as site:
         replicas = replicas_of(site, MODEL_SERVICE)
         for replica in replicas:
-            replica.ends_under = lambda body: body == DEADLY
+            replica.ends_under = lambda body: body == CRASHING
         await wait_offered(site)
-        await bar_deadly_request(site)
-        before = len(deadly_runs(site))
+        await bar_crashing_request(site)
+        before = len(crashing_runs(site))
         for name in ("entry0", "entry1"):
             site.signal(name, signal.SIGKILL)
             await site.wait_exit(name)
@@ -198,28 +198,28 @@
             site.start(name)
         await site.wait_ready("entry0", "entry1")
         for number in range(4):
-            reply = await ask(site.callers(f"entry{number % 2}"), "/stream/x", DEADLY)
+            reply = await ask(site.callers(f"entry{number % 2}"), "/stream/x", CRASHING)
             assert ENDS_REPLICAS.code.encode() in reply.body, reply
-        assert len(deadly_runs(site)) == before
+        assert len(crashing_runs(site)) == before
 
 
 OTHER_KEY: Final = "key-2"
-DEADLY_BODIES: Final = 100
-DEADLY_SECONDS: Final = 30.0
+CRASHING_BODIES: Final = 100
+CRASHING_SECONDS: Final = 30.0
 ENDED_AT_MOST: Final = 12
 
 
 async def test_a_hundred_requests_of_one_team_do_not_end_a_hundred_replicas(
     tmp_path: Path,
 ) -> None:
-    async with deadly_site(tmp_path, MODEL_SERVICE, Ending.RESET) as site:
+    async with crashing_site(tmp_path, MODEL_SERVICE, Ending.RESET) as site:
         teams = [
             {"name": "team-1", "api_keys": [KEY]},
             {"name": "team-2", "api_keys": [OTHER_KEY]},
         ]
         site.change(tenants=teams)
         for replica in replicas_of(site, MODEL_SERVICE):
-            replica.ends_under = lambda body: body.startswith(DEADLY)
+            replica.ends_under = lambda body: body.startswith(CRASHING)
         with trio.fail_after(WAIT_SECONDS):
             for entry in ("entry0", "entry1"):
                 while (await ask(site.callers(entry), "/stream/x", key=OTHER_KEY)).status != 200:
@@ -232,15 +232,15 @@
                 others.append(reply)
 
         async with trio.open_nursery() as calls:
-            for number in range(int(DEADLY_SECONDS / OTHERS_EVERY_SECONDS)):
+            for number in range(int(CRASHING_SECONDS / OTHERS_EVERY_SECONDS)):
                 calls.start_soon(call, number, OTHER_KEY, b"innocent %d" % number)
-                every = int(DEADLY_SECONDS / OTHERS_EVERY_SECONDS / DEADLY_BODIES)
+                every = int(CRASHING_SECONDS / OTHERS_EVERY_SECONDS / CRASHING_BODIES)
                 if number % every == 0:
-                    deadly = number // every
-                    calls.start_soon(call, deadly, KEY, DEADLY + b" %d" % deadly)
+                    crashing = number // every
+                    calls.start_soon(call, crashing, KEY, CRASHING + b" %d" % crashing)
                 await trio.sleep(OTHERS_EVERY_SECONDS)
         listed = site.replicas.values()
-        ended = [r for each in listed for r in each.replica.runs if r.body.startswith(DEADLY)]
+        ended = [r for each in listed for r in each.replica.runs if r.body.startswith(CRASHING)]
         answered = sum(reply.status == 200 and reply.whole for reply in others)
         print(len(ended), "ended;", answered, "of", len(others), "answered")
         assert len(ended) <= ENDED_AT_MOST
@@ -252,17 +252,17 @@
 ) -> None:
     async with small_site(tmp_path, models=4, plain=0) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
-            replica.ends_under = lambda body: body == DEADLY
+            replica.ends_under = lambda body: body == CRASHING
             replica.wait_seconds = 1.0
         replies: list[Reply] = []
 
         async def call() -> None:
-            replies.append(await ask(site.callers("entry0"), "/strict/x", DEADLY))
+            replies.append(await ask(site.callers("entry0"), "/strict/x", CRASHING))
 
         async with trio.open_nursery() as nursery:
             for _ in range(4):
                 nursery.start_soon(call)
                 await trio.sleep(0.25)
-        assert len(deadly_runs(site)) == 3
+        assert len(crashing_runs(site)) == 3
         assert [reply.status for reply in replies] == [502] * 4, replies
         assert WITHDRAWN.code.encode() in replies[-1].body
