--- a/libs/gateway/src/headcross_gateway/answertimes.py
+++ b/libs/gateway/src/headcross_gateway/answertimes.py
@@ -1,4 +1,4 @@
-"""Averages how long answers of a service take, from placing at a replica to their end."""
+"""Averages how long answers of a service take, from assignment to a replica to their end."""
 
 from typing import Final
 
--- a/libs/gateway/src/headcross_gateway/backpressure.py
+++ b/libs/gateway/src/headcross_gateway/backpressure.py
@@ -118,4 +118,4 @@
         if self._unreadable.get(kind) != said.text:
             self._unreadable[kind] = said.text
             fields = {"replica": self.replica, "said": said.text[:100]}
-            logger.warning(f"unreadable {kind} in the head of an answer", extra=fields)
+            logger.warning(f"{kind} not read", extra=fields)
--- a/libs/gateway/src/headcross_gateway/demand.py
+++ b/libs/gateway/src/headcross_gateway/demand.py
@@ -1,7 +1,7 @@
-"""Measures the requests per second of each service, and the share of them that find no place.
+"""Measures the requests per second of each service, and the share of them that find no free slot.
 
-A service whose requests find no place will lack places for a while: the larger the share that an
-entry refused in the last seconds, the later it tells callers to retry.
+A service whose requests find no free slot will lack slots for a while: the larger the share that
+an entry refused in the last seconds, the later it tells callers to retry.
 """
 
 import math
@@ -29,7 +29,7 @@
         self._arrived[service] += 1
 
     def note_refused(self, service: str) -> None:
-        """Count a request that found no place."""
+        """Count a request that found no free slot."""
         self._refused[service] += 1
 
     def rate(self, service: str) -> float:
@@ -37,7 +37,7 @@
         return self._rates.get(service, 0.0)
 
     def refused_share(self, service: str) -> float:
-        """Return the share of recent requests that found no place, 0 to 1."""
+        """Return the share of recent requests that found no free slot, 0 to 1."""
         rate = self.rate(service)
         return min(1.0, self._refused_rates.get(service, 0.0) / rate) if rate else 0.0
 
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -2,9 +2,9 @@
 
 The design load: first tries exceed the capacity by a fifth, and each refused caller retries once.
 The value of an answer is highest within a target time that counts from the first try, so a retry
-can no longer reach it. If a retry takes a place that a first try would have had, that first try is
+can no longer reach it. If a retry takes a slot that a first try would have had, that first try is
 late or is refused and retries in its turn, and in the end all answers are late. Retries therefore
-wait behind first tries of their priority, and places are reserved for first tries as long as some
+wait behind first tries of their priority, and slots are reserved for first tries as long as some
 of these are refused (trunk reservation: F. P. Kelly, "Loss networks", Annals of Applied
 Probability 1, 1991). Retries get the rest: idle replicas, gaps in the load, and everything as soon
 as the overload ends. The module does no I/O and reads no clock.
@@ -21,7 +21,7 @@
 from headcross_gateway.demand import DemandMeter
 from headcross_gateway.refusedrequests import RefusedRequests
 
-# Bounds of the Retry-After value before it is spread: the lower one if places are occupied for a
+# Bounds of the Retry-After value before it is spread: the lower one if slots are occupied for a
 # moment only, the upper one if the overload lasts or no replica serves. Callers wait for up to a
 # third of their time limit (6 s).
 MIN_RETRY_AFTER_SECONDS: Final = 0.5
@@ -41,19 +41,19 @@
 
 @dataclass(frozen=True, slots=True)
 class OverloadSettings:
-    """The treatment of retries, and the times that requests wait for a place."""
+    """The treatment of retries, and the times that requests wait for a slot."""
 
     # Whether retries wait behind first tries of their priority, or are ordered by deadline alone.
     fresh_first: bool = True
     # The refused share of first tries from which on retries get only idle replicas; below it, the
-    # reserved share of places grows in proportion. Infinite reserves nothing. In a simulated pool
+    # reserved share of slots grows in proportion. Infinite reserves nothing. In a simulated pool
     # of 6 replicas (a burst of 1.4 times the nominal load for 3 s; 1.0 times all the time; seeds
     # 31 to 33), 0.2 answers a share of 0.716 and 0.711 of callers within the target time and
     # refuses 0.246 and 0.231 for good; 1.0 with a wait of 1.5 s answers 0.702 and 0.663 in time
     # and refuses 0.168 and 0.162 for good; without a reservation 0.606 and 0.609 are answered in
     # time.
     full_reservation_share: float = 1.0
-    # The fraction of the target time that a first try waits for a place at most. Under overload
+    # The fraction of the target time that a first try waits for a slot at most. Under overload
     # one that waits longer is late or is refused later. In the simulated pool, at 0.8, 1.0 and 1.2
     # times the nominal load, 0.5 earns 0.787, 0.607 and 0.552 of the possible value, 0.22 earns
     # 0.848, 0.688 and 0.618, and 0.1 earns 0.850, 0.700 and 0.632; not waiting at all is no
@@ -63,11 +63,11 @@
     # again shortly. Four replicas that loaded within 0.25 s left 0.09 s without any, and a stream
     # with a target time of 0.5 s was refused after a tenth of it.
     no_replica_wait_part: float = 0.22
-    # How long a retry waits for a place at most. Its target time has passed, and a place that no
+    # How long a retry waits for a slot at most. Its target time has passed, and a slot that no
     # first try needs may become free; but it waits only if most recent retries were served and if
     # its answer can still end before its deadline.
     returning_wait_seconds: float = 1.0
-    # The share of the places that is always reserved for first tries: when places become free
+    # The share of the slots that is always reserved for first tries: when slots become free
     # after a time without any, waiting retries would take all of them at once. In the simulated
     # pool (a burst, seeds 41 to 44), 0 answers a share of 0.683 within the target time and refuses
     # 0.198 for good, 0.25 answers 0.744 and refuses 0.134, and 0.5 answers 0.753 and refuses
@@ -97,7 +97,7 @@
         (self._returning if returning else self._fresh).note(service)
 
     def note_refused(self, service: str, *, returning: bool, for_room: bool = True) -> None:
-        """Count a request that found no place.
+        """Count a request that found no free slot.
 
         `for_room` is False if no replica may serve at all. Such a refusal does not count towards
         the reservation: otherwise retries after an outage were refused for seconds.
@@ -109,7 +109,7 @@
             self._fresh.note_refused(service)
 
     def note_answer(self, service: str, seconds: float) -> None:
-        """Add the time of a complete answer, from its placing at a replica to its end."""
+        """Add the time of a complete answer, from its assignment to a replica to its end."""
         self._answers.note(service, seconds)
 
     def measure(self, now: float) -> None:
@@ -125,16 +125,16 @@
         return returning and self.settings.fresh_first
 
     def reserved_share(self, service: str) -> float:
-        """Return the share of a replica's places that is reserved for first tries, 0 to 1.
+        """Return the share of a replica's slots that is reserved for first tries, 0 to 1.
 
-        At 1 a retry is placed only at a replica where nothing runs.
+        At 1 a retry is sent only to a replica where nothing runs.
         """
         refused = self._fresh.refused_share(service)
         reserved = refused / self.settings.full_reservation_share
         return min(1.0, max(self.settings.least_reserved_share, reserved))
 
     def wait_seconds(self, aim_seconds: float, *, any_serves: bool) -> float:
-        """Return the seconds that a first try waits for a place, from its arrival or last refusal.
+        """Return the seconds that a first try waits for a slot, from its arrival or last refusal.
 
         `any_serves` is whether any replica, full or not, may serve it now.
         """
@@ -145,11 +145,11 @@
     def returning_wait_seconds(
         self, service: str, aim_seconds: float, seconds_left: float, *, any_serves: bool
     ) -> float:
-        """Return the seconds that a retry waits for a place; its deadline is in `seconds_left`.
+        """Return the seconds that a retry waits for a slot; its deadline is in `seconds_left`.
 
         It waits no longer than a first try if most retries are refused, since the wait would be in
-        vain: when all retries waited, 398 of 613 were refused after a second under lasting overload,
-        and streams that began too late broke off at their callers' deadlines.
+        vain: when all retries waited, 398 of 613 were refused after a second under lasting
+        overload, and streams that began too late broke off at their callers' deadlines.
         """
         wait = self.wait_seconds(aim_seconds, any_serves=any_serves)
         if self._returning.refused_share(service) > MAX_REFUSED_SHARE:
--- a/libs/gateway/src/headcross_gateway/requestlimit.py
+++ b/libs/gateway/src/headcross_gateway/requestlimit.py
@@ -2,8 +2,8 @@
 
 No entry knows what the others send. Each paces its own requests to its share of the limit, so that
 all together stay within what the limit allows in any window of WINDOW_SECONDS, whichever entries
-have requests. Pacing assigns an entry one slot per period. A slot that an entry did not use may be
-saved only as far as all entries may do so at once; if there are too many entries for that, it
+have requests. Pacing gives an entry one permit per period. A permit that an entry did not use may
+be saved only as far as all entries may do so at once; if there are too many entries for that, it
 expires.
 
 Times are in seconds on any one clock that does not go back.
@@ -19,16 +19,16 @@
 WINDOW_SECONDS: Final = 4.0
 WINDOW_LIMIT_FACTOR: Final = 1.5
 WINDOW_EXTRA_REQUESTS: Final = 5
-# The longest time for which an unused slot is saved.
+# The longest time for which an unused permit is saved.
 MAX_SAVED_SECONDS: Final = 1.5
-# If slots expire, each can be used for SLOT_LIFETIME_SECONDS, and only this fraction of the limit
-# is used, since slots of several entries may coincide.
-SLOT_LIFETIME_SECONDS: Final = 1.0
+# If permits expire, each can be used for PERMIT_LIFETIME_SECONDS, and only this fraction of the
+# limit is used, since permits of several entries may coincide.
+PERMIT_LIFETIME_SECONDS: Final = 1.0
 EXPIRING_LIMIT_FRACTION: Final = 0.75
 # Lower limits are raised to this one, so that a request now and then probes whether the limit
 # still applies.
 MIN_LIMIT_PER_SECOND: Final = 0.25
-MIN_EXPIRING_LIMIT_PER_SECOND: Final = 0.1  # the same if slots expire
+MIN_EXPIRING_LIMIT_PER_SECOND: Final = 0.1  # the same if permits expire
 # Each entry probes a lower limit once per interval, as far as the requests allowed in a window
 # have room for that, and all entries together send at most MAX_PROBES_PER_SECOND.
 PROBE_INTERVAL_SECONDS: Final = 3.5
@@ -42,7 +42,7 @@
     per_second: float | None = None  # None while the replica names no limit
     stated_at: float = -math.inf  # when the limit, or its end, was last seen in an answer
     pending: bool = False  # not yet sent to other entries
-    _next_at: float = -math.inf  # the time of the next slot
+    _next_at: float = -math.inf  # the time of the next permit
 
     def note_answer(self, limit: float | None, sent_at: float, share: float, now: float) -> bool:
         """Apply the limit that an answer names, None if it names none; return whether it changed.
@@ -67,47 +67,47 @@
         before, self.per_second = self.per_second, limit
         self.stated_at = stated_at
         if before is None and limit is not None:
-            self._draw_first_slot(share, now)
+            self._draw_first_permit(share, now)
         return limit != before
 
     def seconds_to_next(self, share: float, now: float) -> float:
         """Return the seconds until this entry may send a request, 0 if it may now."""
         if self.per_second is None:
             return 0.0
-        return max(0.0, self._next_slot(share, now) - now)
+        return max(0.0, self._next_permit(share, now) - now)
 
     def count(self, share: float, now: float) -> None:
-        """Use up a slot for a request that is sent."""
+        """Use up a permit for a request that is sent."""
         if self.per_second is None:
             return
-        used = self._next_slot(share, now)
+        used = self._next_permit(share, now)
         saved = self._saved_seconds(share)
         if saved >= 0:
             used = max(used, now - saved)
         self._next_at = used + 1 / self._rate(share)
 
-    def _draw_first_slot(self, share: float, now: float) -> None:
-        """Set the first slot at a random time, so that the slots of entries differ."""
+    def _draw_first_permit(self, share: float, now: float) -> None:
+        """Set the first permit at a random time, so that the permits of entries differ."""
         self._next_at = now + random.uniform(0.0, 1 / self._rate(share))
 
-    def _next_slot(self, share: float, now: float) -> float:
-        """Return the time from which the next slot may be used."""
+    def _next_permit(self, share: float, now: float) -> float:
+        """Return the time from which the next permit may be used."""
         period = 1 / self._rate(share)
         # A smaller earlier share or limit must not cause a wait longer than the present period.
         next_at = min(self._next_at, now + period)
-        if self._slots_expire(share) and now - next_at > SLOT_LIFETIME_SECONDS:
-            next_at += math.ceil((now - SLOT_LIFETIME_SECONDS - next_at) / period) * period
+        if self._permits_expire(share) and now - next_at > PERMIT_LIFETIME_SECONDS:
+            next_at += math.ceil((now - PERMIT_LIFETIME_SECONDS - next_at) / period) * period
         return next_at
 
     def _rate(self, share: float) -> float:
         """Return the requests per second that this entry may send."""
         limit = self.per_second or 0.0
-        if self._slots_expire(share):
+        if self._permits_expire(share):
             return max(MIN_EXPIRING_LIMIT_PER_SECOND, EXPIRING_LIMIT_FRACTION * limit) * share
         return self._total_rate(share) * share
 
     def _total_rate(self, share: float) -> float:
-        """Return the requests per second of all entries together if slots do not expire."""
+        """Return the requests per second of all entries together if permits do not expire."""
         limit = self.per_second or 0.0
         entries = 1 / share
         spare = _spare_requests(limit, entries) / WINDOW_SECONDS
@@ -117,11 +117,11 @@
             min(entries / PROBE_INTERVAL_SECONDS, spare, MAX_PROBES_PER_SECOND),
         )
 
-    def _slots_expire(self, share: float) -> bool:
+    def _permits_expire(self, share: float) -> bool:
         return self._saved_seconds(share) < 0
 
     def _saved_seconds(self, share: float) -> float:
-        """Return how long unused slots are saved, in seconds; negative if none may be saved.
+        """Return how long unused permits are saved, in seconds; negative if none may be saved.
 
         With E entries, a total rate of R and s saved seconds, at most
         E + (WINDOW_SECONDS + s) * R requests are sent in a window.
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -39,7 +39,7 @@
         self._containment = containment
 
     def patience(self, request: Admitted, state: ReplicaState) -> Patience:
-        """Return how long a request waits for a silent replica; forever if it may run only once."""
+        """Return how long a request waits for a silent replica; forever if it may not move."""
         if (
             not request.route.repetition.may_run_again
             or request.runs >= request.route.max_attempts
--- a/libs/gateway/src/headcross_gateway/unbegun.py
+++ b/libs/gateway/src/headcross_gateway/unbegun.py
@@ -28,11 +28,11 @@
 
 @dataclass(eq=False, slots=True)
 class _WaitingAttempt:
-    """One attempt, from its placing to the first part of its answer."""
+    """One attempt, from its assignment to a replica to the first part of its answer."""
 
     model: str
     state: ReplicaState
-    version: int  # the newest the replica was known to hold since placing
+    version: int  # the newest the replica was known to hold since then
     scope: trio.CancelScope
 
     def update_version(self) -> None:
--- a/tests/test_gateway_budget.py
+++ b/tests/test_gateway_budget.py
@@ -1,4 +1,4 @@
-"""The bound on retries that all entries have in common."""
+"""Tests of the bound on the retries of all entries together."""
 
 import random
 
@@ -7,14 +7,13 @@
 from hypothesis import strategies as st
 
 RATIO = 0.2
-# Entries and the slack of the users' pages, and the most entries that the slack of the largest has
-# room for.
+# Numbers of entries with the documented slack, and the most entries that the largest slack allows.
 SIZES = [(5, 104.0), (5, 106.0), (14, 130.0), (16, 136.0), (35, 200.0), (38, 200.0)]
 SERVICE = "s"
 
 
-def saved_up(entries: int, slack: float) -> list[RetryBudget]:
-    """Return the budgets of entries that have been there for long and saved all they may."""
+def full_budgets(entries: int, slack: float) -> list[RetryBudget]:
+    """Return the budgets of entries that have saved as many retries as they may."""
     budgets = [RetryBudget(RATIO, slack) for _ in range(entries)]
     for budget in budgets:
         budget.note_entries(entries)
@@ -31,10 +30,10 @@
 def test_the_retries_of_all_entries_together_stay_within_the_common_bound(
     size: tuple[int, float], requests: list[int], seed: int
 ) -> None:
-    """Whatever share of the requests each entry has, and however each spends (BUDGET)."""
+    """The bound holds for any share of the requests and any spending of each entry."""
     entries, slack = size
     generator = random.Random(seed)
-    budgets = saved_up(entries, slack)
+    budgets = full_budgets(entries, slack)
     spent = 0
     for entry in requests:
         budgets[entry % entries].earn(SERVICE)
@@ -48,22 +47,22 @@
     st.lists(st.tuples(st.integers(0, 39), st.sampled_from("rrrrkKl")), max_size=600),
     st.integers(0, 1 << 30),
 )
-def test_the_bound_holds_whatever_entries_start_anew_however_often(
+def test_the_bound_holds_when_any_entries_restart_repeatedly(
     size: tuple[int, float], history: list[tuple[int, str]], seed: int
 ) -> None:
-    """Requests, kills of one or of all entries, and starts that learn late how many there are.
+    """Requests arrive, one or all entries are killed, and entries learn their number late.
 
-    Each entry spends all it has before it is killed, and may be killed as often as the window of
-    the bound has time for. Granted a part of the slack at each start, all of them passed the bound
-    by two starts.
+    Each entry spends everything before it is killed, and is killed as often as the window of the
+    bound allows. With a fraction of the slack granted at each start, two starts of all entries
+    exceeded the bound.
     """
     entries, slack = size
     generator = random.Random(seed)
-    budgets = saved_up(entries, slack)
+    budgets = full_budgets(entries, slack)
     starts = [0] * entries
     spent, requests = 0, 0
 
-    def start_anew(entry: int) -> None:
+    def restart(entry: int) -> None:
         if starts[entry] < STARTS_PER_WINDOW:
             starts[entry] += 1
             budgets[entry] = RetryBudget(RATIO, slack)
@@ -78,13 +77,13 @@
     spent += spend_all(budgets)
     for number, what in history:
         entry = number % entries
-        if what == "k":  # one is killed, which may not know the number of entries for a while
+        if what == "k":  # the restarted entry may not know the number of entries for a while
             spent += spend_all([budgets[entry]])
-            start_anew(entry)
+            restart(entry)
         elif what == "K":
             spent += spend_all(budgets)
             for each in range(entries):
-                start_anew(each)
+                restart(each)
         elif what == "l":
             budgets[entry].note_entries(entries)
         else:
@@ -95,7 +94,7 @@
     assert spent <= RATIO * requests + slack
 
 
-def test_an_entry_that_learns_of_more_entries_gives_up_what_it_saved_over_its_part() -> None:
+def test_an_entry_that_learns_of_more_entries_loses_savings_above_its_share() -> None:
     budget = RetryBudget(RATIO, 200.0)
     for _ in range(1000):
         budget.earn(SERVICE)
--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -1,4 +1,4 @@
-"""Requests that find all replicas at the limits that these name."""
+"""Tests of the admission of requests if replicas name limits or ask for rest."""
 
 import math
 from typing import Final
@@ -27,7 +27,7 @@
 
 
 def site(count: int) -> tuple[Admission, Directory]:
-    """Return the admission of an entry before some replicas of a service."""
+    """Return the admission and the directory of an entry with `count` replicas of a service."""
     facts = rules([]).facts
     for number in range(count):
         address = Address("127.0.0.1", 1 + number)
@@ -37,20 +37,20 @@
     return Admission(Picker("z", directory, WeightsRules(facts, 8.0))), directory
 
 
-def use_up(directory: Directory, limit: float) -> None:
-    """Have every replica name a limit, and send what it allows now."""
+def exhaust(directory: Directory, limit: float) -> None:
+    """Let every replica name a limit, and count requests until none is allowed now."""
     for state in directory.states():
         state.note_signals(BackpressureSignals(limit=limit), 0.0)
         for _ in range(100):
             state.backpressure.limit.count(state.own_share, monotonic())
 
 
-async def test_a_request_is_refused_at_once_where_no_limit_allows_it_in_time(
+async def test_a_request_is_refused_at_once_if_no_limit_allows_it_in_time(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     mock_clock.autojump_threshold = 0
     admission, directory = site(2)
-    use_up(directory, 0.5)
+    exhaust(directory, 0.5)
     before = trio.current_time()
     assert await admission.take_place(WISH, CONFIGURATION, ORDER, before + 1.0) is None
     assert trio.current_time() == before
@@ -59,7 +59,7 @@
 
 async def test_a_request_goes_to_the_one_replica_without_a_limit() -> None:
     admission, directory = site(3)
-    use_up(directory, 0.5)
+    exhaust(directory, 0.5)
     free = next(iter(directory.states()))
     free.note_signals(BackpressureSignals(), monotonic() + 1)
     for _ in range(free.replica.slots):
@@ -77,16 +77,16 @@
 
 
 @pytest.mark.parametrize("opening", [0.0, 3.0, 30.0])
-def test_callers_are_told_to_come_back_when_a_limit_allows_it_and_not_all_at_once(
+def test_callers_are_told_to_retry_when_a_limit_allows_it_and_at_different_times(
     opening: float,
 ) -> None:
     overload = Overload()
-    told = {overload.retry_after_seconds("api", opening) for _ in range(100)}
-    assert len(told) > 50
-    assert min(told) >= opening
+    delays = {overload.retry_after_seconds("api", opening) for _ in range(100)}
+    assert len(delays) > 50
+    assert min(delays) >= opening
 
 
-async def test_a_replica_at_rest_takes_nothing_and_then_one_request_until_it_serves() -> None:
+async def test_a_resting_replica_gets_no_request_and_then_one_until_it_has_answered() -> None:
     admission, directory = site(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.2), 0.0)
@@ -99,9 +99,7 @@
     assert await admission.take_place(WISH, CONFIGURATION, ORDER, now) is state
 
 
-async def test_a_caller_that_leaves_while_it_tries_a_replica_after_its_rest_shuts_nobody_out() -> (
-    None
-):
+async def test_a_trial_request_after_a_rest_that_is_cancelled_allows_another_one() -> None:
     admission, directory = site(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.0), 0.0)
@@ -119,7 +117,7 @@
     assert state.seconds_to_next() > 20.0
 
 
-def test_an_entry_leaves_a_limited_replica_to_those_that_its_daemon_counts() -> None:
+def test_an_entry_outside_the_subset_of_a_limited_replica_does_not_use_it() -> None:
     _, directory = site(1)
     state = next(iter(directory.states()))
     state.in_subset = False
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -1,4 +1,4 @@
-"""Attempts that are taken back because their weights end, and those that are not."""
+"""Tests of the withdrawal of attempts that replicas have not begun when weights expire."""
 
 from dataclasses import replace
 
@@ -26,45 +26,45 @@
 BOUND_SECONDS = 8.0  # of the rules under test
 
 
-def place(version: int) -> ReplicaState:
-    """Return a replica that holds a version of the model."""
+def state_of(version: int) -> ReplicaState:
+    """Return the state of a replica that holds a version of the model."""
     address = Address("127.0.0.1", 1)
     return ReplicaState(Replica("i", "lm", address, "z", 8, False, (LoadedModel("m", version),)))
 
 
 @pytest.fixture(autouse=True)
 def one_clock(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Have the product's clock go with trio's, which jumps ahead when all tasks wait."""
+    """Let the product use trio's clock, which jumps ahead when all tasks wait."""
     for module in ("weightsrules", "replicastate", "health", "waittimes"):
         monkeypatch.setattr(f"headcross_gateway.{module}.monotonic", trio.current_time)
 
 
 async def seconds_until_withdrawn(unbegun: UnbegunAttempts, replica: ReplicaState) -> float:
-    """Return how long an attempt may wait for its replica, 100 s at most."""
+    """Return how many seconds an attempt may wait for its replica, at most 100."""
     started_at = trio.current_time()
     with unbegun.waiting("m", replica), trio.move_on_after(100):
         await trio.sleep_forever()
     return trio.current_time() - started_at
 
 
-async def test_what_has_not_begun_is_withdrawn_shortly_before_its_bound(
+async def test_an_attempt_that_has_not_begun_is_withdrawn_shortly_before_its_bound(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     weights_rules = rules([VersionNotice(2, trio.current_time(), False)])
     unbegun = UnbegunAttempts(weights_rules)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
-        seconds = await seconds_until_withdrawn(unbegun, place(1))
+        seconds = await seconds_until_withdrawn(unbegun, state_of(1))
         assert seconds == pytest.approx(BOUND_SECONDS - WITHDRAWAL_SECONDS, abs=0.01)
         assert MARGIN_SECONDS > WITHDRAWAL_SECONDS
-        # One that is placed later still, on old news, is withdrawn at once.
-        assert await seconds_until_withdrawn(unbegun, place(1)) < 0.01
-        assert await seconds_until_withdrawn(unbegun, place(2)) == pytest.approx(100)
+        # One that is assigned even later, because of old reports, is withdrawn at once.
+        assert await seconds_until_withdrawn(unbegun, state_of(1)) < 0.01
+        assert await seconds_until_withdrawn(unbegun, state_of(2)) == pytest.approx(100)
         assert unbegun.withdrawn == 2
         nursery.cancel_scope.cancel()
 
 
-async def test_each_of_two_versions_that_follow_one_another_ends_at_its_own_bound(
+async def test_each_of_two_successive_versions_expires_at_its_own_bound(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     now = trio.current_time()
@@ -73,7 +73,7 @@
     found: dict[int, float] = {}
 
     async def wait(version: int) -> None:
-        found[version] = await seconds_until_withdrawn(unbegun, place(version))
+        found[version] = await seconds_until_withdrawn(unbegun, state_of(version))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
@@ -87,15 +87,15 @@
     )
 
 
-async def test_news_of_a_version_that_was_named_long_ago_withdraw_at_once(
+async def test_late_news_of_a_version_withdraw_attempts_at_once(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     weights_rules = rules([])
     unbegun = UnbegunAttempts(weights_rules)
-    # The clock of facts is the real one.
+    # The facts use the real clock.
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
-        nursery.start_soon(seconds_until_withdrawn, unbegun, place(1))
+        nursery.start_soon(seconds_until_withdrawn, unbegun, state_of(1))
         await trio.testing.wait_all_tasks_blocked()
         long_ago = monotonic() - trio.current_time() + BOUND_SECONDS
         weights_rules.facts.hear_version("m", 2, long_ago)
@@ -104,25 +104,25 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_an_attempt_is_withdrawn_however_late_it_was_placed(
+async def test_an_attempt_is_withdrawn_however_late_it_was_assigned(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """Nothing waited when the time of the next withdrawal was worked out."""
+    """No attempt was waiting when the time of the next withdrawal was computed."""
     unbegun = UnbegunAttempts(rules([VersionNotice(2, trio.current_time(), False)]))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
         await trio.sleep(5)
-        seconds = await seconds_until_withdrawn(unbegun, place(1))
+        seconds = await seconds_until_withdrawn(unbegun, state_of(1))
         assert seconds == pytest.approx(BOUND_SECONDS - WITHDRAWAL_SECONDS - 5, abs=0.01)
         nursery.cancel_scope.cancel()
 
 
-async def test_old_news_of_a_replica_do_not_take_its_new_weights_back(
+async def test_a_stale_list_does_not_revert_the_known_version_of_a_replica(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    """A daemon's word counts for 1.5 s; then the list, which lags, showed the old version."""
+    """A daemon's report is valid for 1.5 s; then the list, which lags, shows the old version."""
     unbegun = UnbegunAttempts(rules([VersionNotice(2, trio.current_time(), False)]))
-    replica = place(1)
+    replica = state_of(1)
     load = ReplicaLoad("127.0.0.1:1", 1, True, False, {"m": 2}, 0, 0, 0.0, 1.0, 1)
     replica.told = Told(load, trio.current_time(), 0)
     async with trio.open_nursery() as nursery:
@@ -133,28 +133,28 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_a_replica_that_has_taken_the_new_weights_keeps_what_waits_there(
+async def test_attempts_stay_at_a_replica_that_has_loaded_the_new_weights(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     unbegun = UnbegunAttempts(rules([VersionNotice(2, trio.current_time(), False)]))
-    replica = place(1)
+    replica = state_of(1)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
 
         async def load() -> None:
             await trio.sleep(5)
-            replica.replica = place(2).replica
+            replica.replica = state_of(2).replica
 
         nursery.start_soon(load)
         assert await seconds_until_withdrawn(unbegun, replica) == pytest.approx(100)
         nursery.cancel_scope.cancel()
 
 
-async def test_an_attempt_withdrawn_before_it_was_sent_is_known_not_to_have_run(
+async def test_an_attempt_withdrawn_before_its_request_was_sent_did_not_run(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     unbegun = UnbegunAttempts(rules([VersionNotice(2, trio.current_time(), False)]))
-    replica = place(1)
+    replica = state_of(1)
     outcome, connection = await make_one(unbegun, replica, float("inf"), monkeypatch)
     assert isinstance(outcome, DidNotRun) and not outcome.arrived
     assert not connection.sent
@@ -166,16 +166,16 @@
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     unbegun = UnbegunAttempts(rules([VersionNotice(2, trio.current_time(), False)]))
-    outcome, connection = await make_one(unbegun, place(1), BOUND_SECONDS, monkeypatch)
+    outcome, connection = await make_one(unbegun, state_of(1), BOUND_SECONDS, monkeypatch)
     assert isinstance(outcome, DidNotRun) and not outcome.arrived
     assert not connection.sent
 
 
-async def test_nothing_is_sent_to_a_replica_that_began_to_leave_while_its_connection_opened(
+async def test_nothing_is_sent_to_a_replica_that_starts_leaving_while_its_connection_opens(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Whether it leaves was looked at when it was chosen only, up to 0.6 s before the sending."""
-    leaving = place(1)
+    """A check only when the replica is chosen would be up to 0.6 s before the request is sent."""
+    leaving = state_of(1)
     unbegun = UnbegunAttempts(rules([]))
 
     async def drain() -> None:
@@ -190,23 +190,23 @@
 
 
 class OpenConnection:
-    """A connection that notes whether anything was sent on it."""
+    """A connection that records whether anything was sent on it."""
 
     def __init__(self) -> None:
         self.sent = False
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Note a request, like a socket that first looks whether it is cancelled."""
+        """Record a request, after a check for cancellation as a socket does."""
         await trio.lowlevel.checkpoint_if_cancelled()
         self.sent = True
 
     async def receive_answer(self) -> Answer:
-        """Wait for an answer that never comes."""
+        """Wait forever."""
         await trio.sleep_forever()
         raise AssertionError("unreachable")
 
     async def abandon(self) -> None:
-        """Close."""
+        """Do nothing."""
 
 
 async def make_one(
@@ -215,7 +215,7 @@
     seconds: float,
     monkeypatch: pytest.MonkeyPatch,
 ) -> tuple[Outcome, OpenConnection]:
-    """Make an attempt whose connection opens after some seconds, whatever cancels it, or never."""
+    """Make an attempt whose connection opens after `seconds`, also if cancelled; never if inf."""
     proofs = LinkProofs(rules([]), PlatformDialect())
     attempts = Attempts(PlatformDialect(), unbegun, proofs)
     connection = OpenConnection()
--- a/tests/test_group_losses.py
+++ b/tests/test_group_losses.py
@@ -1,4 +1,4 @@
-"""Teams whose requests on a route end replicas, decided without a network and without a clock."""
+"""Tests of the restriction of teams whose requests on a route crash replicas."""
 
 import pytest
 from headcross_gateway.grouplosses import (
@@ -12,7 +12,7 @@
 GROUP = b"a team and a route"
 
 
-def test_a_group_of_which_most_is_answered_is_not_restrained() -> None:
+def test_a_group_whose_requests_are_mostly_answered_is_not_restricted() -> None:
     losses = GroupLosses()
     for number in range(10):
         losses.note_lost(GROUP, 1.0 + number)
@@ -22,7 +22,7 @@
     assert losses.is_mostly_lost(GROUP, 12.0)
 
 
-def test_what_other_entries_answered_counts_as_long_as_it_is_recent() -> None:
+def test_reports_of_other_entries_count_while_they_are_recent() -> None:
     losses = GroupLosses()
     losses.note_lost(GROUP, 1.0 + WINDOW_SECONDS)
     losses.receive(GROUP, "entry1", GroupOutcomes(lost=1, answered=2), 2.0)
@@ -30,7 +30,7 @@
     assert losses.is_mostly_lost(GROUP, 3.0 + WINDOW_SECONDS)
 
 
-def test_what_is_counted_does_not_grow_with_time_or_groups() -> None:
+def test_stored_counts_do_not_grow_with_time_or_groups() -> None:
     losses = GroupLosses()
     for second in range(1000):
         losses.note_answered(GROUP, float(second))
@@ -43,6 +43,6 @@
 
 
 @pytest.mark.parametrize(("count", "pause"), [(2, float("-inf")), (3, 2.0), (4, 4.0), (9, 30.0)])
-def test_the_pause_doubles_with_each_loss_up_to_a_bound(count: int, pause: float) -> None:
+def test_the_pause_doubles_with_each_loss_up_to_a_maximum(count: int, pause: float) -> None:
     lost_at = [10.0] * count
     assert paused_until(lost_at, 11.0) == pytest.approx(10.0 + pause)
--- a/tests/test_loss_watch.py
+++ b/tests/test_loss_watch.py
@@ -1,4 +1,4 @@
-"""How an entry learns that a replica was lost, and what it had there; clocks are passed in."""
+"""Tests of the detection of lost replicas; the clock is a stub."""
 
 from dataclasses import dataclass, field
 from typing import cast
@@ -25,7 +25,7 @@
 
 @dataclass
 class StubRequest:
-    """The part of an admitted request that the watch looks at."""
+    """The part of an admitted request that LossWatch reads."""
 
     group = b"group---"
 
@@ -35,37 +35,37 @@
 
 
 class Site:
-    """One entry's watch, one replica and a clock that stands still."""
+    """The LossWatch of one entry, with one replica and a clock that tests advance."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = 100.0
         monkeypatch.setattr(replicastate, "monotonic", lambda: self.now)
         address = Address("10.0.0.1", 7004)
         loaded = (LoadedModel("m", 1),)
-        self.place = ReplicaState(Replica("i-1", "lm", address, "z0", 8, False, loaded))
+        self.state = ReplicaState(Replica("i-1", "lm", address, "z0", 8, False, loaded))
         self.shared = SharedLosses()
         self.watch = LossWatch(self.shared, lambda: self.now)
 
     def attempt(self, outcome: Outcome | None) -> StubRequest:
-        """Make an attempt that ends so."""
+        """Make an attempt that ends with `outcome`."""
         request = StubRequest()
-        attempt = self.watch.begin(cast(Admitted, request), self.place, AttemptTimes())
+        attempt = self.watch.begin(cast(Admitted, request), self.state, AttemptTimes())
         self.watch.end(attempt, outcome)
         return request
 
-    def tell(self, *, reachable: bool, holds: bool = True) -> None:
-        """Have the replica's daemon speak."""
+    def report(self, *, reachable: bool, holds: bool = True) -> None:
+        """Let the daemon report whether it reaches the replica, and the weights held there."""
         versions = {"m": 1} if holds and reachable else {}
         load = ReplicaLoad("10.0.0.1:7004", 1, reachable, False, versions, 0, 0, 0.0, 1.0, 1)
-        self.place.hear(load, 1)
+        self.state.hear(load, 1)
 
     def pass_time(self, seconds: float) -> None:
-        """Let time pass, and look."""
+        """Advance the clock, and check the replicas."""
         self.now += seconds
         self.watch.check()
 
     def losses(self) -> list[bool]:
-        """Return of each loss that blames a request whether it is certain."""
+        """Return for each loss recorded against a request whether it is certain."""
         return [loss.is_certain for loss in self.shared.losses.losses().values() if loss.requests]
 
 
@@ -91,7 +91,7 @@
         None,
     ],
 )
-def test_other_ends_of_an_attempt_blame_nobody_while_the_replica_lives(
+def test_other_outcomes_of_an_attempt_record_no_loss_while_the_replica_runs(
     site: Site, outcome: Outcome | None
 ) -> None:
     site.attempt(outcome)
@@ -100,30 +100,30 @@
 
 
 @pytest.mark.parametrize("outcome", [BROKEN, SILENT])
-def test_a_replica_that_its_daemon_reaches_after_that_was_not_lost(
+def test_a_replica_that_its_daemon_reaches_afterwards_was_not_lost(
     site: Site, outcome: Outcome
 ) -> None:
     site.attempt(outcome)
-    site.tell(reachable=True)
+    site.report(reachable=True)
     site.pass_time(0.1)
-    assert site.losses() == [False], "read before the reset, perhaps"
+    assert site.losses() == [False], "the daemon may have read the replica before the reset"
     site.pass_time(0.6)
-    site.tell(reachable=True)
+    site.report(reachable=True)
     site.pass_time(0.1)
     assert not site.losses()
 
 
-def test_a_stream_that_stands_still_after_its_first_event_blames_nobody(site: Site) -> None:
+def test_a_stream_that_stalls_after_its_first_event_records_no_loss(site: Site) -> None:
     times = AttemptTimes(began_at=1.0)
-    attempt = site.watch.begin(cast(Admitted, StubRequest()), site.place, times)
+    attempt = site.watch.begin(cast(Admitted, StubRequest()), site.state, times)
     site.watch.end(attempt, SILENT)
     assert not site.losses()
 
 
-def test_a_replica_that_is_back_without_weights_was_lost(site: Site) -> None:
+def test_a_replica_that_is_reached_again_without_weights_was_lost(site: Site) -> None:
     site.attempt(BROKEN)
     site.pass_time(1.0)
-    site.tell(reachable=True, holds=False)
+    site.report(reachable=True, holds=False)
     site.pass_time(0.1)
     assert site.losses() == [False]
 
@@ -136,32 +136,32 @@
 
 
 @pytest.mark.parametrize("outcome", [BROKEN, SILENT, None])
-def test_what_a_replica_had_is_blamed_once_it_has_left_the_list_unannounced(
+def test_requests_on_a_replica_are_blamed_once_it_leaves_the_list_unannounced(
     site: Site, outcome: Outcome | None
 ) -> None:
     site.attempt(outcome)
-    site.place.gone = True
+    site.state.gone = True
     site.pass_time(3.0)
     assert site.losses() == [True]
 
 
 @pytest.mark.parametrize("outcome", [BROKEN, SILENT])
-def test_what_a_replica_had_is_blamed_once_its_daemon_has_not_reached_it_for_long(
+def test_requests_on_a_replica_are_blamed_once_its_daemon_has_not_reached_it_for_long(
     site: Site, outcome: Outcome
 ) -> None:
-    site.tell(reachable=True)
+    site.report(reachable=True)
     site.attempt(outcome)
     for _ in range(10):
-        site.tell(reachable=False)
+        site.report(reachable=False)
         site.pass_time(0.2)
     assert site.losses() == [True]
 
 
 def test_a_replica_that_left_as_announced_was_not_lost(site: Site) -> None:
     site.attempt(SILENT)
-    listed = site.place.replica
-    site.place.replica = Replica("i-1", "lm", listed.address, "z0", 8, True, listed.loaded)
-    site.place.gone = True
+    listed = site.state.replica
+    site.state.replica = Replica("i-1", "lm", listed.address, "z0", 8, True, listed.loaded)
+    site.state.gone = True
     site.pass_time(1.0)
     assert not site.losses()
 
@@ -170,8 +170,8 @@
     site: Site,
 ) -> None:
     request = StubRequest()
-    attempt = site.watch.begin(cast(Admitted, request), site.place, AttemptTimes())
-    site.place.gone = True
+    attempt = site.watch.begin(cast(Admitted, request), site.state, AttemptTimes())
+    site.state.gone = True
     site.pass_time(0.2)
     assert site.losses() == [True]
     assert site.watch.count_under_way(request.identity) == 1
@@ -180,10 +180,10 @@
     assert not site.losses()
 
 
-def test_what_is_not_begun_of_a_barred_request_is_withdrawn(site: Site) -> None:
+def test_attempts_of_a_barred_request_that_have_not_begun_are_withdrawn(site: Site) -> None:
     request = StubRequest()
     times = AttemptTimes()
-    site.watch.begin(cast(Admitted, request), site.place, times)
+    site.watch.begin(cast(Admitted, request), site.state, times)
     for number in range(3):
         key = LossKey(f"i-{number}", None)
         site.shared.blame(key, [request.identity], site.now, Evidence.BROKEN)
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -1,7 +1,7 @@
-"""Overload: what callers get when more is asked than replicas can serve.
+"""Tests of the treatment of callers when a service gets more requests than it can serve.
 
-The load is played on a model of a replica pool in virtual time, around the product's own list of
-replicas, choice, queue and decisions; nothing of them is copied.
+A model of a replica pool simulates the load in virtual time. The list of replicas, the choice of a
+replica, the queue and the overload decisions are the product's own code.
 """
 
 from pathlib import Path
@@ -44,8 +44,8 @@
 CONFIGURATION = Configuration(1, (), {"api": Service("api", 1)}, (), CallerLimits(1, 1, 1.0, 1.0))
 
 
-def picker_of_two_places() -> Picker:
-    """Return the choice among one replica of a plain service, which has two places."""
+def picker_of_two_slots() -> Picker:
+    """Return a picker with one replica of a plain service, which has two slots."""
     facts = rules([]).facts
     facts.replicas["r"] = Replica("r", "api", Address("127.0.0.1", 1), "z", 2, False)
     directory = Directory(facts)
@@ -54,7 +54,7 @@
 
 
 def small_overload() -> ExperimentSpec:
-    """Return a quarter of the fleet and of the load of the experiment."""
+    """Return the experiment with a quarter of its fleet and load."""
     whole = read_experiment(EXPERIMENT)
     fleet = FleetSpec(zones=2, entries=4, replicas=6)
     kinds = tuple(
@@ -80,13 +80,13 @@
 
 
 def shares(tally: Tally) -> tuple[float, float]:
-    """Return the share of callers answered in their aim, and the share of the worth earned."""
+    """Return the share of callers answered within their target time, and of the value earned."""
     return tally.in_aim / tally.callers, tally.worth / tally.owed
 
 
 @pytest.mark.parametrize("seed", [11, 12])
-def test_under_overload_fresh_callers_are_answered_within_their_aim(seed: int) -> None:
-    """Callers that come back had taken the places, and nearly all answers were late ones."""
+def test_under_overload_first_tries_are_answered_within_their_target_time(seed: int) -> None:
+    """Without priority for first tries, caller retries take the slots and answers are late."""
     spec = small_overload()
     before, worth_before = shares(play(spec, BY_DEADLINE, 1.2, seed))
     after, worth_after = shares(play(spec, OverloadSettings(), 1.2, seed))
@@ -95,13 +95,13 @@
     assert worth_after > worth_before + 0.05
 
 
-def test_without_overload_nobody_is_refused_and_all_come_in_time() -> None:
+def test_without_overload_no_request_is_refused_and_answers_are_in_time() -> None:
     tally = play(small_overload(), OverloadSettings(), 0.5, 11)
     assert not tally.refused and not tally.gone
     assert shares(tally)[0] > 0.98
 
 
-def test_a_caller_that_comes_back_to_another_entry_is_known_again_for_a_while() -> None:
+def test_a_caller_that_retries_at_another_entry_is_recognized_for_a_while() -> None:
     here, there = RefusedRequests(), RefusedRequests()
     here.note(7, 10.0)
     assert here.was_refused(7, 10.5) and not here.was_refused(8, 10.5)
@@ -113,12 +113,12 @@
     assert not there.was_refused(7, 10.5) and there.was_refused(101, 10.5)
 
 
-def test_places_are_kept_for_fresh_callers_as_long_as_some_of_them_are_refused() -> None:
+def test_slots_are_reserved_for_first_tries_as_long_as_some_of_them_are_refused() -> None:
     now = 0.0
     overload = Overload()
     overload.measure(now)
     reserved = []
-    # A second each: no refusal, a few, most; then only callers that come back are refused.
+    # One second each: no refusal, a few, most; then only caller retries are refused.
     for refused_fresh, refused_returning in ((0, 0), (2, 0), (60, 0), (0, 20), (0, 20), (0, 20)):
         for number in range(100):
             overload.note_request("lm", returning=False)
@@ -132,7 +132,7 @@
         reserved.append(overload.reserved_share("lm"))
     least = overload.settings.least_reserved_share
     assert reserved[:2] == [least, least] and least < reserved[2] < 1
-    # Once fresh callers find places, those that come back do so too, within some seconds.
+    # Once first tries find slots, caller retries do so too within some seconds.
     assert least <= reserved[-1] <= reserved[-2] < reserved[2]
 
 
@@ -141,20 +141,20 @@
     [
         (0, 5.0, 1.0),
         (40, 5.0, 1.0),
-        # Most of its like were refused: it would be held for nothing.
+        # Most retries are refused: a wait would be in vain.
         (60, 5.0, 0.04),
         (100, 5.0, 0.04),
-        # Its answer, 1.2 s in the mean, must be able to end in its time.
+        # The answer takes 1.2 s on average and must be able to end before the deadline.
         (0, 4.0, 0.4),
         (0, 3.0, 0.04),
     ],
 )
-def test_a_caller_that_comes_back_waits_only_where_it_is_likely_to_be_served(
+def test_a_caller_retry_waits_only_if_it_is_likely_to_be_served(
     refused: int, seconds_left: float, waited: float
 ) -> None:
-    """Two in three were held for a second under lasting overload, and then refused.
+    """Under lasting overload two in three retries waited for a second and were then refused.
 
-    Others began streams that broke off at their own deadlines, 6 s after their first try.
+    Others began streams that broke off at the callers' deadlines, 6 s after the first try.
     """
     overload = Overload()
     overload.measure(0.0)
@@ -169,15 +169,15 @@
     assert wait == pytest.approx(waited)
 
 
-def test_a_request_waits_through_a_moment_in_which_all_replicas_load() -> None:
-    """A stream with an aim of 0.5 s was refused after 0.056 s, and one was back after 0.094 s."""
+def test_a_request_waits_while_all_replicas_load_for_a_moment() -> None:
+    """A stream to be answered in 0.5 s was refused after 0.056 s; a replica served at 0.094 s."""
     overload = Overload()
     assert overload.wait_seconds(0.5, any_serves=False) > 0.1
     assert overload.wait_seconds(0.5, any_serves=True) < 0.06
 
 
-def test_under_lasting_overload_nobody_is_held_for_a_refusal() -> None:
-    """Half of those that came back and were refused again had been held for 0.98 s or longer."""
+def test_under_lasting_overload_few_callers_wait_before_a_refusal() -> None:
+    """Half of the retries that were refused had waited for 0.98 s or longer."""
     tally = play(small_overload(), OverloadSettings(), 1.5, 11)
     assert tally.refused_again > 50
     held = tally.held_in_vain_seconds / tally.refused_again
@@ -185,10 +185,10 @@
     assert held < 0.25
 
 
-async def test_callers_that_come_back_get_what_fresh_ones_leave(
+async def test_caller_retries_get_the_slots_that_first_tries_leave(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
-    admission = Admission(picker_of_two_places(), lambda service: 1.0)
+    admission = Admission(picker_of_two_slots(), lambda service: 1.0)
     order: list[str] = []
 
     async def wait(name: str, priority: int, returning: bool, until: float) -> None:
@@ -204,7 +204,7 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(wait, "first", 1, False, 5.0)
         await trio.testing.wait_all_tasks_blocked()
-        # One of two places is free: not for one that comes back, though it came before the rest.
+        # One of two slots is free, but reserved: the retry does not get it although it came first.
         nursery.start_soon(wait, "urgent returning", 0, True, 5.0)
         nursery.start_soon(wait, "impatient returning", 1, True, 0.05)
         await trio.testing.wait_all_tasks_blocked()
@@ -218,18 +218,18 @@
     assert admission.waiting("api") == 0
 
 
-async def test_a_long_queue_of_returning_callers_costs_one_look_for_room_at_each_news(
+async def test_a_long_queue_of_caller_retries_causes_one_search_for_a_slot_per_notification(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each looked for room itself, at each of 160 loads a second: more than a core can compute."""
-    picker = picker_of_two_places()
+    """A search by each waiting retry at each of 160 load reports per second overloads a core."""
+    picker = picker_of_two_slots()
     admission = Admission(picker, lambda service: 1.0)
-    looks = 0
+    searches = 0
     pick = picker.pick
 
     def count(wish: Wish, configuration: Configuration, reserved: float = 0.0) -> object:
-        nonlocal looks
-        looks += 1
+        nonlocal searches
+        searches += 1
         return pick(wish, configuration, reserved)
 
     monkeypatch.setattr(picker, "pick", count)
@@ -244,17 +244,17 @@
         for _ in range(100):
             nursery.start_soon(wait)
         await trio.testing.wait_all_tasks_blocked()
-        looks = 0
+        searches = 0
         for _ in range(10):
             admission.notify("api")
-        assert looks == 10 and admission.waiting("api") == 100
-        # One that comes for the first time is not held up by them.
+        assert searches == 10 and admission.waiting("api") == 100
+        # A first try does not wait behind them.
         fresh = await admission.take_place(WISH, CONFIGURATION, QueueOrder(2, False, 9.0), 1.0)
         assert fresh is not None
         nursery.cancel_scope.cancel()
 
 
-def test_tries_of_one_caller_have_the_same_prompt_and_requests_without_one_have_none() -> None:
+def test_tries_of_one_caller_have_the_same_prompt_and_others_have_none() -> None:
     def prompt_of(**headers: str) -> str | None:
         known = {"count": names.TOKEN_COUNT, "parts": names.PROMPT_PARTS}
         lines = [(known[name], value) for name, value in headers.items()]
@@ -281,7 +281,7 @@
         (("[[variants]]", "[[variants"), "line"),
     ],
 )
-def test_a_bad_experiment_is_told_by_file_and_field(
+def test_an_invalid_experiment_is_reported_with_file_and_field(
     change: tuple[str, str], field: str, tmp_path: Path
 ) -> None:
     path = tmp_path / "bad.toml"
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -1,7 +1,7 @@
-"""Replicas that name a limit on the requests a second from all entries together.
+"""Tests of replicas that limit the requests per second of all entries together.
 
-Entries as real processes before a few replicas. Each second a fixed number of requests comes, to
-every entry in turn.
+Entries run as real processes before a few replicas. Requests arrive at a constant rate, at every
+entry in turn.
 """
 
 import itertools
@@ -30,26 +30,27 @@
 REQUEST_SECONDS: Final = 1 / 60
 BEFORE_SECONDS: Final = 1.0
 LIMITED_SECONDS: Final = 11.0
-# What the users allow, in each span of so many seconds that begins so long after the first word.
+# The requirement: from CONTACT_SECONDS after the limit was first named, the number of requests in
+# each window of WINDOW_SECONDS is bounded.
 CONTACT_SECONDS: Final = 3.0
 WINDOW_SECONDS: Final = 4.0
 ALLOWED_FACTOR: Final = 1.5
 ALLOWED_EXTRA: Final = 5
-# Of the requests that a limit allows, those that are placed where enough come.
+# The fraction of an allowed rate that must be used if enough requests arrive.
 MIN_USED_FRACTION: Final = 0.7
-# After so long every entry in touch has heard what one was told.
+# The time within which every connected entry learns what one entry was told.
 NEWS_SECONDS: Final = 5.0
-# A replica without a limit has its full share again after so long.
+# The time after which a replica without a limit must have its full share again.
 FULL_SHARE_SECONDS: Final = 4.0
 FROZEN_SECONDS: Final = 2.0
 RUNNING_SECONDS: Final = 1.5
 
-Disturbance = Callable[[Machines, str], Awaitable[None]]
+Fault = Callable[[Machines, str], Awaitable[None]]
 
 
 @dataclass
 class LoadResult:
-    """What was seen of a run_load."""
+    """The observations of one run of the load."""
 
     limited_at: float = 0.0  # trio's clock
     until: float = 0.0  # trio's clock
@@ -60,7 +61,7 @@
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
     def max_in_window(self, replica: FakeReplica) -> int:
-        """Return the most requests that a replica got in one span that counts."""
+        """Return the most requests that a replica got in any window under the requirement."""
         first = self.limited_at + CONTACT_SECONDS
         moments = [r.at for r in replica.arrived if first <= r.at < self.until]
         return max(
@@ -69,14 +70,14 @@
         )
 
     def rate(self, replica: FakeReplica) -> float:
-        """Return the requests a second that a replica got from the moment that counts on."""
+        """Return the requests per second that a replica got while the requirement applied."""
         first = self.limited_at + CONTACT_SECONDS
         arrived = sum(first <= r.at < self.until for r in replica.arrived)
         return arrived / (self.until - first)
 
 
 def allowed(limit: float) -> int:
-    """Return how many requests a replica may get in one span."""
+    """Return how many requests a replica may get in one window."""
     return math.floor(ALLOWED_FACTOR * WINDOW_SECONDS * limit + ALLOWED_EXTRA)
 
 
@@ -163,7 +164,7 @@
 
 
 async def kill_repeatedly(site: Machines, entry: str) -> None:
-    """Kill an entry and start it again until cancelled."""
+    """Kill and restart an entry until cancelled."""
     while True:
         site.signal(entry, signal.SIGKILL)
         await site.wait_exit(entry)
@@ -173,7 +174,7 @@
 
 
 async def freeze_repeatedly(site: Machines, entry: str) -> None:
-    """Stop an entry for a while again and again until cancelled."""
+    """Suspend and resume an entry until cancelled."""
     while True:
         site.signal(entry, signal.SIGSTOP)
         await trio.sleep(FROZEN_SECONDS)
@@ -181,14 +182,14 @@
         await trio.sleep(RUNNING_SECONDS)
 
 
-@pytest.mark.parametrize("disturbance", [kill_repeatedly, freeze_repeatedly])
-async def test_entries_keep_a_limit_while_one_of_them_is_in_trouble(
-    tmp_path: Path, disturbance: Disturbance
+@pytest.mark.parametrize("fault", [kill_repeatedly, freeze_repeatedly])
+async def test_entries_keep_a_limit_while_one_of_them_is_killed_or_suspended(
+    tmp_path: Path, fault: Fault
 ) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE, entries=3, daemons=True) as site:
         limited = replicas_of(site, MODEL_SERVICE)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(disturbance, site, "entry2")
+            nursery.start_soon(fault, site, "entry2")
             result = await run_load(site, "/stream/x", limited, "2.0")
             nursery.cancel_scope.cancel()
         site.signal("entry2", signal.SIGCONT)
@@ -222,20 +223,20 @@
 
 
 async def limits_known(site: Machines, entry: str) -> list[float]:
-    """Return the limits of the model's replicas that an entry goes by."""
+    """Return the limits of the model's replicas that an entry applies."""
     states = (await site.state(entry)).get("replica_states", [])
     return [state["limit"] for state in states if state["limit"] is not None]
 
 
 async def wait_limits(site: Machines, entry: str, expected: list[float]) -> None:
-    """Wait until an entry goes by these limits and no others."""
+    """Wait until an entry applies exactly these limits."""
     with trio.fail_after(NEWS_SECONDS):
         while await limits_known(site, entry) != expected:
             await trio.sleep(0.05)
 
 
 async def ask_until_limits(site: Machines, entry: str, expected: list[float]) -> None:
-    """Send requests to an entry until it goes by these limits and no others."""
+    """Send requests to an entry until it applies exactly these limits."""
     with trio.fail_after(WAIT_SECONDS):
         while await limits_known(site, entry) != expected:
             await ask(site.callers(entry), "/stream/x")
@@ -267,7 +268,7 @@
         await wait_limits(site, "entry1", [2.5])
 
 
-async def test_a_replica_that_starts_again_has_no_limit_of_before(tmp_path: Path) -> None:
+async def test_a_restarted_replica_does_not_keep_its_earlier_limit(tmp_path: Path) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE) as site:
         limited, *_ = replicas_of(site, MODEL_SERVICE)
         limited.limit = "2.5"
--- a/tests/test_replica_losses.py
+++ b/tests/test_replica_losses.py
@@ -1,4 +1,4 @@
-"""Which requests are blamed for lost replicas, decided without a network and without a clock."""
+"""Tests of the attribution of lost replicas to requests, and of the news that entries exchange."""
 
 import random
 from collections.abc import Iterable
@@ -24,22 +24,25 @@
 
 
 def request(number: int) -> RequestIdentity:
-    """Return the identity of one of many requests."""
+    """Return the identity of the request with this number."""
     return RequestIdentity(bytes(8), number.to_bytes(8, "big"), bytes(8))
 
 
 def lost(number: int) -> LossKey:
-    """Return one life of one of many replicas."""
+    """Return the loss key of the replica with this number."""
     return LossKey(f"i-{number}", None)
 
 
 def confirm(known: ReplicaLosses, key: LossKey) -> None:
-    """Note that a replica, which was lost, has ended."""
+    """Record that a lost replica has ended."""
     known.blame(key, [], known.losses()[key].at, Evidence.ENDED)
 
 
 def with_losses(*losses: Iterable[int]) -> ReplicaLosses:
-    """Return what is known after certain losses, one a second from 1 s on, of some requests."""
+    """Return the state after certain losses, one per second from 1 s on.
+
+    Each argument lists the requests that ran on one lost replica.
+    """
     known = ReplicaLosses()
     for number, requests in enumerate(losses):
         known.blame(lost(number), [request(each) for each in requests], number + 1.0)
@@ -74,7 +77,7 @@
     assert known.standing(request(CRASHING), 2.0) is Standing.BARRED
 
 
-def test_silence_is_not_held_against_a_request_that_was_answered_lately() -> None:
+def test_silence_does_not_count_against_a_request_that_was_answered_recently() -> None:
     known = ReplicaLosses()
     known.note_answer(request(CRASHING), 1.0)
     for number in range(2):
@@ -85,15 +88,15 @@
     assert known.standing(request(CRASHING), 62.0) is Standing.SUSPECT
 
 
-def test_the_same_loss_told_by_several_entries_counts_once() -> None:
+def test_a_loss_that_several_entries_report_counts_once() -> None:
     known = ReplicaLosses()
     for at in (1.0, 1.1, 1.2):
         known.blame(lost(0), [request(CRASHING)], at)
     assert known.standing(request(CRASHING), 2.0) is Standing.CLEAR
 
 
-def test_requests_beside_a_crashing_one_stay_clear_although_they_lost_three_replicas_too() -> None:
-    # Requests 1 and 2 stood beside it three times, and never without it.
+def test_requests_that_ran_beside_a_crashing_one_stay_clear_after_three_losses() -> None:
+    # Requests 1 and 2 were lost three times each, and always together with the crashing one.
     known = with_losses(
         [CRASHING, 1], [CRASHING, 1, 2], [CRASHING, 1, 2], [CRASHING, 2], [CRASHING]
     )
@@ -108,22 +111,22 @@
     assert {known.standing(request(n), 7.0) for n in (5, 6, 7)} == {Standing.CLEAR}
 
 
-def test_a_whole_answer_clears_a_request_of_all_that_came_before() -> None:
+def test_a_complete_answer_clears_a_request_of_earlier_losses() -> None:
     known = with_losses([CRASHING], [CRASHING], [CRASHING])
     assert known.note_answer(request(CRASHING), 3.5)
     assert known.standing(request(CRASHING), 4.0) is Standing.CLEAR
     assert known.is_empty
 
 
-def test_news_of_a_loss_that_come_after_the_answer_that_cleared_it_change_nothing() -> None:
+def test_late_news_of_a_loss_before_a_complete_answer_are_ignored() -> None:
     known = with_losses([CRASHING], [CRASHING], [CRASHING])
     known.note_answer(request(CRASHING), 3.5)
     assert not known.blame(lost(8), [request(CRASHING)], 3.4)
     assert known.blame(lost(9), [request(CRASHING)], 3.6)
 
 
-def test_broken_connections_to_replicas_that_live_bar_nobody() -> None:
-    """A cut, a reset of connections, a replica that resets a part of its requests."""
+def test_broken_connections_to_running_replicas_bar_no_request() -> None:
+    """Connections also break by a network cut, or because a replica resets some requests."""
     known = ReplicaLosses()
     for number in range(5):
         known.blame(lost(number), [request(CRASHING)], 1.0)
@@ -133,10 +136,10 @@
     for number in range(3, 5):
         assert known.retract(lost(number), 1.6)
     assert known.standing(request(CRASHING), 1.7) is Standing.CLEAR
-    assert not known.blame(lost(0), [request(CRASHING)], 1.0), "older news of a replica that lives"
+    assert not known.blame(lost(0), [request(CRASHING)], 1.0), "older news of a running replica"
 
 
-def test_a_loss_that_nothing_confirms_is_forgotten_soon_and_a_certain_one_is_not() -> None:
+def test_an_unconfirmed_loss_expires_sooner_than_a_certain_one() -> None:
     known = ReplicaLosses()
     for number in range(3):
         known.blame(lost(number), [request(CRASHING)], 1.0)
@@ -146,9 +149,7 @@
     assert blamed == [lost(0)]
 
 
-def test_a_barred_request_is_tried_again_after_a_time_that_doubles_with_each_further_loss() -> (
-    None
-):
+def test_the_time_for_which_a_request_is_barred_doubles_with_each_further_loss() -> None:
     known = with_losses([CRASHING], [CRASHING], [CRASHING])
     tried_at = 3.0 + BARRED_SECONDS
     assert known.standing(request(CRASHING), tried_at - 1) is Standing.BARRED
@@ -160,14 +161,14 @@
 
 
 @given(st.integers(0, 1 << 30))
-def test_popular_requests_are_never_barred_while_replicas_die_of_themselves(seed: int) -> None:
-    """Six requests come again every 0.3 s, and one try in five fails."""
+def test_frequent_requests_are_never_barred_while_replicas_crash_independently(seed: int) -> None:
+    """Each of six requests is repeated every 0.3 s, and one try in five fails."""
     generator = random.Random(seed)
     known = ReplicaLosses()
     for number in range(40):
         at = 1.5 * number
-        there = generator.sample(range(6), generator.randint(0, 4))
-        known.blame(lost(number), [request(each) for each in there], at)
+        running = generator.sample(range(6), generator.randint(0, 4))
+        known.blame(lost(number), [request(each) for each in running], at)
         confirm(known, lost(number))
         for each in range(6):
             assert known.standing(request(each), at) is not Standing.BARRED
@@ -176,12 +177,12 @@
                     known.note_answer(request(each), at + 0.3 * attempt)
 
 
-def test_a_flood_of_other_requests_evicts_no_barred_one_and_stays_within_bounds() -> None:
+def test_many_other_losses_evict_no_barred_request_and_stay_within_bounds() -> None:
     known = with_losses([CRASHING], [CRASHING], [CRASHING])
     assert known.standing(request(CRASHING), 4.0) is Standing.BARRED
     for number in range(10, 3 * MAX_LOSSES):
-        there = [request(1000 * number + n) for n in range(100)]
-        known.blame(lost(number), there, 10.0, Evidence.ENDED)
+        running = [request(1000 * number + n) for n in range(100)]
+        known.blame(lost(number), running, 10.0, Evidence.ENDED)
     assert known.standing(request(CRASHING), 11.0) is Standing.BARRED
     assert len(known.losses()) <= MAX_LOSSES
     assert max(len(loss.requests) for loss in known.losses().values()) <= MAX_REQUESTS_PER_LOSS
@@ -191,36 +192,36 @@
 
 
 @given(st.integers(0, 1 << 30))
-def test_entries_agree_whatever_news_come_late_or_twice(seed: int) -> None:
+def test_entries_agree_when_news_arrive_late_or_twice(seed: int) -> None:
     generator = random.Random(seed)
-    teller, heard = SharedLosses(), [SharedLosses(), SharedLosses()]
+    sender, receivers = SharedLosses(), [SharedLosses(), SharedLosses()]
     news: list[tuple[LossNews, float]] = []
     now = 100.0
     for _ in range(12):
         now += 0.1
         key = lost(generator.randrange(5))
-        there = [request(n) for n in generator.sample(range(4), 2)]
-        teller.blame(key, there, now, generator.choice(list(Evidence)))
+        running = [request(n) for n in generator.sample(range(4), 2)]
+        sender.blame(key, running, now, generator.choice(list(Evidence)))
         if generator.random() < 0.2:
-            teller.note_answer(request(generator.randrange(4)), now)
-        told = teller.take_pending(now)
-        if told is not None:
-            news.append((told, now))
-    for other in heard:
+            sender.note_answer(request(generator.randrange(4)), now)
+        pending = sender.take_pending(now)
+        if pending is not None:
+            news.append((pending, now))
+    for other in receivers:
         order = news + generator.sample(news, len(news) // 2)
         generator.shuffle(order)
-        for told, told_at in order:
-            other.receive(_aged(told, now - told_at), now)
-        all_known = teller.all_news(now)
+        for pending, sent_at in order:
+            other.receive(_aged(pending, now - sent_at), now)
+        all_known = sender.all_news(now)
         if all_known is not None:
             other.receive(all_known, now)
         for number in range(4):
-            expected = teller.losses.standing(request(number), now)
+            expected = sender.losses.standing(request(number), now)
             assert other.losses.standing(request(number), now) is expected
 
 
 def _aged(news: LossNews, seconds: float) -> LossNews:
-    """Return news as they are when they come late: their ages are as of their sending."""
+    """Return news with the ages that they have when they arrive late."""
     lost_ = [msgspec.structs.replace(each, age=each.age + seconds) for each in news.lost]
     answered = [AnsweredRequest(each.request, each.age + seconds) for each in news.answered]
     return LossNews(lost_, [], answered)
@@ -236,7 +237,7 @@
         LostReplica("i-1", None, 1.0, 9, [bytes(24)]),
     ],
 )
-def test_news_that_cannot_be_right_are_left_out(item: LostReplica) -> None:
+def test_implausible_news_are_ignored(item: LostReplica) -> None:
     shared = SharedLosses()
     good = LostReplica("i-2", None, 1.0, 1, [request(1).to_bytes()])
     shared.receive(LossNews([item, good]), 100.0)
@@ -244,7 +245,7 @@
     assert set(shared.losses.losses()) == {LossKey("i-2", None)}
 
 
-def test_news_survive_their_encoding() -> None:
+def test_encoded_news_decode_to_the_same_news() -> None:
     shared = SharedLosses()
     shared.blame(lost(1), [request(1)], 1.0, Evidence.BROKEN)
     news = shared.take_pending(2.0)
@@ -252,7 +253,7 @@
     assert shared.take_pending(2.0) is None
 
 
-def test_news_hold_what_was_learned_since_and_not_what_others_told() -> None:
+def test_pending_news_hold_own_observations_and_not_those_of_other_entries() -> None:
     shared = SharedLosses()
     shared.blame(lost(1), [request(1)], 1.0, Evidence.BROKEN)
     shared.take_pending(1.0)
@@ -264,11 +265,11 @@
     assert [each.requests for each in news.lost] == [[request(3).to_bytes()]]
 
 
-def test_only_what_makes_requests_suspect_is_kept_by_daemons() -> None:
+def test_suspect_news_hold_only_losses_of_suspect_requests() -> None:
     shared = SharedLosses()
     for number in range(2):
-        there = [request(CRASHING), request(number + 1)]
-        shared.blame(lost(number), there, 1.0, Evidence.BROKEN)
+        running = [request(CRASHING), request(number + 1)]
+        shared.blame(lost(number), running, 1.0, Evidence.BROKEN)
     news = shared.suspect_news(2.0)
     assert news is not None
     assert [each.requests for each in news.lost] == [[request(CRASHING).to_bytes()]] * 2
--- a/tests/test_replica_news.py
+++ b/tests/test_replica_news.py
@@ -1,4 +1,4 @@
-"""What entries take of one another's news of replicas, without a network."""
+"""Tests of the news that entries exchange about limits and leaving replicas."""
 
 import math
 
@@ -16,11 +16,11 @@
     return ReplicaState(replica)
 
 
-def receive(state: ReplicaState, word: ReplicaBackpressure, now: float = 100.0) -> bool:
-    return bool(receive_news(ReplicaNews([word]), {state.replica.id: state}.get, now))
+def receive(state: ReplicaState, item: ReplicaBackpressure, now: float = 100.0) -> bool:
+    return bool(receive_news(ReplicaNews([item]), {state.replica.id: state}.get, now))
 
 
-def test_what_an_answer_told_is_told_once_and_repeated_while_it_holds() -> None:
+def test_a_limit_from_an_answer_is_pending_once_and_stays_in_all_news() -> None:
     state = state_of("a")
     state.backpressure.limit.note_answer(2.0, 0.0, 1.0, 99.0)
     news = pending_news([state], 100.0)
@@ -30,13 +30,13 @@
     assert all_news([state], 100.0) == news
 
 
-def test_what_was_heard_is_not_told_on_at_once() -> None:
+def test_received_news_are_not_forwarded_at_once() -> None:
     state = state_of("a")
     assert receive(state, ReplicaBackpressure("a", 7, 1.0, 2.0))
     assert pending_news([state], 100.0) is None
 
 
-def test_the_newer_word_counts() -> None:
+def test_the_newer_item_applies() -> None:
     state = state_of("a")
     assert receive(state, ReplicaBackpressure("a", 7, 1.0, 2.0))
     assert not receive(state, ReplicaBackpressure("a", 7, 3.0, None))
@@ -44,7 +44,7 @@
     assert state.backpressure.limit.per_second is None
 
 
-def test_the_word_of_an_earlier_life_or_of_an_unknown_replica_changes_nothing() -> None:
+def test_items_of_an_earlier_incarnation_or_unknown_replica_are_ignored() -> None:
     state = state_of("a")
     assert not receive(state, ReplicaBackpressure("a", 6, 0.0, 2.0))
     assert not receive(state, ReplicaBackpressure("b", 7, 0.0, 2.0))
@@ -55,8 +55,8 @@
     "wrong",
     [{"age": -1.0}, {"age": math.nan}, {"age": math.inf}, {"limit": -1.0}, {"limit": math.nan}],
 )
-def test_news_that_cannot_be_right_change_nothing(wrong: dict[str, float]) -> None:
+def test_implausible_items_are_ignored(wrong: dict[str, float]) -> None:
     state = state_of("a")
-    word = msgspec.structs.replace(ReplicaBackpressure("a", 7, 0.0, 2.0), **wrong)
-    assert not receive(state, word)
+    item = msgspec.structs.replace(ReplicaBackpressure("a", 7, 0.0, 2.0), **wrong)
+    assert not receive(state, item)
     assert state.backpressure.limit.per_second is None
--- a/tests/test_replica_rest.py
+++ b/tests/test_replica_rest.py
@@ -1,6 +1,6 @@
-"""Replicas that turn requests away and ask the entry for rest.
+"""Tests of replicas that reject requests and ask the entry for rest.
 
-Two entries as real processes before a few replicas. Requests come to both in turn.
+Two entries run as real processes before a few replicas. Requests go to both in turn.
 """
 
 from contextlib import AbstractAsyncContextManager
@@ -27,15 +27,15 @@
 REST_SECONDS: Final = 3.0
 RESTING_SECONDS: Final = 8.0
 AFTER_SECONDS: Final = 4.0
-# What the users allow: so many requests of one entry from so long after an answer that asks for
-# rest to the end of the rest.
+# The requirement: one entry sends at most MAX_REQUESTS_IN_REST requests from GRACE_SECONDS after
+# an answer that asks for rest until the end of the rest.
 GRACE_SECONDS: Final = 0.5
-ALLOWED: Final = 2
+MAX_REQUESTS_IN_REST: Final = 2
 
 
 @dataclass
 class LoadResult:
-    """What callers sent and got."""
+    """The requests that callers sent, and the replies."""
 
     entry_of: dict[str, str] = field(default_factory=dict)  # by request
     replies: list[Reply] = field(default_factory=list)
@@ -45,14 +45,14 @@
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
     def max_in_rest(self, replica: FakeReplica) -> int:
-        """Return the highest requests of one entry within a rest that the replica asked it for."""
-        highest = 0
+        """Return the most requests of one entry during a rest that the replica asked it for."""
+        most = 0
         for entry in ENTRIES:
             arrived = [r for r in replica.arrived if self.entry_of.get(r.id) == entry]
             for asked in (r for r in arrived if r.asked_rest):
                 first, last = asked.at + GRACE_SECONDS, asked.at + REST_SECONDS
-                highest = max(highest, sum(first < r.at < last for r in arrived))
-        return highest
+                most = max(most, sum(first < r.at < last for r in arrived))
+        return most
 
 
 async def run_load(site: Machines, path: str, seconds: float) -> LoadResult:
@@ -73,19 +73,19 @@
 
 
 def site_for(tmp_path: Path, path: str) -> AbstractAsyncContextManager[Machines]:
-    """Run two entries before four replicas of the service that a path leads to."""
+    """Run two entries before four replicas of the service of a path."""
     models, plain = (4, 1) if SERVICES[path] == MODEL_SERVICE else (1, 4)
     return small_site(tmp_path, models=models, plain=plain, entries=2)
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
-async def test_an_entry_lets_a_replica_rest_that_asked_for_it(tmp_path: Path, path: str) -> None:
+async def test_an_entry_keeps_the_rest_that_a_replica_asked_for(tmp_path: Path, path: str) -> None:
     async with site_for(tmp_path, path) as site:
         resting, *_ = replicas_of(site, SERVICES[path])
         resting.rest = str(REST_SECONDS)
         result = await run_load(site, path, RESTING_SECONDS)
         print(result.max_in_rest(resting), result.served(), len(result.replies))
-        assert result.max_in_rest(resting) <= ALLOWED
+        assert result.max_in_rest(resting) <= MAX_REQUESTS_IN_REST
         assert result.served() == len(result.replies)
         resting.rest = None
         runs = len(resting.runs)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
-async def test_entries_let_all_replicas_rest_and_refuse_callers_at_once(
+async def test_entries_refuse_callers_at_once_if_all_replicas_rest(
     tmp_path: Path, path: str
 ) -> None:
     async with site_for(tmp_path, path) as site:
@@ -103,12 +103,12 @@
             replica.rest = str(REST_SECONDS)
         result = await run_load(site, path, RESTING_SECONDS)
         print([result.max_in_rest(replica) for replica in resting])
-        assert all(result.max_in_rest(replica) <= ALLOWED for replica in resting)
+        assert all(result.max_in_rest(replica) <= MAX_REQUESTS_IN_REST for replica in resting)
         assert {reply.status for reply in result.replies} == {503}
-        told = [float(reply.headers[names.RETRY_AFTER]) for reply in result.replies]
-        print(min(told), max(told))
-        assert max(told) > GRACE_SECONDS
-        assert len(set(told)) > len(told) / 2
+        delays = [float(reply.headers[names.RETRY_AFTER]) for reply in result.replies]
+        print(min(delays), max(delays))
+        assert max(delays) > GRACE_SECONDS
+        assert len(set(delays)) > len(delays) / 2
         for replica in resting:
             replica.rest = None
         await trio.sleep(REST_SECONDS)
@@ -117,7 +117,7 @@
         assert after.served() >= 0.9 * len(after.replies)
 
 
-async def test_a_caller_that_a_resting_replica_turned_away_is_told_when_the_rest_is_over(
+async def test_a_caller_rejected_by_a_resting_replica_is_told_when_the_rest_ends(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=0, plain=1, entries=1) as site:
--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -1,4 +1,4 @@
-"""How entries pace their requests to the limit of a replica, without a network or a clock."""
+"""Tests of the pacing of requests to the limit of a replica, with a simulated clock."""
 
 import itertools
 import math
@@ -16,7 +16,7 @@
 WINDOW_SECONDS: Final = 4.0
 STEP_SECONDS: Final = 0.05
 RUN_SECONDS: Final = 40.0
-# Every entry has its turn several times in it, also at the least limit.
+# Long enough for every entry to send several requests, also at the lowest limit.
 LONG_SECONDS: Final = 240.0
 MIN_USED_FRACTION: Final = 0.7
 
@@ -25,11 +25,11 @@
 
 @dataclass
 class Fleet:
-    """Entries that were all told of one limit at the same moment."""
+    """Entries that all learned one limit at the same time."""
 
     entries: int
     limit: float
-    moments: list[float] = field(default_factory=list)  # at which a request was sent
+    moments: list[float] = field(default_factory=list)  # when requests were sent
     states: list[RequestLimit] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -38,7 +38,7 @@
             state.note_answer(self.limit, 0.0, 1 / self.entries, 0.0)
 
     def run(self, demand: Demand, seconds: float = RUN_SECONDS) -> None:
-        """Let each entry send what it has as soon as it may."""
+        """Let each entry send its requests as soon as the limit allows it."""
         for step in range(int(seconds / STEP_SECONDS)):
             now = step * STEP_SECONDS
             for number, state in enumerate(self.states):
@@ -47,7 +47,7 @@
                     self.moments.append(now)
 
     def max_in_window(self) -> int:
-        """Return the most requests in one span."""
+        """Return the most requests in any window."""
         return max(
             (
                 bisect_left(self.moments, a + WINDOW_SECONDS) - bisect_left(self.moments, a)
@@ -67,7 +67,7 @@
 
 @pytest.mark.parametrize("limit", LIMITS)
 @pytest.mark.parametrize("entries", ENTRIES)
-def test_entries_with_requests_at_all_times_use_a_limit_and_keep_it(
+def test_entries_with_constant_demand_use_a_limit_and_do_not_exceed_it(
     entries: int, limit: float
 ) -> None:
     fleet = Fleet(entries, limit)
@@ -79,7 +79,7 @@
 @pytest.mark.parametrize(
     ("entries", "limit", "seed"), [(12, 0.0, 28), (12, 0.0, 236), (12, 0.2, 236), (9, 0.0, 47)]
 )
-def test_the_places_of_many_entries_do_not_coincide_beyond_a_tiny_limit(
+def test_coinciding_permits_of_many_entries_do_not_exceed_a_tiny_limit(
     entries: int, limit: float, seed: int
 ) -> None:
     random.seed(seed)
@@ -90,7 +90,7 @@
 
 @pytest.mark.parametrize("limit", LIMITS)
 @pytest.mark.parametrize("entries", ENTRIES)
-def test_entries_that_all_have_requests_again_at_one_moment_keep_a_limit(
+def test_entries_whose_demand_resumes_at_the_same_time_do_not_exceed_a_limit(
     entries: int, limit: float
 ) -> None:
     fleet = Fleet(entries, limit)
@@ -104,7 +104,7 @@
     quiet=st.lists(st.tuples(st.floats(0, 40), st.floats(0, 40)), min_size=12, max_size=12),
     seed=st.integers(0, 1 << 30),
 )
-def test_entries_with_requests_now_and_then_keep_a_limit(
+def test_entries_with_intermittent_demand_do_not_exceed_a_limit(
     entries: int, limit: float, quiet: list[tuple[float, float]], seed: int
 ) -> None:
     random.seed(seed)
@@ -113,7 +113,7 @@
     assert fleet.max_in_window() <= allowed(limit)
 
 
-def test_a_limit_of_nothing_lets_a_request_find_out_now_and_then() -> None:
+def test_a_limit_of_zero_allows_a_probe_now_and_then() -> None:
     state = RequestLimit()
     state.note_answer(0.0, 0.0, 1.0, 0.0)
     assert 0 < state.seconds_to_next(1.0, 0.0) <= 1 / MIN_LIMIT_PER_SECOND
@@ -125,7 +125,7 @@
 def test_a_request_finds_out_in_time_that_a_tiny_limit_has_ended(
     entries: int, limit: float, seed: int
 ) -> None:
-    """The end of a limit shows in the next request only, and nothing else told it within 4 s."""
+    """Only the answer to a request shows the end of a limit, so one must be sent within 4 s."""
     random.seed(seed)
     fleet = Fleet(entries, limit)
     fleet.run(lambda number, now: True)
@@ -142,14 +142,14 @@
     assert not state.seconds_to_next(0.5, 1.6)
 
 
-def test_an_answer_to_a_request_from_before_the_limit_does_not_end_it() -> None:
+def test_an_answer_to_a_request_sent_before_the_limit_does_not_end_it() -> None:
     state = RequestLimit()
     state.note_answer(2.0, 0.0, 0.5, 1.0)
     assert not state.note_answer(None, 0.9, 0.5, 1.2)
     assert state.per_second == 2.0
 
 
-def test_a_higher_limit_holds_at_once() -> None:
+def test_a_higher_limit_applies_at_once() -> None:
     state = RequestLimit()
     state.note_answer(0.2, 0.0, 0.2, 0.0)
     state.note_answer(20.0, 0.0, 0.2, 1.0)
@@ -163,7 +163,7 @@
     starts=st.lists(st.tuples(st.integers(0, 11), st.floats(0, 40)), max_size=8),
     seed=st.integers(0, 1 << 30),
 )
-def test_entries_that_start_anew_and_hear_of_a_limit_from_others_keep_it(
+def test_restarted_entries_that_learn_a_limit_from_others_do_not_exceed_it(
     entries: int, limit: float, starts: list[tuple[int, float]], seed: int
 ) -> None:
     random.seed(seed)
--- a/tests/test_requests_that_end_replicas.py
+++ b/tests/test_requests_that_end_replicas.py
@@ -1,6 +1,7 @@
-"""Requests under which replicas end, and what they cost others.
+"""Tests of requests that crash replicas, and of their effect on other requests.
 
-Two entries as real processes and ten replicas, each of which is back three seconds after it ended.
+Two entries run as real processes before ten replicas, each of which restarts three seconds after
+it ended.
 """
 
 import random
@@ -23,11 +24,11 @@
 from tests.test_machine_weights import wait_offered
 
 CRASHING: Final = b"ends what runs it"
-BACK_SECONDS: Final = 3.0
-TRIED_EVERY_SECONDS: Final = 0.3
-OTHERS_EVERY_SECONDS: Final = 0.05
+RESTART_SECONDS: Final = 3.0
+CRASHING_INTERVAL_SECONDS: Final = 0.3
+OTHERS_INTERVAL_SECONDS: Final = 0.05
 LOAD_SECONDS: Final = 15.0
-# What the users allow: so many arrivals later than this after the third end.
+# The requirement: at most LATE_ARRIVALS arrivals later than this after the third crash.
 CONTACT_SECONDS: Final = 3.0
 LATE_ARRIVALS: Final = 3
 SERVED_SHARE: Final = 0.9
@@ -37,14 +38,14 @@
 
 @dataclass
 class LoadResult:
-    """What was seen of a run_load."""
+    """The observations of one run of the load."""
 
     ends: list[float] = field(default_factory=list)  # trio's clock
     crashing_arrivals: list[float] = field(default_factory=list)
     others: list[Reply] = field(default_factory=list)
 
     def late_arrivals(self) -> int:
-        """Return how often the crashing request began later than the users allow."""
+        """Return how often the crashing request began after the allowed time."""
         if len(self.ends) < 3:
             return 0
         third = sorted(self.ends)[2]
@@ -57,14 +58,14 @@
 
 @asynccontextmanager
 async def crashing_site(directory: Path, service: str, ending: Ending) -> AsyncIterator[Machines]:
-    """Run two entries before ten replicas of a service, which the crashing body ends."""
+    """Run two entries before ten replicas of a service, which the crashing body terminates."""
     models, plain = (10, 2) if service == MODEL_SERVICE else (2, 10)
     async with small_site(directory, models=models, plain=plain, entries=2) as site:
         for listed in site.replicas.values():
             if listed.service == service:
                 listed.replica.ending = ending
                 listed.replica.ends_under = lambda body: body == CRASHING
-        site.nursery.start_soon(site.revive_replicas, service, BACK_SECONDS)
+        site.nursery.start_soon(site.revive_replicas, service, RESTART_SECONDS)
         yield site
 
 
@@ -75,7 +76,7 @@
 
 
 async def run_load(site: Machines, path: str) -> LoadResult:
-    """Send the crashing request again and again at either entry, and others beside it."""
+    """Send the crashing request repeatedly to both entries, and other requests beside it."""
     result = LoadResult()
 
     async def call(entry: int, body: bytes) -> None:
@@ -94,8 +95,8 @@
     async with trio.open_nursery() as nursery:
         with trio.move_on_after(LOAD_SECONDS):
             async with trio.open_nursery() as callers:
-                callers.start_soon(repeat, CRASHING, TRIED_EVERY_SECONDS)
-                callers.start_soon(repeat, b"", OTHERS_EVERY_SECONDS)
+                callers.start_soon(repeat, CRASHING, CRASHING_INTERVAL_SECONDS)
+                callers.start_soon(repeat, b"", OTHERS_INTERVAL_SECONDS)
     result.crashing_arrivals = sorted(run.began_at for run in crashing_runs(site))
     result.ends = result.crashing_arrivals
     return result
@@ -103,7 +104,7 @@
 
 @pytest.mark.parametrize("path", list(SERVICES))
 @pytest.mark.parametrize("ending", list(Ending))
-async def test_a_request_that_ends_replicas_is_not_sent_on_after_the_third_end(
+async def test_a_crashing_request_is_not_forwarded_after_the_third_crash(
     tmp_path: Path, path: str, ending: Ending
 ) -> None:
     async with crashing_site(tmp_path, SERVICES[path], ending) as site:
@@ -113,8 +114,8 @@
 
 
 POPULAR_REQUESTS: Final = 6
-DIES_EVERY_SECONDS: Final = 1.5
-DYING_SECONDS: Final = 20.0
+CRASH_INTERVAL_SECONDS: Final = 1.5
+CRASHES_SECONDS: Final = 20.0
 ANSWERED_SHARE: Final = 0.99
 
 
@@ -131,19 +132,19 @@
 
         async def end_replicas() -> None:
             while True:
-                await trio.sleep(DIES_EVERY_SECONDS)
+                await trio.sleep(CRASH_INTERVAL_SECONDS)
                 alive = [r for r in replicas_of(site, MODEL_SERVICE) if not r.ended.is_set()]
                 await random.choice(alive).end()
 
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.event_seconds = 0.05
         async with trio.open_nursery() as calls:
-            with trio.move_on_after(DYING_SECONDS):
+            with trio.move_on_after(CRASHES_SECONDS):
                 async with trio.open_nursery() as nursery:
                     nursery.start_soon(end_replicas)
                     for number in range(1 << 30):
                         calls.start_soon(call, number)
-                        await trio.sleep(OTHERS_EVERY_SECONDS)
+                        await trio.sleep(OTHERS_INTERVAL_SECONDS)
         judged = [
             line["standing"]
             for entry in ("entry0", "entry1")
@@ -162,7 +163,7 @@
 
 @pytest.mark.parametrize("path", list(SERVICES))
 @pytest.mark.parametrize("ending", list(Ending))
-async def test_others_are_served_while_a_request_that_ends_replicas_comes_again(
+async def test_other_requests_are_served_while_a_crashing_request_is_repeated(
     tmp_path: Path, path: str, ending: Ending
 ) -> None:
     async with crashing_site(tmp_path, SERVICES[path], ending) as site:
@@ -181,7 +182,7 @@
             await trio.sleep(0.1)
 
 
-async def test_entries_that_start_after_all_were_killed_know_what_is_barred(
+async def test_entries_that_restart_after_all_were_killed_know_the_barred_requests(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=6, plain=1, entries=2, daemons=True) as site:
@@ -206,10 +207,10 @@
 OTHER_KEY: Final = "key-2"
 CRASHING_BODIES: Final = 100
 CRASHING_SECONDS: Final = 30.0
-ENDED_AT_MOST: Final = 12
+MAX_ENDED: Final = 12
 
 
-async def test_a_hundred_requests_of_one_team_do_not_end_a_hundred_replicas(
+async def test_a_hundred_crashing_requests_of_one_team_do_not_end_a_hundred_replicas(
     tmp_path: Path,
 ) -> None:
     async with crashing_site(tmp_path, MODEL_SERVICE, Ending.RESET) as site:
@@ -232,22 +233,22 @@
                 others.append(reply)
 
         async with trio.open_nursery() as calls:
-            for number in range(int(CRASHING_SECONDS / OTHERS_EVERY_SECONDS)):
+            for number in range(int(CRASHING_SECONDS / OTHERS_INTERVAL_SECONDS)):
                 calls.start_soon(call, number, OTHER_KEY, b"innocent %d" % number)
-                every = int(CRASHING_SECONDS / OTHERS_EVERY_SECONDS / CRASHING_BODIES)
+                every = int(CRASHING_SECONDS / OTHERS_INTERVAL_SECONDS / CRASHING_BODIES)
                 if number % every == 0:
                     crashing = number // every
                     calls.start_soon(call, crashing, KEY, CRASHING + b" %d" % crashing)
-                await trio.sleep(OTHERS_EVERY_SECONDS)
+                await trio.sleep(OTHERS_INTERVAL_SECONDS)
         listed = site.replicas.values()
         ended = [r for each in listed for r in each.replica.runs if r.body.startswith(CRASHING)]
         answered = sum(reply.status == 200 and reply.whole for reply in others)
         print(len(ended), "ended;", answered, "of", len(others), "answered")
-        assert len(ended) <= ENDED_AT_MOST
+        assert len(ended) <= MAX_ENDED
         assert answered >= ANSWERED_SHARE * len(others)
 
 
-async def test_a_copy_that_waits_at_its_replica_is_withdrawn_and_may_have_run(
+async def test_a_waiting_copy_of_a_barred_request_is_withdrawn_and_may_have_run(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=4, plain=0) as site:
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -1,4 +1,4 @@
-"""When a request is sent to a second replica, and to which."""
+"""Tests of when a request is sent to a second replica, and to which."""
 
 from dataclasses import dataclass
 from typing import cast
@@ -23,7 +23,7 @@
 
 @dataclass(frozen=True)
 class StubRoute:
-    """The part of a route that decides about repeats."""
+    """The part of a route that decides about retries."""
 
     repetition = Repetition.REPEATABLE
     max_attempts: int = 2
@@ -31,7 +31,7 @@
 
 @dataclass
 class StubRequest:
-    """The part of an admitted request that decides about its repeats."""
+    """The part of an admitted request that decides about its retries."""
 
     retry_paid: bool
     runs: int = 1
@@ -40,10 +40,10 @@
 
 
 class StubContainment:
-    """Every request is suspect."""
+    """A containment for which every request is suspect."""
 
     def is_clear(self, request: Admitted) -> bool:
-        """Tell that the request is not clear."""
+        """Return False."""
         return False
 
 
@@ -53,7 +53,7 @@
     return retries.may_run_again(cast(Admitted, request))
 
 
-def test_a_request_that_left_a_silent_replica_runs_again_though_it_is_suspect_now() -> None:
+def test_a_request_that_left_a_silent_replica_runs_again_although_it_is_suspect() -> None:
     request = StubRequest(retry_paid=True)
     assert may_run_again(request)
     assert not may_run_again(request)
@@ -77,8 +77,8 @@
     picker = Picker("z", directory, WeightsRules(facts, 8.0))
     limits = CallerLimits(1, 1, 1.0, 1.0)
     configuration = Configuration(1, (), {"api": Service("api", 1)}, (), limits)
-    *_, lively = directory.states()
-    lively.learn(Streamed(), bound=False)
+    *_, answering = directory.states()
+    answering.learn(Streamed(), bound=False)
     second = Wish("api", None, None, ("r0",), True)
     for _ in range(20):
-        assert picker.pick(second, configuration) is lively
+        assert picker.pick(second, configuration) is answering
