--- a/libs/gateway/src/headcross_gateway/grouplosses.py
+++ b/libs/gateway/src/headcross_gateway/grouplosses.py
@@ -17,8 +17,8 @@
 # Ends of requests and losses of replicas older than this are ignored.
 WINDOW_SECONDS: Final = 30.0
 # Losses of replicas within the window from which on a group is restricted.
-UNRESTRICTED_LOSSES: Final = 3
-# The pause after UNRESTRICTED_LOSSES losses; it doubles with each further one.
+RESTRICTED_LOSSES: Final = 3
+# The pause after RESTRICTED_LOSSES losses; it doubles with each further one.
 FIRST_PAUSE_SECONDS: Final = 2.0
 MAX_PAUSE_SECONDS: Final = 30.0
 MAX_GROUPS: Final = 1024
@@ -136,7 +136,7 @@
     9.0
     """
     recent = [at for at in lost_at if now - at < WINDOW_SECONDS]
-    if len(recent) < UNRESTRICTED_LOSSES:
+    if len(recent) < RESTRICTED_LOSSES:
         return float("-inf")
-    pause = FIRST_PAUSE_SECONDS * 2.0 ** (len(recent) - UNRESTRICTED_LOSSES)
+    pause = FIRST_PAUSE_SECONDS * 2.0 ** (len(recent) - RESTRICTED_LOSSES)
     return max(recent) + min(pause, MAX_PAUSE_SECONDS)
--- a/libs/gateway/src/headcross_gateway/lossnews.py
+++ b/libs/gateway/src/headcross_gateway/lossnews.py
@@ -78,7 +78,7 @@
         """Return what this entry learned itself since the last call, None if nothing."""
         known = self.losses.losses()
         lost = [
-            _lost(key, known[key], requests & known[key].requests, now)
+            _lost_replica(key, known[key], requests & known[key].requests, now)
             for key, requests in self._lost.items()
             if key in known
         ]
@@ -94,7 +94,7 @@
     def all_news(self, now: float) -> LossNews | None:
         """Return all recorded losses, None if there are none."""
         lost = [
-            _lost(key, loss, loss.requests, now)
+            _lost_replica(key, loss, loss.requests, now)
             for key, loss in self.losses.losses().items()
             if loss.requests
         ]
@@ -104,7 +104,7 @@
         """Return the losses that make requests suspect or barred, None if there are none."""
         suspects = {each.identity for each in self.losses.suspicions()}
         lost = [
-            _lost(key, loss, loss.requests & suspects, now)
+            _lost_replica(key, loss, loss.requests & suspects, now)
             for key, loss in self.losses.losses().items()
             if loss.requests & suspects
         ]
@@ -124,7 +124,7 @@
             if self._is_plausible(alive.age):
                 self.losses.retract(LossKey(alive.replica, alive.started_ms), now - alive.age)
         for answered in news.answered:
-            identity = self._identity(answered.request)
+            identity = self._decode_identity(answered.request)
             if identity is not None and self._is_plausible(answered.age):
                 self.losses.note_answer(identity, now - answered.age)
         for ends in news.groups:
@@ -138,7 +138,7 @@
         if not self._is_plausible(lost.age):
             return
         key = LossKey(lost.replica, lost.started_ms)
-        read = [self._identity(each) for each in lost.requests]
+        read = [self._decode_identity(each) for each in lost.requests]
         identities = [identity for identity in read if identity is not None]
         if identities and self._is_evidence(lost.evidence):
             self.losses.blame(key, identities, now - lost.age, Evidence(lost.evidence))
@@ -149,7 +149,7 @@
         self.rejected += 1
         return False
 
-    def _identity(self, data: bytes) -> RequestIdentity | None:
+    def _decode_identity(self, data: bytes) -> RequestIdentity | None:
         try:
             return RequestIdentity.from_bytes(data)
         except ValueError:
@@ -194,7 +194,7 @@
         ]
 
 
-def _lost(
+def _lost_replica(
     key: LossKey, loss: Loss, requests: Iterable[RequestIdentity], now: float
 ) -> LostReplica:
     identities = [identity.to_bytes() for identity in requests]
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -180,9 +180,9 @@
 
 def _is_alive_since(state: ReplicaState, moment: float) -> bool:
     """Return whether a replica's daemon has reached this incarnation since `moment`."""
-    told = state.told
-    if told is None or told.at < moment or not told.load.reachable:
+    report = state.told
+    if report is None or report.at < moment or not report.load.reachable:
         return False
     # A later incarnation starts without weights; not every one reports when it started.
     held_before = {loaded.model for loaded in state.replica.loaded}
-    return not state.is_between_lives() and held_before <= told.load.versions.keys()
+    return not state.is_between_lives() and held_before <= report.load.versions.keys()
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -100,7 +100,7 @@
         """Count a request that found no free slot.
 
         `for_room` is False if no replica may serve at all. Such a refusal does not count towards
-        the reservation: otherwise retries after an outage were refused for seconds.
+        the reservation; when it did, retries after an outage were refused for seconds.
         """
         self._all.note_refused(service)
         if returning:
--- a/libs/gateway/src/headcross_gateway/replicanews.py
+++ b/libs/gateway/src/headcross_gateway/replicanews.py
@@ -52,7 +52,7 @@
             rejected += 1
             continue
         state = find(item.replica)
-        if state is None or _is_of_another_life(item, state):
+        if state is None or _is_of_other_incarnation(item, state):
             continue
         asked = state.backpressure
         has_new_limit = asked.receive_limit(item.limit, now - item.age, state.own_share, now)
@@ -88,6 +88,6 @@
     return item.limit is None or (math.isfinite(item.limit) and item.limit >= 0)
 
 
-def _is_of_another_life(item: ReplicaBackpressure, state: ReplicaState) -> bool:
-    told = Incarnation(item.replica, item.started_ms)
-    return told.is_other_than(state.replica.incarnation)
+def _is_of_other_incarnation(item: ReplicaBackpressure, state: ReplicaState) -> bool:
+    reported = Incarnation(item.replica, item.started_ms)
+    return reported.is_other_than(state.replica.incarnation)
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -325,7 +325,7 @@
                 request.facts,
                 place,
                 hand_over,
-                self._retries.patience(request, place),
+                self._retries.timeouts_for(request, place),
                 relay,
                 fresh=not request.route.repetition.may_run_again,
                 times=times,
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -38,7 +38,7 @@
         self._budget = budget
         self._containment = containment
 
-    def patience(self, request: Admitted, state: ReplicaState) -> Patience:
+    def timeouts_for(self, request: Admitted, state: ReplicaState) -> Patience:
         """Return how long a request waits for a silent replica; forever if it may not move."""
         if (
             not request.route.repetition.may_run_again
@@ -46,14 +46,14 @@
         ):
             return Patience(float("inf"), float("inf"))
 
-        def leave() -> bool:
+        def should_abandon() -> bool:
             return self._containment.is_clear(request) and self._take_retry_to_leave(
                 request, state
             )
 
         if request.relay is not None:
-            return Patience(STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, leave)
-        return Patience(REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, leave)
+            return Patience(STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, should_abandon)
+        return Patience(REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, should_abandon)
 
     def _take_retry_to_leave(self, request: Admitted, state: ReplicaState) -> bool:
         """Take a retry for a request that leaves a silent replica; False if it has to stay.
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -57,7 +57,7 @@
     replies: list[Reply] = field(default_factory=list)
 
     def served(self) -> int:
-        """Return how many requests were answered whole."""
+        """Return how many requests were answered completely."""
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
     def max_in_window(self, replica: FakeReplica) -> int:
