--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -1,7 +1,7 @@
-"""Replicas that name a limit on the requests a second from all entries together.
+"""Tests of replicas that limit the requests per second of all entries together.
 
-Entries as real processes before a few replicas. Each second a fixed number of requests comes, to
-every entry in turn.
+Entries run as real processes before a few replicas. Requests arrive at a constant rate, at every
+entry in turn.
 """
 
 import itertools
@@ -30,54 +30,55 @@
 REQUEST_SECONDS: Final = 1 / 60
 BEFORE_SECONDS: Final = 1.0
 LIMITED_SECONDS: Final = 11.0
-# What the users allow, in each span of so many seconds that begins so long after the first word.
+# The requirement: from CONTACT_SECONDS after the limit was first named, the number of requests in
+# each window of WINDOW_SECONDS is bounded.
 CONTACT_SECONDS: Final = 3.0
-SPAN_SECONDS: Final = 4.0
-ALLOWED_PART: Final = 1.5
+WINDOW_SECONDS: Final = 4.0
+ALLOWED_FACTOR: Final = 1.5
 ALLOWED_EXTRA: Final = 5
-# Of the requests that a limit allows, those that are placed where enough come.
-USED_PART: Final = 0.7
-# After so long every entry in touch has heard what one was told.
+# The fraction of an allowed rate that must be used if enough requests arrive.
+MIN_USED_FRACTION: Final = 0.7
+# The time within which every connected entry learns what one entry was told.
 NEWS_SECONDS: Final = 5.0
-# A replica without a limit has its full share again after so long.
+# The time after which a replica without a limit must have its full share again.
 FULL_SHARE_SECONDS: Final = 4.0
 FROZEN_SECONDS: Final = 2.0
 RUNNING_SECONDS: Final = 1.5
 
-Trouble = Callable[[Machines, str], Awaitable[None]]
+Fault = Callable[[Machines, str], Awaitable[None]]
 
 
 @dataclass
-class Played:
-    """What was seen of a play."""
+class LoadResult:
+    """The observations of one run of the load."""
 
     limited_at: float = 0.0  # trio's clock
     until: float = 0.0  # trio's clock
     replies: list[Reply] = field(default_factory=list)
 
     def served(self) -> int:
-        """Return how many requests were answered whole."""
+        """Return how many requests were answered completely."""
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
-    def most_in_span(self, replica: FakeReplica) -> int:
-        """Return the most requests that a replica got in one span that counts."""
+    def max_in_window(self, replica: FakeReplica) -> int:
+        """Return the most requests that a replica got in any window under the requirement."""
         first = self.limited_at + CONTACT_SECONDS
         moments = [r.at for r in replica.arrived if first <= r.at < self.until]
         return max(
-            (sum(start <= at < start + SPAN_SECONDS for at in moments) for start in moments),
+            (sum(start <= at < start + WINDOW_SECONDS for at in moments) for start in moments),
             default=0,
         )
 
-    def pace(self, replica: FakeReplica) -> float:
-        """Return the requests a second that a replica got from the moment that counts on."""
+    def rate(self, replica: FakeReplica) -> float:
+        """Return the requests per second that a replica got while the requirement applied."""
         first = self.limited_at + CONTACT_SECONDS
         arrived = sum(first <= r.at < self.until for r in replica.arrived)
         return arrived / (self.until - first)
 
 
 def allowed(limit: float) -> int:
-    """Return how many requests a replica may get in one span."""
-    return math.floor(ALLOWED_PART * SPAN_SECONDS * limit + ALLOWED_EXTRA)
+    """Return how many requests a replica may get in one window."""
+    return math.floor(ALLOWED_FACTOR * WINDOW_SECONDS * limit + ALLOWED_EXTRA)
 
 
 @asynccontextmanager
@@ -105,20 +106,22 @@
             await trio.sleep(REQUEST_SECONDS)
 
 
-async def play(site: Machines, path: str, limited: Sequence[FakeReplica], limit: str) -> Played:
+async def run_load(
+    site: Machines, path: str, limited: Sequence[FakeReplica], limit: str
+) -> LoadResult:
     """Send requests while some replicas name a limit."""
-    played = Played()
+    result = LoadResult()
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(keep_asking, site, path, played.replies, stop)
+        nursery.start_soon(keep_asking, site, path, result.replies, stop)
         await trio.sleep(BEFORE_SECONDS)
         for replica in limited:
             replica.limit = limit
-        played.limited_at = trio.current_time()
+        result.limited_at = trio.current_time()
         await trio.sleep(LIMITED_SECONDS)
-        played.until = trio.current_time()
+        result.until = trio.current_time()
         stop.set()
-    return played
+    return result
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -127,11 +130,11 @@
 ) -> None:
     async with limited_site(tmp_path, SERVICES[path]) as site:
         limited, *_ = replicas_of(site, SERVICES[path])
-        played = await play(site, path, [limited], "2.0")
-    print(played.most_in_span(limited), played.pace(limited), played.served())
-    assert played.most_in_span(limited) <= allowed(2.0)
-    assert played.pace(limited) >= USED_PART * 2.0
-    assert played.served() == len(played.replies)
+        result = await run_load(site, path, [limited], "2.0")
+    print(result.max_in_window(limited), result.rate(limited), result.served())
+    assert result.max_in_window(limited) <= allowed(2.0)
+    assert result.rate(limited) >= MIN_USED_FRACTION * 2.0
+    assert result.served() == len(result.replies)
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -140,11 +143,11 @@
 ) -> None:
     async with limited_site(tmp_path, SERVICES[path]) as site:
         limited = replicas_of(site, SERVICES[path])
-        played = await play(site, path, limited, "2.0")
-    print([(played.most_in_span(r), played.pace(r)) for r in limited], played.served())
+        result = await run_load(site, path, limited, "2.0")
+    print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert played.most_in_span(replica) <= allowed(2.0)
-        assert played.pace(replica) >= USED_PART * 2.0
+        assert result.max_in_window(replica) <= allowed(2.0)
+        assert result.rate(replica) >= MIN_USED_FRACTION * 2.0
 
 
 @pytest.mark.parametrize("limit", ["1.4", "20"])
@@ -153,15 +156,15 @@
 ) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE, entries=5, daemons=True) as site:
         limited = replicas_of(site, MODEL_SERVICE)[:2]
-        played = await play(site, "/stream/x", limited, limit)
-    print([(played.most_in_span(r), played.pace(r)) for r in limited], played.served())
+        result = await run_load(site, "/stream/x", limited, limit)
+    print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert played.most_in_span(replica) <= allowed(float(limit))
-    assert played.served() == len(played.replies)
+        assert result.max_in_window(replica) <= allowed(float(limit))
+    assert result.served() == len(result.replies)
 
 
-async def kill_again_and_again(site: Machines, entry: str) -> None:
-    """Kill an entry and start it again until cancelled."""
+async def kill_repeatedly(site: Machines, entry: str) -> None:
+    """Kill and restart an entry until cancelled."""
     while True:
         site.signal(entry, signal.SIGKILL)
         await site.wait_exit(entry)
@@ -170,8 +173,8 @@
         await trio.sleep(RUNNING_SECONDS)
 
 
-async def freeze_again_and_again(site: Machines, entry: str) -> None:
-    """Stop an entry for a while again and again until cancelled."""
+async def freeze_repeatedly(site: Machines, entry: str) -> None:
+    """Suspend and resume an entry until cancelled."""
     while True:
         site.signal(entry, signal.SIGSTOP)
         await trio.sleep(FROZEN_SECONDS)
@@ -179,20 +182,20 @@
         await trio.sleep(RUNNING_SECONDS)
 
 
-@pytest.mark.parametrize("trouble", [kill_again_and_again, freeze_again_and_again])
-async def test_entries_keep_a_limit_while_one_of_them_is_in_trouble(
-    tmp_path: Path, trouble: Trouble
+@pytest.mark.parametrize("fault", [kill_repeatedly, freeze_repeatedly])
+async def test_entries_keep_a_limit_while_one_of_them_is_killed_or_suspended(
+    tmp_path: Path, fault: Fault
 ) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE, entries=3, daemons=True) as site:
         limited = replicas_of(site, MODEL_SERVICE)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trouble, site, "entry2")
-            played = await play(site, "/stream/x", limited, "2.0")
+            nursery.start_soon(fault, site, "entry2")
+            result = await run_load(site, "/stream/x", limited, "2.0")
             nursery.cancel_scope.cancel()
         site.signal("entry2", signal.SIGCONT)
-    print([(played.most_in_span(r), played.pace(r)) for r in limited], played.served())
+    print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert played.most_in_span(replica) <= allowed(2.0)
+        assert result.max_in_window(replica) <= allowed(2.0)
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -209,7 +212,7 @@
             limited.limit = None
             await trio.sleep(FULL_SHARE_SECONDS)
             before = [replica.arrivals for replica in (limited, *others)]
-            await trio.sleep(SPAN_SECONDS)
+            await trio.sleep(WINDOW_SECONDS)
             own, *theirs = (
                 replica.arrivals - count
                 for replica, count in zip((limited, *others), before, strict=True)
@@ -220,20 +223,20 @@
 
 
 async def limits_known(site: Machines, entry: str) -> list[float]:
-    """Return the limits of the model's replicas that an entry goes by."""
+    """Return the limits of the model's replicas that an entry applies."""
     states = (await site.state(entry)).get("replica_states", [])
     return [state["limit"] for state in states if state["limit"] is not None]
 
 
 async def wait_limits(site: Machines, entry: str, expected: list[float]) -> None:
-    """Wait until an entry goes by these limits and no others."""
+    """Wait until an entry applies exactly these limits."""
     with trio.fail_after(NEWS_SECONDS):
         while await limits_known(site, entry) != expected:
             await trio.sleep(0.05)
 
 
 async def ask_until_limits(site: Machines, entry: str, expected: list[float]) -> None:
-    """Send requests to an entry until it goes by these limits and no others."""
+    """Send requests to an entry until it applies exactly these limits."""
     with trio.fail_after(WAIT_SECONDS):
         while await limits_known(site, entry) != expected:
             await ask(site.callers(entry), "/stream/x")
@@ -265,7 +268,7 @@
         await wait_limits(site, "entry1", [2.5])
 
 
-async def test_a_replica_that_starts_again_has_no_limit_of_before(tmp_path: Path) -> None:
+async def test_a_restarted_replica_does_not_keep_its_earlier_limit(tmp_path: Path) -> None:
     async with limited_site(tmp_path, MODEL_SERVICE) as site:
         limited, *_ = replicas_of(site, MODEL_SERVICE)
         limited.limit = "2.5"
