--- a/libs/cli/src/headcross_cli/planning.py
+++ b/libs/cli/src/headcross_cli/planning.py
@@ -9,7 +9,7 @@
 import msgspec
 from headcross_fleet.fleetfile import FleetFile, pool_artifacts
 from headcross_native.hostlist import HostList
-from headcross_rollout.placement import Placement, place
+from headcross_rollout.placement import Placement, compute_placement
 
 
 class Change(msgspec.Struct, frozen=True):
@@ -22,7 +22,7 @@
 
 def plan_changes(old: FleetFile, new: FleetFile, hosts: HostList) -> list[Change]:
     """Return what would change, pools first, then upstreams, then the rest."""
-    before, after = place(old, hosts), place(new, hosts)
+    before, after = compute_placement(old, hosts), compute_placement(new, hosts)
     changes = list(_pool_changes(old, new, after))
     changes += _upstream_changes(before, after)
     changes += _table_changes("team", old.teams, new.teams)
@@ -51,8 +51,8 @@
 
 
 def _upstream_changes(before: Placement, after: Placement) -> Iterator[Change]:
-    for upstream in sorted(before.pool_of.keys() | after.pool_of.keys()):
-        was, becomes = before.pool_of.get(upstream), after.pool_of.get(upstream)
+    for upstream in sorted(before.pool_by_upstream.keys() | after.pool_by_upstream.keys()):
+        was, becomes = before.pool_by_upstream.get(upstream), after.pool_by_upstream.get(upstream)
         if was == becomes:
             continue
         if was is not None:
--- a/libs/cli/src/headcross_cli/watching.py
+++ b/libs/cli/src/headcross_cli/watching.py
@@ -13,7 +13,7 @@
 from headcross_base.errors import Failure
 from headcross_fleet.fleetfile import pool_artifacts
 from headcross_native.engine import serving_digest
-from headcross_rollout.placement import place
+from headcross_rollout.placement import compute_placement
 
 from headcross_cli import exitcodes
 from headcross_cli.adminclient import InForce, UpstreamRow, read_in_force, read_upstreams
@@ -72,7 +72,7 @@
 
 def judge(in_force: InForce, rows: list[UpstreamRow]) -> Look:
     """Compare what should be with what is."""
-    placement = place(in_force.fleet, in_force.hosts)
+    placement = compute_placement(in_force.fleet, in_force.hosts)
     by_name = {row.upstream: row for row in rows}
     pools: list[PoolProgress] = []
     for name, pool in in_force.fleet.pools.items():
--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -10,8 +10,8 @@
 from headcross_base.addresses import Address
 from headcross_base.verdicts import Verdict, verdict_name
 from headcross_fleet.membership import StatusTable
-from headcross_rollout.turnjudge import TurnJudge
-from headcross_routing.entrypath import EntryPath
+from headcross_rollout.turnresponder import TurnResponder
+from headcross_routing.entryhandler import EntryHandler
 from headcross_routing.picking import Picker
 from headcross_routing.requestmeta import RequestMeta
 from headcross_wire.httpserver import HttpServer, ServerLimits
@@ -36,9 +36,9 @@
     def __init__(self, settings: Settings) -> None:
         self.process = Process(settings, self._handle_message)
         self.statuses = StatusTable()
-        self._judge = TurnJudge(self.process.documents, self.statuses)
+        self._judge = TurnResponder(self.process.documents, self.statuses)
         self.picker = Picker(settings.zone, self.statuses)
-        self.path = EntryPath(
+        self.path = EntryHandler(
             self.process.documents,
             self.statuses,
             self.picker,
@@ -167,7 +167,7 @@
     def _forget_absent(self) -> None:
         hosts = self.process.documents.hosts
         self.statuses.keep_only({host.name for host in hosts.hosts})
-        self.picker.forget_absent({u.name for host in hosts.hosts for u in host.upstreams})
+        self.picker.remove_absent({u.name for host in hosts.hosts for u in host.upstreams})
 
     def _observe(self, meta: RequestMeta, verdict: Verdict, seconds: float) -> None:
         self._latency.labels(meta.target, verdict_name(verdict)).observe(seconds)
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -11,13 +11,13 @@
 from headcross_fleet.upstreamgate import LEAVING, UpstreamGate
 from headcross_native.engine import Engine
 from headcross_native.weightsource import WeightSource
-from headcross_rollout.orders import OrderGiver
+from headcross_rollout.orders import OrderIssuer
 from headcross_rollout.runner import RunnerContext, UpstreamRunner
 from headcross_rollout.target import Targets
 from headcross_rollout.turnclient import TurnClient
 from headcross_routing.fairqueue import FairQueue
 from headcross_routing.ledger import KeyLedger, RequestLedger
-from headcross_routing.upstreampath import UpstreamPath, UpstreamSlot
+from headcross_routing.upstreamhandler import LocalUpstream, UpstreamHandler
 from headcross_weights.chunkstore import ChunkStore
 from headcross_weights.imports import Importer
 from headcross_weights.swarm import Swarm
@@ -50,7 +50,7 @@
         self.keys = KeyLedger(
             settings.name, settings.ledger.entries, settings.ledger.remember_seconds
         )
-        self.path = UpstreamPath(
+        self.path = UpstreamHandler(
             self.slots,
             RequestLedger(settings.ledger.entries),
             self.keys,
@@ -120,7 +120,7 @@
             )
             return
         engine = Engine(parse_address(upstream.address))
-        orders = OrderGiver(
+        orders = OrderIssuer(
             engine,
             process.documents,
             process.follower,
@@ -233,7 +233,7 @@
     def _report(self) -> list[UpstreamStatus]:
         return [self._report_one(name, slot) for name, slot in self.slots.items()]
 
-    def _report_one(self, name: str, slot: UpstreamSlot) -> UpstreamStatus:
+    def _report_one(self, name: str, slot: LocalUpstream) -> UpstreamStatus:
         gate = slot.gate
         runner = self.runners.get(name)
         engine = runner.engine_state if runner is not None else None
@@ -283,8 +283,8 @@
         return samples
 
 
-def _make_slot(upstream: Upstream) -> UpstreamSlot:
-    return UpstreamSlot(
+def _make_slot(upstream: Upstream) -> LocalUpstream:
+    return LocalUpstream(
         UpstreamGate(upstream.name),
         FairQueue(upstream.max_concurrent, upstream.max_queued),
         parse_address(upstream.address),
--- a/libs/rollout/src/headcross_rollout/__init__.py
+++ b/libs/rollout/src/headcross_rollout/__init__.py
@@ -1,1 +1,1 @@
-"""Which upstream runs what, when it may change, and the orders that make it so."""
+"""Rollouts: placement of pools on upstreams, the order of version changes, engine orders."""
--- a/libs/rollout/src/headcross_rollout/orders.py
+++ b/libs/rollout/src/headcross_rollout/orders.py
@@ -1,10 +1,11 @@
-"""Fenced orders to one engine: only from a process that is sure of its facts.
+"""Fenced orders to one engine, sent only while the process's documents are current.
 
-A process that was paused wakes up with old facts and does not know it. So each order goes through
-`give`: it looks at the clock for a pause, and unless the process heard from the service or a peer
-since, it re-reads everything first; the caller decides anew on what it then knows. The engine's
-fence, where it has one, refuses what still slips through; where it has none, the port of the slot
-keeps a second daemon out, and orders set a state, so that one given twice does no harm.
+A process that was suspended resumes with outdated documents and cannot tell by itself. `issue`
+therefore checks the clock for a pause before each order. After a pause, or if neither the
+configuration service nor a peer was heard from recently, it re-reads the documents first, and the
+caller decides again on the result. An engine that checks fences refuses an outdated order that
+still gets through. For an engine that does not, the port bound for its upstream keeps a second
+daemon out, and a repeated order does no harm because orders set a state.
 """
 
 from typing import Final
@@ -17,15 +18,16 @@
 from headcross_fleet.following import ConfigFollower
 from headcross_native.engine import Engine, EngineState, Fence, Order, WeightsOrder
 
-# A process that heard nothing from the service or any peer for so long gives no order.
-CONTACT_SECONDS: Final = 10.0
+# If neither the configuration service nor a peer was heard from within this time, documents are
+# re-read before an order.
+MAX_CONTACT_AGE_SECONDS: Final = 10.0
 
 
-class OrderGiver:
-    """Gives orders to one engine."""
+class OrderIssuer:
+    """Sends fenced orders to one engine."""
 
-    # Orders given, refused and withheld.
-    given: int
+    # Orders accepted by the engine, orders that failed, and orders withheld as outdated.
+    issued: int
     refused: int
     withheld: int
 
@@ -39,7 +41,7 @@
         incarnation: int,
         source: str,
     ) -> None:
-        self.given = 0
+        self.issued = 0
         self.refused = 0
         self.withheld = 0
         self._engine = engine
@@ -50,31 +52,39 @@
         self._incarnation = incarnation
         self._source = source
         self._sequence = 0
-        self._pauses_seen = pauses.check()
+        self._handled_pauses = pauses.check()
 
-    def start_above(self, state: EngineState) -> None:
-        """Make sure that this process's orders pass an engine that saw higher fences."""
+    def raise_incarnation_above(self, state: EngineState) -> None:
+        """Raise the incarnation above that of the last fence accepted by the engine.
+
+        Without this, an engine that has seen a higher fence would refuse this process's orders.
+        """
         if state.checks_fences:
             self._incarnation = max(self._incarnation, state.fence.incarnation + 1)
 
-    async def ensure_facts(self) -> bool:
-        """Return whether the facts are sure; re-read them if there is any doubt.
+    async def ensure_current_documents(self) -> bool:
+        """Re-read the documents if they may be outdated; return whether the revision still holds.
 
-        After False, or after a re-read, the caller must decide anew.
+        Returns False if the documents could not be read or the fleet file has a new revision.
+        After False, or after a re-read, the caller must decide again.
         """
-        paused = self._pauses.check() != self._pauses_seen
-        if not paused and self._documents.contact_age() < CONTACT_SECONDS:
+        paused = self._pauses.check() != self._handled_pauses
+        if not paused and self._documents.contact_age() < MAX_CONTACT_AGE_SECONDS:
             return True
         revision = self._documents.revision
         refreshed = await self._follower.refresh()
         self._journal.record(FACTS_OLD.code, self._engine_name(), "re-read before an order")
         if refreshed:
-            self._pauses_seen = self._pauses.check()
+            self._handled_pauses = self._pauses.check()
         return refreshed and self._documents.revision == revision
 
-    async def give(self, weights: list[WeightsOrder], revision: int) -> Ok[None] | Failure:
-        """Give an order that follows from the fleet file `revision`."""
-        if not await self.ensure_facts() or revision != self._documents.revision:
+    async def issue(self, weights: list[WeightsOrder], revision: int) -> Ok[None] | Failure:
+        """Send an order that was derived from revision `revision` of the fleet file.
+
+        Returns a failure with the reason FACTS_OLD, without sending anything, if the documents may
+        be outdated or another revision is in force.
+        """
+        if not await self.ensure_current_documents() or revision != self._documents.revision:
             self.withheld += 1
             return Failure(FACTS_OLD, f"order for revision {revision} withheld")
         self._sequence += 1
@@ -84,7 +94,7 @@
             self.refused += 1
             self._journal.record(outcome.reason.code, self._engine_name(), outcome.detail)
         else:
-            self.given += 1
+            self.issued += 1
         return outcome
 
     def _engine_name(self) -> str:
--- a/libs/rollout/src/headcross_rollout/placement.py
+++ b/libs/rollout/src/headcross_rollout/placement.py
@@ -1,9 +1,10 @@
-"""Placement: which upstream belongs to which pool, a pure function of (fleet file, host list).
+"""Placement of pools on upstreams, as a pure function of the fleet file and the host list.
 
-Pools choose in the file's order. Within a pool, zones take turns until the replicas are placed or
-the candidates run out, and within a zone upstreams come by falling rendezvous weight for the pool.
-So a host that comes or goes moves only its own share, and a new version moves nothing: the order
-does not depend on it. Upstreams that no pool took are spares of the pools whose zones they are in.
+Pools are filled in the order of the file. Within a pool, upstreams are taken from its zones
+round-robin until all replicas are placed or no candidate is left; within a zone they are ranked by
+rendezvous hashing on the pool's name. A host that joins or leaves therefore moves only its own
+share. A new version moves nothing, since the ranking does not depend on it. Upstreams that no pool
+took are spares of the pools whose zones they are in.
 """
 
 from collections.abc import Iterable
@@ -16,22 +17,22 @@
 
 @dataclass(slots=True)
 class PoolPlacement:
-    """The upstreams of one pool."""
+    """The upstreams assigned to one pool, and its spares."""
 
     assigned: list[str] = field(default_factory=list)  # in rank order
-    spares: list[str] = field(default_factory=list)  # who stands in, in order
+    spares: list[str] = field(default_factory=list)  # in the order in which they stand in
 
 
 @dataclass(slots=True)
 class Placement:
-    """The upstreams of all pools."""
+    """The assignment of upstreams to all pools."""
 
     pools: dict[str, PoolPlacement] = field(default_factory=dict)
-    pool_of: dict[str, str] = field(default_factory=dict)  # assigned upstream to pool
+    pool_by_upstream: dict[str, str] = field(default_factory=dict)  # assigned upstream to pool
 
 
-def place(fleet: FleetFile, hosts: HostList) -> Placement:
-    """Return the placement; the same in every process with the same two documents."""
+def compute_placement(fleet: FleetFile, hosts: HostList) -> Placement:
+    """Return the placement; it is the same in every process that has the same two documents."""
     zone_of = {
         upstream.name: host.zone
         for host in hosts.hosts
@@ -41,27 +42,33 @@
     }
     placement = Placement()
     for name, pool in fleet.pools.items():
-        free = {u: zone for u, zone in zone_of.items() if u not in placement.pool_of}
-        assigned = _choose(name, pool, free)
+        unassigned = {
+            u: zone for u, zone in zone_of.items() if u not in placement.pool_by_upstream
+        }
+        assigned = _assign_upstreams(name, pool, unassigned)
         placement.pools[name] = PoolPlacement(assigned)
-        placement.pool_of.update(dict.fromkeys(assigned, name))
+        placement.pool_by_upstream.update(dict.fromkeys(assigned, name))
     for name, pool in fleet.pools.items():
-        spares = (u for u in zone_of if u not in placement.pool_of and zone_of[u] in pool.zones)
+        spares = (
+            u for u in zone_of if u not in placement.pool_by_upstream and zone_of[u] in pool.zones
+        )
         placement.pools[name].spares = rendezvous_order(f"spare {name}", spares)
     return placement
 
 
-def _choose(name: str, pool: Pool, free: dict[str, str]) -> list[str]:
-    queues = {zone: _ranked(name, zone, free) for zone in pool.zones}
-    turns = rendezvous_order(f"zones {name}", pool.zones)
+def _assign_upstreams(name: str, pool: Pool, unassigned: dict[str, str]) -> list[str]:
+    queues = {zone: _rank_zone(name, zone, unassigned) for zone in pool.zones}
+    zone_order = rendezvous_order(f"zones {name}", pool.zones)
     chosen: list[str] = []
     while len(chosen) < pool.replicas and any(queues.values()):
-        for zone in turns:
+        for zone in zone_order:
             if queues[zone] and len(chosen) < pool.replicas:
                 chosen.append(queues[zone].pop(0))
     return chosen
 
 
-def _ranked(pool: str, zone: str, free: dict[str, str]) -> list[str]:
-    here: Iterable[str] = (upstream for upstream, at in free.items() if at == zone)
-    return rendezvous_order(f"pool {pool}", here)
+def _rank_zone(pool: str, zone: str, unassigned: dict[str, str]) -> list[str]:
+    candidates: Iterable[str] = (
+        upstream for upstream, upstream_zone in unassigned.items() if upstream_zone == zone
+    )
+    return rendezvous_order(f"pool {pool}", candidates)
--- a/libs/rollout/src/headcross_rollout/runner.py
+++ b/libs/rollout/src/headcross_rollout/runner.py
@@ -1,9 +1,10 @@
-"""The rollout of one upstream: one task that moves it, step by step, to what it is to hold.
+"""Rollout of one upstream: a task that brings its engine to the target weights step by step.
 
-Written straight down: find the target, stage its weights while the old version still serves, wait
-for the turn, leave, give the order, check what the engine reports, serve. Each step looks at the
-documents anew, so a superseding file cancels a transfer at once and turns a waiting step around.
-On missing news the upstream holds what it has: it never stops serving because it cannot see.
+The steps are: find the target, stage its weights while the old version still serves, wait for
+permission to stop serving, drain, send the order, check what the engine reports, serve. Each step
+reads the documents anew, so a newer fleet file cancels a transfer at once and redirects an
+upstream that waits. Without current information an upstream keeps the weights that it has: it
+never stops serving because it lacks news.
 
 Only weights whose digest the engine itself reports are ever served.
 """
@@ -31,27 +32,28 @@
 from headcross_weights.swarm import Swarm
 from headcross_wire.peermessages import TurnKind
 
-from headcross_rollout.orders import OrderGiver
+from headcross_rollout.orders import OrderIssuer
 from headcross_rollout.target import Target, Targets
 from headcross_rollout.turnclient import TurnClient
 from headcross_rollout.turns import Turn
 
-IDLE_SECONDS: Final = 0.5  # between looks at an engine that is as it should be
-RETRY_SECONDS: Final = 1.0  # after something failed
-TURN_SECONDS: Final = 0.3  # between two questions whether it is this upstream's turn
+ENGINE_POLL_SECONDS: Final = 0.5  # between reads of an engine that needs no change
+RETRY_DELAY_SECONDS: Final = 1.0  # after a failure
+TURN_POLL_SECONDS: Final = 0.3  # between questions whether this upstream may stop serving
 LOAD_POLL_SECONDS: Final = 0.1
-LOAD_SECONDS: Final = 900.0  # an engine that loads for longer has failed
-TURN_MAX_SECONDS: Final = 5.0
-STAND_IN_LOOK_SECONDS: Final = 2.0  # between two looks of a spare for silent upstreams
-# An engine that failed to answer so often in a row serves no more; once or twice may be load.
-ENGINE_FAILURES: Final = 3
-# Only the first spares of a pool watch for silent hosts.
-WATCHING_SPARES: Final = 8
+LOAD_TIMEOUT_SECONDS: Final = 900.0  # a load that takes longer counts as failed
+TURN_POLL_MAX_SECONDS: Final = 5.0
+STAND_IN_POLL_SECONDS: Final = 2.0  # between a spare's questions about silent upstreams
+# After this many unanswered reads in a row an upstream stops serving; one or two may be due to
+# load.
+MAX_ENGINE_FAILURES: Final = 3
+# Only the first spares of a pool ask whether an upstream is silent.
+MAX_POLLING_SPARES: Final = 8
 
 
 @dataclass(slots=True)
 class RunnerContext:
-    """What all runners of a process share."""
+    """Objects that all runners of a process share."""
 
     documents: Documents
     follower: ConfigFollower
@@ -62,17 +64,17 @@
 
 
 class UpstreamRunner:
-    """Moves one upstream to its target."""
+    """Brings one upstream to its target and keeps it there."""
 
-    # The weights being staged or held for it, for heartbeats; None when there are none.
+    # The target whose weights are staged or held, for heartbeats; None if there is none.
     target: Target | None
-    # The engine's last report; None before the first and while it does not answer.
+    # The engine's last report; None before the first one and while the engine does not answer.
     engine_state: EngineState | None
-    # When that report came, on the monotonic clock.
+    # When that report was received, in seconds on the monotonic clock.
     engine_state_at: float
 
     def __init__(
-        self, gate: UpstreamGate, engine: Engine, orders: OrderGiver, context: RunnerContext
+        self, gate: UpstreamGate, engine: Engine, orders: OrderIssuer, context: RunnerContext
     ) -> None:
         self.target = None
         self.engine_state = None
@@ -80,46 +82,46 @@
         self._gate = gate
         self._engine = engine
         self._orders = orders
-        self._shared = context
+        self._context = context
         self._fence_checked = False
         self._engine_failures = 0
         self._stand_in_pool: str | None = None
-        self._stand_in_looked_at = float("-inf")
+        self._stand_in_polled_at = float("-inf")
 
     @property
     def progress(self) -> float:
-        """The share of the target's weights that is here, 0 to 1."""
+        """The share of the target's weights that this host holds, from 0 to 1."""
         if self.target is None:
             return 0.0
-        shares = [self._shared.swarm.progress(a.digest) for a in self.target.artifacts]
+        shares = [self._context.swarm.progress(a.digest) for a in self.target.artifacts]
         return sum(shares) / len(shares)
 
     async def run(self) -> None:
-        """Run until cancelled."""
-        await self._shared.follower.settled.wait()
+        """Run until cancelled; the first step waits for settled configuration."""
+        await self._context.follower.settled.wait()
         while True:
             pause = await self._step()
             with trio.move_on_after(pause):
-                await self._shared.documents.wait_change()
+                await self._context.documents.wait_change()
 
     async def _step(self) -> float:
-        """Do what is to be done next; return the seconds to wait before the next look."""
+        """Take the next step; return the seconds to wait before the one after it."""
         state = await self._read_engine()
         if state is None:
             self._engine_failures += 1
-            self._decide("engine-silent", "the engine does not answer")
-            if self._engine_failures >= ENGINE_FAILURES:
+            self._record_decision("engine-silent", "the engine does not answer")
+            if self._engine_failures >= MAX_ENGINE_FAILURES:
                 self._gate.set_state(EMPTY, self._gate.pool)
-            return IDLE_SECONDS
+            return ENGINE_POLL_SECONDS
         self._engine_failures = 0
         self.target = await self._find_target()
-        self._settle_gate(state)
+        self._sync_gate(state)
         if self.target is None:
-            return await self._retire(state)
+            return await self._unload(state)
         served = (self._gate.state, self._gate.pool, self._gate.digest)
         if served == (SERVING, self.target.pool, self.target.digest):
-            return IDLE_SECONDS
-        return await self._move_to(self.target)
+            return ENGINE_POLL_SECONDS
+        return await self._roll_out(self.target)
 
     async def _read_engine(self) -> EngineState | None:
         outcome = await self._engine.read_state()
@@ -129,65 +131,65 @@
         self.engine_state = outcome.value
         self.engine_state_at = monotonic()
         if not self._fence_checked:
-            self._orders.start_above(outcome.value)
+            self._orders.raise_incarnation_above(outcome.value)
             self._fence_checked = True
         return outcome.value
 
     async def _find_target(self) -> Target | None:
-        """Return what the upstream is to hold: its assignment, or a silent one's place."""
-        targets = self._shared.targets
+        """Return the upstream's assigned target, or that of a pool in which it stands in."""
+        targets = self._context.targets
         assigned = targets.of_upstream(self._gate.name)
         if assigned is not None:
             return assigned
-        pool = await self._find_silent_place()
+        pool = await self._find_stand_in_pool()
         return targets.of_pool(pool) if pool is not None else None
 
-    async def _find_silent_place(self) -> str | None:
-        """Return the pool in which this spare is to stand in for a silent upstream."""
-        if monotonic() - self._stand_in_looked_at < STAND_IN_LOOK_SECONDS:
+    async def _find_stand_in_pool(self) -> str | None:
+        """Return the pool in which this spare is to stand in for a silent upstream, or None."""
+        if monotonic() - self._stand_in_polled_at < STAND_IN_POLL_SECONDS:
             known = self._stand_in_pool
-            return known if known in self._shared.targets.placement.pools else None
-        self._stand_in_looked_at = monotonic()
+            return known if known in self._context.targets.placement.pools else None
+        self._stand_in_polled_at = monotonic()
         self._stand_in_pool = None
-        for name, placement in self._shared.targets.placement.pools.items():
-            if self._gate.name not in placement.spares[:WATCHING_SPARES]:
+        for name, placement in self._context.targets.placement.pools.items():
+            if self._gate.name not in placement.spares[:MAX_POLLING_SPARES]:
                 continue
-            turn = await self._shared.turns.ask("stand-in", self._gate.name, name, "")
+            turn = await self._context.turns.ask("stand-in", self._gate.name, name, "")
             if turn.now:
-                self._decide("stand-in", turn.reason)
+                self._record_decision("stand-in", turn.reason)
                 self._stand_in_pool = name
                 break
         return self._stand_in_pool
 
-    def _settle_gate(self, state: EngineState) -> None:
+    def _sync_gate(self, state: EngineState) -> None:
         """Make the gate agree with what the engine reports, and with nothing else."""
         digest = _loaded_digest(state)
         if self._gate.state == SERVING and digest != self._gate.digest:
-            self._decide("engine-changed", f"the engine now reports {digest[:12] or 'nothing'}")
+            self._record_decision(
+                "engine-changed", f"the engine now reports {digest[:12] or 'nothing'}"
+            )
             self._gate.set_state(EMPTY, self._gate.pool)
         if self._gate.state == SERVING or not digest:
             return
         preferred = self.target.pool if self.target is not None else None
-        pool = self._shared.targets.pool_serving(digest, preferred)
+        pool = self._context.targets.pool_with_digest(digest, preferred)
         if pool is not None:
-            self._decide("serving", f"the engine reports {digest[:12]} of pool {pool}")
+            self._record_decision("serving", f"the engine reports {digest[:12]} of pool {pool}")
             self._gate.set_state(SERVING, pool, digest)
 
-    # Towards a target.
-
-    async def _move_to(self, target: Target) -> float:
+    async def _roll_out(self, target: Target) -> float:
         if not await self._stage(target):
-            return RETRY_SECONDS
+            return RETRY_DELAY_SECONDS
         if self._gate.state == SERVING:
-            view = self._shared.documents.versions
+            view = self._context.documents.versions
             turn = await self._ask_turn(target)
-            self._decide("turn" if turn.now else "wait-turn", turn.reason)
+            self._record_decision("turn" if turn.now else "wait-turn", turn.reason)
             if not turn.now:
-                return self._pause_until_turn(turn)
-            if not await self._leave(view):
+                return self._turn_poll_delay(turn)
+            if not await self._stop_serving(view):
                 return 0.0
             if self._gate.digest == target.digest:
-                # Another pool with the same weights: nothing to load.
+                # The new pool has the same weights: nothing to load.
                 self._gate.set_state(SERVING, target.pool, target.digest)
                 return 0.0
         else:
@@ -195,20 +197,20 @@
         return await self._load(target)
 
     async def _stage(self, target: Target) -> bool:
-        """Have all weights of a target here; False if that failed or was superseded."""
-        swarm = self._shared.swarm
+        """Fetch all weights of a target; return False if that failed or was superseded."""
+        swarm = self._context.swarm
         if self._gate.state != SERVING:
             self._gate.set_state(STAGING, target.pool)
-        # What the engine holds need not stay here.
+        # Weights that only the engine holds need not stay in the chunk store.
         swarm.store.pin(self._gate.name, {artifact.digest for artifact in target.artifacts})
         done = False
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._cancel_if_superseded, target, nursery.cancel_scope)
             for artifact in target.artifacts:
-                wanting = self._shared.targets.wanting(artifact)
+                wanting = self._context.targets.hosts_needing(artifact)
                 outcome = await swarm.fetch(artifact, wanting, target.origin_copies)
                 if isinstance(outcome, Failure):
-                    self._decide(outcome.reason.code, outcome.detail)
+                    self._record_decision(outcome.reason.code, outcome.detail)
                     break
             else:
                 done = True
@@ -217,15 +219,18 @@
 
     async def _cancel_if_superseded(self, target: Target, scope: trio.CancelScope) -> None:
         while True:
-            await self._shared.documents.wait_change()
+            await self._context.documents.wait_change()
             current = self._current_target(target)
             if current is None or current.digest != target.digest:
-                self._decide("superseded", f"transfer of {target.digest[:12]} cancelled")
+                self._record_decision("superseded", f"transfer of {target.digest[:12]} cancelled")
                 scope.cancel()
 
     def _current_target(self, target: Target) -> Target | None:
-        """Return what the pool of `target` asks for now, if this upstream is still in it."""
-        targets = self._shared.targets
+        """Return the target of this upstream now; None if it has none any more.
+
+        For a spare this is what the pool of `target` asks for.
+        """
+        targets = self._context.targets
         assigned = targets.of_upstream(self._gate.name)
         if assigned is not None or targets.pool(target.pool) is None:
             return assigned
@@ -233,75 +238,83 @@
         return targets.of_pool(target.pool) if spare else None
 
     async def _ask_turn(self, target: Target | None) -> Turn:
-        """Find out whether this upstream may stop serving what it serves."""
+        """Ask entries whether this upstream may stop serving its pool."""
         served = self._gate.pool
-        if self._shared.targets.pool(served) is None:
+        if self._context.targets.pool(served) is None:
             return Turn(True, f"pool {served} is not in the file any more")
         kind: TurnKind = "leave"
         if target is not None and served == target.pool:
             kind = "swap"
         digest = target.digest if target is not None else ""
-        return await self._shared.turns.ask(kind, self._gate.name, served, digest)
+        return await self._context.turns.ask(kind, self._gate.name, served, digest)
 
-    def _pause_until_turn(self, turn: Turn) -> float:
-        """Return the seconds to the next question: longer for those far back in the order.
+    def _turn_poll_delay(self, turn: Turn) -> float:
+        """Return the seconds until the next question; longer for upstreams late in the order.
 
-        With that the questions of a whole pool grow with the logarithm of its size.
+        The number of questions from a whole pool therefore grows with the logarithm of its size.
         """
-        pool = self._shared.targets.pool(self._gate.pool)
+        pool = self._context.targets.pool(self._gate.pool)
         at_once = pool.max_unavailable if pool is not None else 1
-        return min(TURN_MAX_SECONDS, TURN_SECONDS * max(1.0, turn.before / at_once))
+        return min(TURN_POLL_MAX_SECONDS, TURN_POLL_SECONDS * max(1.0, turn.before / at_once))
 
-    async def _leave(self, view: Versions) -> bool:
-        """Stop serving: no new work at once, what runs ends or goes elsewhere.
+    async def _stop_serving(self, view: Versions) -> bool:
+        """Refuse new requests and wait until running ones end or continue at another upstream.
 
-        `view` is what the turn was judged by. Returns False if that is old by now; the upstream
-        then serves on.
+        `view` holds the document versions by which the turn was granted. Returns False if other
+        versions are in force by now; the upstream then keeps serving.
         """
-        if not await self._orders.ensure_facts():
-            self._decide(FACTS_OLD.code, "decide anew before leaving")
+        if not await self._orders.ensure_current_documents():
+            self._record_decision(FACTS_OLD.code, "decide anew before leaving")
             return False
-        if view != self._shared.documents.versions:
+        if view != self._context.documents.versions:
             return False
         served = self._gate.pool
-        pool = self._shared.targets.pool(served)
+        pool = self._context.targets.pool(served)
         drain = pool.drain_seconds if pool is not None else 0.0
         self._gate.set_state(LEAVING, served, self._gate.digest)
         with trio.move_on_after(drain) as scope:
             await self._gate.wait_idle()
         if scope.cancelled_caught:
-            self._decide("hand-off", f"requests still run after {drain} s; resumable ones move")
+            self._record_decision(
+                "hand-off", f"requests still run after {drain} s; resumable ones move"
+            )
             self._gate.hand_off.set()
-            # What cannot be resumed runs on to its own deadline: nothing is cut off.
+            # Requests that cannot be resumed run until their own deadlines; none is cut off.
             await self._gate.wait_idle()
         return True
 
     async def _load(self, target: Target) -> float:
-        """Order the engine to hold the target and serve once it reports exactly that."""
+        """Order the engine to load the target; serve once it reports exactly that.
+
+        Returns the seconds to wait before the next step.
+        """
         self._gate.set_state(LOADING, target.pool)
         weights = [WeightsOrder(artifact.name, artifact.digest) for artifact in target.artifacts]
-        outcome = await self._orders.give(weights, target.revision)
+        outcome = await self._orders.issue(weights, target.revision)
         if isinstance(outcome, Failure) and outcome.reason is not ORDER_FAILED:
-            # Withheld or refused: the next step looks at the engine and decides anew.
+            # Withheld or refused: the next step reads the engine's state and decides again.
             self._gate.set_state(STAGED, target.pool)
-            return 0.0 if outcome.reason is FACTS_OLD else RETRY_SECONDS
-        # An order whose outcome is not known may have been taken: read back in any case.
+            return 0.0 if outcome.reason is FACTS_OLD else RETRY_DELAY_SECONDS
+        # If the outcome is unknown the engine may have taken the order: read its state.
         state = await self._await_load(target)
         if state is None:
             self._gate.set_state(STAGED, target.pool)
-            return RETRY_SECONDS
+            return RETRY_DELAY_SECONDS
         if _loaded_digest(state) != target.digest:
             detail = f"ordered {target.digest[:12]}, reported {_loaded_digest(state)[:12]}"
-            self._decide(ENGINE_MISMATCH.code, f"{detail} {state.error}")
+            self._record_decision(ENGINE_MISMATCH.code, f"{detail} {state.error}")
             self._gate.set_state(STAGED, target.pool)
-            return RETRY_SECONDS
-        self._decide("serving", f"the engine reports {target.digest[:12]} as ordered")
+            return RETRY_DELAY_SECONDS
+        self._record_decision("serving", f"the engine reports {target.digest[:12]} as ordered")
         self._gate.set_state(SERVING, target.pool, target.digest)
         return 0.0
 
     async def _await_load(self, target: Target) -> EngineState | None:
-        """Wait until the engine has done loading; None if it does not answer."""
-        with trio.move_on_after(LOAD_SECONDS):
+        """Return the engine's state once it has finished loading.
+
+        Returns None if the engine stops answering or loads for longer than LOAD_TIMEOUT_SECONDS.
+        """
+        with trio.move_on_after(LOAD_TIMEOUT_SECONDS):
             failures = 0
             while failures < 5:
                 await trio.sleep(LOAD_POLL_SECONDS)
@@ -309,37 +322,35 @@
                 failures = failures + 1 if state is None else 0
                 if state is not None and not state.loading:
                     return state
-        self._decide(ORDER_FAILED.code, f"load of {target.digest[:12]} not confirmed")
+        self._record_decision(ORDER_FAILED.code, f"load of {target.digest[:12]} not confirmed")
         return None
 
-    # Away from a pool.
-
-    async def _retire(self, state: EngineState) -> float:
-        """The upstream is to hold nothing: leave when it may, then empty the engine."""
+    async def _unload(self, state: EngineState) -> float:
+        """Stop serving when permitted, then empty the engine of an upstream without a target."""
         if self._gate.state == SERVING:
-            view = self._shared.documents.versions
+            view = self._context.documents.versions
             turn = await self._ask_turn(None)
-            self._decide("turn" if turn.now else "wait-turn", turn.reason)
+            self._record_decision("turn" if turn.now else "wait-turn", turn.reason)
             if not turn.now:
-                return self._pause_until_turn(turn)
-            if not await self._leave(view):
+                return self._turn_poll_delay(turn)
+            if not await self._stop_serving(view):
                 return 0.0
         elif self._gate.state != EMPTY:
             self._gate.set_state(EMPTY, "")
         if not state.loaded:
-            return IDLE_SECONDS
-        revision = self._shared.documents.revision
-        outcome = await self._orders.give([], revision)
+            return ENGINE_POLL_SECONDS
+        revision = self._context.documents.revision
+        outcome = await self._orders.issue([], revision)
         if isinstance(outcome, Ok):
             self._gate.set_state(EMPTY, "")
-        return RETRY_SECONDS
+        return RETRY_DELAY_SECONDS
 
-    def _decide(self, kind: str, reason: str) -> None:
-        self._shared.journal.record(kind, self._gate.name, reason)
+    def _record_decision(self, kind: str, reason: str) -> None:
+        self._context.journal.record(kind, self._gate.name, reason)
 
 
 def _loaded_digest(state: EngineState) -> str:
-    """Return the digest that stands for what an engine holds; empty while it loads."""
+    """Return the combined digest of the loaded weights; empty while the engine loads."""
     if state.loading or not state.loaded:
         return ""
     return serving_digest([weights.digest for weights in state.loaded])
--- a/libs/rollout/src/headcross_rollout/target.py
+++ b/libs/rollout/src/headcross_rollout/target.py
@@ -1,4 +1,4 @@
-"""What one upstream is to hold, worked out from the documents in force."""
+"""Target weights of upstreams, computed from the documents in force."""
 
 from dataclasses import dataclass
 
@@ -12,57 +12,57 @@
 from headcross_native.engine import serving_digest
 from headcross_native.hostlist import HostList
 
-from headcross_rollout.placement import Placement, place
+from headcross_rollout.placement import Placement, compute_placement
 
 
 @dataclass(frozen=True, slots=True)
 class Target:
-    """The weights one upstream is to serve."""
+    """The weights that one upstream is to serve."""
 
     revision: int
     pool: str
     artifacts: tuple[Artifact, ...]
-    digest: str  # the one that stands for all artifacts
+    digest: str  # combined digest of all artifacts
     origin_copies: int
 
 
 class Targets:
-    """Targets of all upstreams; the placement is worked out once for each pair of documents."""
+    """Targets of all upstreams; the placement is computed once for each pair of documents."""
 
     def __init__(self, documents: Documents) -> None:
         self._documents = documents
-        self._placed_for: tuple[FleetFile, HostList] | None = None
+        self._placement_inputs: tuple[FleetFile, HostList] | None = None
         self._placement = Placement()
 
     @property
     def placement(self) -> Placement:
-        """The placement by the documents in force."""
+        """The placement for the documents in force."""
         current = (self._documents.fleet, self._documents.hosts)
-        if self._placed_for is None or any(
-            old is not new for old, new in zip(self._placed_for, current, strict=True)
+        if self._placement_inputs is None or any(
+            old is not new for old, new in zip(self._placement_inputs, current, strict=True)
         ):
-            self._placement = place(*current)
-            self._placed_for = current
+            self._placement = compute_placement(*current)
+            self._placement_inputs = current
         return self._placement
 
     def of_upstream(self, upstream: str) -> Target | None:
-        """Return the target of an assigned upstream."""
-        pool = self.placement.pool_of.get(upstream)
+        """Return the target of an upstream, or None if no pool is assigned to it."""
+        pool = self.placement.pool_by_upstream.get(upstream)
         return None if pool is None else self.of_pool(pool)
 
     def of_pool(self, name: str) -> Target:
-        """Return the target of a pool's upstreams."""
+        """Return the target of all upstreams of a pool, which must be in the fleet file."""
         pool = self._documents.fleet.pools[name]
         artifacts = pool_artifacts(self._documents.fleet, pool)
         digest = serving_digest([artifact.digest for artifact in artifacts])
         return Target(self._documents.revision, name, tuple(artifacts), digest, pool.origin_copies)
 
     def pool(self, name: str) -> Pool | None:
-        """Return a pool of the fleet file in force."""
+        """Return a pool of the fleet file in force, or None if it has no such pool."""
         return self._documents.fleet.pools.get(name)
 
-    def wanting(self, artifact: Artifact) -> list[str]:
-        """Return the hosts that are to have an artifact."""
+    def hosts_needing(self, artifact: Artifact) -> list[str]:
+        """Return the hosts with an upstream assigned to a pool that includes the artifact."""
         pools = [
             name
             for name, pool in self._documents.fleet.pools.items()
@@ -75,8 +75,12 @@
             if any(upstream.name in upstreams for upstream in host.upstreams)
         ]
 
-    def pool_serving(self, digest: str, preferred: str | None) -> str | None:
-        """Return a pool that loaded weights belong to, by any version the file still lists."""
+    def pool_with_digest(self, digest: str, preferred: str | None) -> str | None:
+        """Return a pool that weights with this digest belong to, trying `preferred` first.
+
+        All versions that the fleet file lists for the pool's model count. Returns None if no pool
+        matches.
+        """
         names = list(self._documents.fleet.pools)
         if preferred in names:
             names.insert(0, preferred)
--- a/libs/rollout/src/headcross_rollout/turnclient.py
+++ b/libs/rollout/src/headcross_rollout/turnclient.py
@@ -1,8 +1,8 @@
-"""A daemon's side of turns: asks a few entries, and moves only if all that answer agree.
+"""Asks entries whether an upstream may stop serving, and combines their answers.
 
-Entries receive the heartbeats of all upstream daemons, so a daemon that wants to move need not
-hold those of its peers itself. An entry that missed news errs towards "not now" for want of fresh
-rows; asking several and taking the most careful answer errs the same way.
+Entries receive the heartbeats of all upstream daemons, so a daemon need not receive those of its
+peers. An entry that missed heartbeats lacks fresh rows and therefore tends to refuse. Asking
+several entries and taking the most cautious answer errs on the same side.
 """
 
 import itertools
@@ -17,14 +17,15 @@
 
 from headcross_rollout.turns import Turn
 
-ENTRIES_ASKED: Final = 3
-ANSWER_SECONDS: Final = 1.0
-# The first message to an entry may only open the link, so it is sent again while none answers.
-ASK_AGAIN_SECONDS: Final = 0.2
+MAX_ENTRIES_ASKED: Final = 3
+ANSWER_TIMEOUT_SECONDS: Final = 1.0
+# The first message to an entry may do no more than open the link, so questions are sent again
+# until an entry answers.
+RESEND_INTERVAL_SECONDS: Final = 0.2
 
 
 class _Question:
-    """One question and the answers so far."""
+    """One question and the answers received so far."""
 
     def __init__(self, entries: int) -> None:
         self.answers: list[TurnAnswer] = []
@@ -32,16 +33,16 @@
         self._entries = entries
 
     def add(self, answer: TurnAnswer) -> None:
-        """Take an answer; the event is set when all entries have answered."""
+        """Record an answer; `answered` is set once all entries that were asked have answered."""
         self.answers.append(answer)
         if len(self.answers) >= self._entries:
             self.answered.set()
 
 
 class TurnClient:
-    """Asks entries and gathers their answers."""
+    """Sends questions about turns to entries and collects the answers."""
 
-    # Questions asked so far.
+    # Number of questions asked.
     asked: int
 
     def __init__(self, host: str, zone: str, documents: Documents, node: PeerNode) -> None:
@@ -54,13 +55,16 @@
         self._questions: dict[int, _Question] = {}
 
     def receive(self, answer: TurnAnswer) -> None:
-        """Take an answer; one that nobody waits for any more is dropped."""
+        """Record an answer; one to a question that is no longer pending is dropped."""
         question = self._questions.get(answer.question)
         if question is not None:
             question.add(answer)
 
     async def ask(self, kind: TurnKind, upstream: str, pool: str, digest: str) -> Turn:
-        """Return whether an upstream may move, by the documents in force now."""
+        """Return whether an upstream may proceed, by the documents in force now.
+
+        Waits up to ANSWER_TIMEOUT_SECONDS; without any answer the result is a refusal.
+        """
         versions = self._documents.versions
         number = next(self._numbers)
         message = AskTurn(number, kind, upstream, pool, digest, versions.fleet, versions.hosts)
@@ -68,11 +72,11 @@
         question = self._questions[number] = _Question(len(entries))
         self.asked += 1
         try:
-            with trio.move_on_after(ANSWER_SECONDS):
+            with trio.move_on_after(ANSWER_TIMEOUT_SECONDS):
                 while not question.answered.is_set():
                     for address in entries if not question.answers else []:
                         self._node.send(address, message)
-                    with trio.move_on_after(ASK_AGAIN_SECONDS):
+                    with trio.move_on_after(RESEND_INTERVAL_SECONDS):
                         await question.answered.wait()
         finally:
             del self._questions[number]
@@ -83,11 +87,11 @@
         entries = {h.name: h for h in hosts if h.role == "entry" and not h.leaving}
         order = rendezvous_order(f"turns {self._host}", entries)
         order.sort(key=lambda name: entries[name].zone != self._zone)
-        return [entries[name].control_address for name in order[:ENTRIES_ASKED]]
+        return [entries[name].control_address for name in order[:MAX_ENTRIES_ASKED]]
 
 
 def merge_answers(answers: list[TurnAnswer]) -> Turn:
-    """Return the most careful answer; none at all means to hold.
+    """Return the most cautious answer, or a refusal if there is no answer.
 
     >>> merge_answers([]).now
     False
@@ -96,5 +100,5 @@
     """
     if not answers:
         return Turn(False, "no entry answers")
-    careful = max(answers, key=lambda answer: (not answer.now, answer.before))
-    return Turn(careful.now, careful.reason, careful.before)
+    most_cautious = max(answers, key=lambda answer: (not answer.now, answer.before))
+    return Turn(most_cautious.now, most_cautious.reason, most_cautious.before)
--- a/libs/rollout/src/headcross_rollout/turns.py
+++ b/libs/rollout/src/headcross_rollout/turns.py
@@ -1,16 +1,17 @@
-"""Turns: whether a serving upstream may stop serving now.
+"""Rules that decide whether a serving upstream may stop serving now, that is, has its turn.
 
-Pure functions of the placement and of what entries know of a pool. No process coordinates, and
-views differ for seconds, so the rules are such that daemons which act on different views still do
-not take more away than the fleet file allows:
+The functions are pure: they depend on the placement and on what entries know of a pool. Daemons do
+not coordinate with each other, and their views differ for seconds, so the rules ensure that
+daemons which act on different views do not take away more upstreams than the fleet file allows:
 
-* only rows that are fresh, and whose daemon has the same fleet file and host list in force, count
-  as serving; a daemon with those follows the same order as this one;
-* a swap in place goes in rank order: an upstream moves only while fewer than `max_unavailable` of
-  those ranked before it have yet to serve the new version;
-* an upstream that leaves a pool counts every leaver ranked before it as gone already.
+* Only rows that are fresh, and whose daemon has the same fleet file and host list in force, count
+  as serving. Such a daemon follows the same order as this one.
+* A swap in place goes in rank order: an upstream may stop serving only while fewer than
+  `max_unavailable` of the upstreams ranked before it have yet to serve the new version.
+* For an upstream that leaves a pool, all leaving upstreams that come before it by name count as
+  gone already.
 
-Silence never frees a place at once: a silent upstream counts as away, and the order passes it over
+A silent upstream does not free its place at once: it counts as unavailable, and the order skips it
 only after `stand_in_seconds`.
 """
 
@@ -27,68 +28,76 @@
 
 @dataclass(frozen=True, slots=True)
 class Turn:
-    """Whether to move, and why."""
+    """Whether an upstream may proceed, and the reason."""
 
     now: bool
     reason: str
-    before: int = 0  # how many upstreams go before this one
+    before: int = 0  # number of upstreams that go before this one
 
 
 def may_swap(
-    me: str, pool: Pool, assigned: list[str], rows: Rows, digest: str, view: Versions
+    upstream: str, pool: Pool, assigned: list[str], rows: Rows, digest: str, view: Versions
 ) -> Turn:
-    """Tell whether an assigned upstream may stop serving to load another version of its pool."""
-    serving = {name for name in assigned if _serves(rows.get(name), view)}
-    before = assigned[: assigned.index(me)]
-    undone = [name for name in before if not _done(rows.get(name), pool, digest, view)]
-    if len(undone) >= pool.max_unavailable:
-        return Turn(False, f"{undone[0]} goes before", len(undone))
+    """Return whether an assigned upstream may stop serving to load another version of its pool."""
+    serving = {name for name in assigned if _counts_as_serving(rows.get(name), view)}
+    ranked_before = assigned[: assigned.index(upstream)]
+    pending = [
+        name for name in ranked_before if not _needs_no_turn(rows.get(name), pool, digest, view)
+    ]
+    if len(pending) >= pool.max_unavailable:
+        return Turn(False, f"{pending[0]} goes before", len(pending))
     required = min(pool.replicas, len(assigned)) - pool.max_unavailable
-    others = len(serving - {me})
+    others = len(serving - {upstream})
     if others < required:
         return Turn(False, f"{others} others serve, {required} must")
     return Turn(True, f"{others} others serve, {required} must")
 
 
-def may_leave(me: str, pool: Pool, assigned: list[str], rows: Rows, view: Versions) -> Turn:
-    """Tell whether an upstream that is not assigned any more may stop serving a pool."""
+def may_leave(upstream: str, pool: Pool, assigned: list[str], rows: Rows, view: Versions) -> Turn:
+    """Return whether an upstream that is no longer assigned to a pool may stop serving it."""
     required = min(pool.replicas, len(assigned))
-    taking_over = sum(_serves(rows.get(name), view) for name in assigned if name != me)
+    taking_over = sum(
+        _counts_as_serving(rows.get(name), view) for name in assigned if name != upstream
+    )
     leavers = sorted(
-        name for name, row in rows.items() if name not in assigned and _serves(row, view)
+        name
+        for name, row in rows.items()
+        if name not in assigned and _counts_as_serving(row, view)
     )
-    staying = sum(name > me for name in leavers)
+    staying = sum(name > upstream for name in leavers)
     if taking_over + staying < required:
         reason = f"{taking_over} new and {staying} old ones serve, {required} must"
         return Turn(False, reason)
     return Turn(True, f"{taking_over} new and {staying} old ones serve, {required} must")
 
 
-def stands_in(me: str, pool: Pool, assigned: list[str], spares: list[str], rows: Rows) -> Turn:
-    """Tell whether a spare is to serve in the place of a silent upstream."""
-    silent = [name for name in assigned if _long_silent(rows.get(name), pool)]
-    place = spares.index(me)
-    if place < len(silent):
-        return Turn(True, f"stands in for {silent[place]}")
+def may_stand_in(
+    upstream: str, pool: Pool, assigned: list[str], spares: list[str], rows: Rows
+) -> Turn:
+    """Return whether a spare is to serve in place of a silent upstream."""
+    silent = [name for name in assigned if _is_replaceable(rows.get(name), pool)]
+    position = spares.index(upstream)
+    if position < len(silent):
+        return Turn(True, f"stands in for {silent[position]}")
     return Turn(False, "spare")
 
 
-def _serves(row: PoolRow | None, view: Versions) -> bool:
-    """Tell whether a row counts as serving for a daemon with these documents in force."""
+def _counts_as_serving(row: PoolRow | None, view: Versions) -> bool:
+    """Return whether a row counts as serving for a daemon with these documents in force."""
     if row is None or row.silent:
         return False
     same_view = (row.revision, row.hosts_revision) == (view.fleet, view.hosts)
     return row.state == SERVING and same_view
 
 
-def _done(row: PoolRow | None, pool: Pool, digest: str, view: Versions) -> bool:
-    """Tell whether an upstream needs no place in the order any more."""
+def _needs_no_turn(row: PoolRow | None, pool: Pool, digest: str, view: Versions) -> bool:
+    """Return whether an upstream no longer holds back those ranked after it."""
     if row is None:
         return False
-    if _long_silent(row, pool):
+    if _is_replaceable(row, pool):
         return True
-    return _serves(row, view) and row.digest == digest
+    return _counts_as_serving(row, view) and row.digest == digest
 
 
-def _long_silent(row: PoolRow | None, pool: Pool) -> bool:
+def _is_replaceable(row: PoolRow | None, pool: Pool) -> bool:
     return row is not None and row.silent and row.age > pool.stand_in_seconds
--- a/libs/routing/src/headcross_routing/__init__.py
+++ b/libs/routing/src/headcross_routing/__init__.py
@@ -1,1 +1,1 @@
-"""The way of a request: admitted, routed, picked, handed over once, answered whole."""
+"""Request routing: admission, choice of an upstream, at-most-once hand-over, answer relay."""
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -1,8 +1,8 @@
-"""One attempt of an entry at one upstream, and what is known of it afterwards.
+"""One attempt of an entry to have a request answered by one upstream.
 
-Straight down: a connection to the daemon; the request with what the daemon needs to know; the
-answer or the daemon's refusal. Whatever breaks on the way is judged by how far the request had
-got, and for a request that must not be repeated the daemon itself is asked.
+An attempt connects to the upstream's daemon, sends the request with the headers that the daemon
+needs, and relays the answer or reads the daemon's refusal. A failure on the way is classified by
+how far the request had got; for a request that must not be repeated, the daemon itself is asked.
 """
 
 from collections.abc import Awaitable, Callable
@@ -46,7 +46,7 @@
 from headcross_wire.httpserver import Headers
 from headcross_wire.replies import MAX_ERROR_BYTES, read_refusal
 
-from headcross_routing.answerflow import AnswerFlow
+from headcross_routing.answerrelay import AnswerRelay
 from headcross_routing.ledger import REVOCATIONS_PATH
 from headcross_routing.picking import Candidate, Picker
 from headcross_routing.requestmeta import (
@@ -61,23 +61,23 @@
     UPSTREAM_HEADER,
     WEIGHT_HEADER,
     RequestMeta,
-    passed_headers,
+    forwarded_headers,
 )
 
-# A daemon answers at the deadline itself; an entry waits this much longer for its word.
+# A daemon itself answers at the deadline; an entry waits this much longer for that answer.
 DEADLINE_GRACE_SECONDS: Final = 0.25
-# While an answer is awaited, the daemon's heartbeats are looked at this often.
-SILENCE_CHECK_SECONDS: Final = 1.0
-SILENT_CHECKS: Final = 2
-REVOKE_SECONDS: Final = 0.7
+# While an entry waits for an answer, it checks the daemon's heartbeats at this interval.
+SILENCE_CHECK_INTERVAL_SECONDS: Final = 1.0
+MAX_SILENT_CHECKS: Final = 2
+REVOKE_TIMEOUT_SECONDS: Final = 0.7
 
 T = TypeVar("T")
 
 
 class Attempts:
-    """Makes the attempts of one entry."""
+    """Makes the attempts of one entry at upstreams."""
 
-    # Attempts made so far.
+    # Number of attempts made.
     made: int
 
     def __init__(self, documents: Documents, statuses: StatusTable, picker: Picker) -> None:
@@ -87,22 +87,22 @@
         self._picker = picker
         self._connections = ConnectionPool()
 
-    async def make(self, meta: RequestMeta, flow: AnswerFlow, candidate: Candidate) -> Verdict:
-        """Hand a request to the daemon of one upstream and pass its answer on."""
+    async def make(self, meta: RequestMeta, relay: AnswerRelay, candidate: Candidate) -> Verdict:
+        """Send a request to one upstream's daemon and relay its answer; return the verdict."""
         self.made += 1
-        self._picker.started(candidate)
+        self._picker.attempt_started(candidate)
         try:
-            verdict = await self._hand_to_daemon(meta, flow, candidate)
+            verdict = await self._send_to_daemon(meta, relay, candidate)
         finally:
-            self._picker.ended(candidate)
+            self._picker.attempt_ended(candidate)
         if isinstance(verdict, Completed):
-            self._picker.succeeded(candidate)
+            self._picker.attempt_succeeded(candidate)
         elif verdict.reason in (CONNECT_FAILED, LINK_LOST, LEAVING, NOT_SERVING, DRAINING):
             self._picker.avoid(candidate, verdict.reason)
         return verdict
 
-    async def _hand_to_daemon(
-        self, meta: RequestMeta, flow: AnswerFlow, candidate: Candidate
+    async def _send_to_daemon(
+        self, meta: RequestMeta, relay: AnswerRelay, candidate: Candidate
     ) -> Verdict:
         try:
             connection = await self._connections.take(candidate.address)
@@ -110,9 +110,9 @@
             return NotRun(CONNECT_FAILED, str(error))
         with trio.move_on_after(meta.remaining + DEADLINE_GRACE_SECONDS) as scope:
             try:
-                verdict = await self._exchange(meta, flow, candidate, connection)
+                verdict = await self._exchange(meta, relay, candidate, connection)
             except LinkLostError as error:
-                verdict = await self._judge_lost_link(meta, flow, candidate, str(error))
+                verdict = await self._classify_lost_link(meta, relay, candidate, str(error))
             except EventTooLongError:
                 verdict = MayHaveRun(UPSTREAM_ERROR, "an event without an end")
             except BaseException:
@@ -127,47 +127,51 @@
     async def _exchange(
         self,
         meta: RequestMeta,
-        flow: AnswerFlow,
+        relay: AnswerRelay,
         candidate: Candidate,
         connection: HttpConnection,
     ) -> Verdict:
         request = meta.request
-        headers = self._daemon_headers(meta, flow, candidate)
+        headers = self._daemon_headers(meta, relay, candidate)
         await connection.send(request.method, request.target, headers, request.body)
-        answer = await self._watched(candidate, connection.receive_answer)
-        self._note_load(candidate, answer)
+        answer = await self._receive_unless_silent(candidate, connection.receive_answer)
+        self._record_load(candidate, answer)
         verdict = answer.header(VERDICT_HEADER.lower())
         if verdict != COMPLETED:
-            body = await _read_bounded(connection)
+            body = await _read_error_body(connection)
             if verdict is None:
                 return MayHaveRun(UPSTREAM_ERROR, f"status {answer.status} without a verdict")
             return read_refusal(verdict, answer.header("retry-after"), body)
-        await flow.begin(answer)
-        while (piece := await self._watched(candidate, connection.receive_piece)) is not None:
-            await flow.pass_on(piece)
-        return Completed(await flow.finish())
-
-    async def _watched(self, candidate: Candidate, receive: Callable[[], Awaitable[T]]) -> T:
-        """Wait for bytes of a daemon, but not for one that has fallen silent.
+        await relay.begin(answer)
+        while (
+            piece := await self._receive_unless_silent(candidate, connection.receive_piece)
+        ) is not None:
+            await relay.forward(piece)
+        return Completed(await relay.finish())
+
+    async def _receive_unless_silent(
+        self, candidate: Candidate, receive: Callable[[], Awaitable[T]]
+    ) -> T:
+        """Wait for data from a daemon; raise LinkLostError if its heartbeats have stopped.
 
         A host that is frozen or cut off keeps its connections open; only its missing heartbeats
-        tell it from one that is at work. Silence must be seen twice: after a pause of this process
+        distinguish it from a busy one. Silence must be seen twice: after a pause of this process
         itself every heartbeat looks overdue until the waiting messages have been read.
         """
         silent_checks = 0
-        while silent_checks < SILENT_CHECKS:
-            with trio.move_on_after(SILENCE_CHECK_SECONDS):
+        while silent_checks < MAX_SILENT_CHECKS:
+            with trio.move_on_after(SILENCE_CHECK_INTERVAL_SECONDS):
                 return await receive()
             daemon = self._statuses.daemon(candidate.host)
             silent = daemon is None or daemon.silent()
             silent_checks = silent_checks + 1 if silent else 0
-        raise LinkLostError(f"{candidate.host} fell silent")
+        raise LinkLostError(f"{candidate.host} sends no heartbeats")
 
-    async def _judge_lost_link(
-        self, meta: RequestMeta, flow: AnswerFlow, candidate: Candidate, detail: str
+    async def _classify_lost_link(
+        self, meta: RequestMeta, relay: AnswerRelay, candidate: Candidate, detail: str
     ) -> Refusal:
-        """Find out whether a request was handed over before its link was lost."""
-        if flow.started:
+        """Determine whether a request was handed over before its link was lost."""
+        if relay.started:
             return MayHaveRun(STREAM_BROKEN, detail)
         if meta.repeatable:
             return MayHaveRun(LINK_LOST, detail)
@@ -176,12 +180,12 @@
         return MayHaveRun(LINK_LOST, detail)
 
     def _daemon_headers(
-        self, meta: RequestMeta, flow: AnswerFlow, candidate: Candidate
+        self, meta: RequestMeta, relay: AnswerRelay, candidate: Candidate
     ) -> Headers:
         team = self._documents.fleet.teams.get(meta.team)
-        headers = passed_headers(meta.request)
+        headers = forwarded_headers(meta.request)
         headers += [
-            # Each attempt at a repeatable request is a submission of its own to the daemon.
+            # To the daemon, each attempt at a repeatable request is a separate submission.
             (REQUEST_HEADER, meta.id if not meta.repeatable else f"{meta.id}.{self.made}"),
             (UPSTREAM_HEADER, candidate.upstream),
             (POOL_HEADER, meta.target),
@@ -190,27 +194,27 @@
             (WEIGHT_HEADER, str(team.weight if team else 1)),
             (RESUMABLE_HEADER, "yes" if meta.repeatable else "no"),
         ]
-        if flow.events is not None:
-            headers += [(RESUME_HEADER, str(flow.events.tokens)), (DIGEST_HEADER, flow.digest)]
+        if relay.events is not None:
+            headers += [(RESUME_HEADER, str(relay.events.tokens)), (DIGEST_HEADER, relay.digest)]
         return headers
 
-    def _note_load(self, candidate: Candidate, answer: Answer) -> None:
+    def _record_load(self, candidate: Candidate, answer: Answer) -> None:
         load = answer.header(LOAD_HEADER) or ""
         if load.isdecimal():
             self._picker.report_load(candidate.upstream, float(load))
 
 
 async def revoke(daemon: Address, incarnation: int, request: str) -> bool:
-    """Withdraw a request; True means that the daemon promises never to hand it over.
+    """Revoke a request; True means that the daemon guarantees never to hand it over.
 
-    Only the incarnation that the request was sent to can promise that: one that was started since
-    knows nothing of what its predecessor handed over.
+    Only the incarnation to which the request was sent can guarantee that: one that was started
+    later does not know what its predecessor handed over.
     """
     outcome = await call(
         daemon,
         "POST",
         f"{REVOCATIONS_PATH}{incarnation}/{request}",
-        seconds=REVOKE_SECONDS,
+        seconds=REVOKE_TIMEOUT_SECONDS,
         max_bytes=MAX_ERROR_BYTES,
     )
     if isinstance(outcome, Failure) or outcome.value.status != 200:
@@ -222,10 +226,10 @@
     return state == "revoked"
 
 
-async def _read_bounded(connection: HttpConnection) -> bytes:
+async def _read_error_body(connection: HttpConnection) -> bytes:
     body = bytearray()
     while (piece := await connection.receive_piece()) is not None:
         body += piece
         if len(body) > MAX_ERROR_BYTES:
-            raise LinkLostError("an error that is too long")
+            raise LinkLostError("the error body is too long")
     return bytes(body)
--- a/libs/routing/src/headcross_routing/entrypath.py
+++ b/libs/routing/src/headcross_routing/entryhandler.py
@@ -1,8 +1,9 @@
-"""The entry's side of a request: admitted, claimed, attempted, answered whole.
+"""Handles callers' requests at an entry, from admission to the complete answer.
 
-Straight down: read what the request says of itself; admit it by its team's limit; claim its key if
-it must not be repeated; then attempts, each at another upstream, as far as the retry rules, the
-budget and the deadline allow. The last verdict is the caller's, at once.
+The steps are: read the request's metadata; check the team's limit; claim the idempotency key if
+the request must not be repeated; then make attempts, each at another upstream, as far as the retry
+rules, the retry budget and the deadline allow. When no further attempt is allowed, the caller is
+told the verdict at once.
 """
 
 import logging
@@ -35,7 +36,7 @@
 from headcross_wire.httpserver import Exchange, Headers
 from headcross_wire.replies import send_refusal
 
-from headcross_routing.answerflow import AnswerFlow
+from headcross_routing.answerrelay import AnswerRelay
 from headcross_routing.attempts import Attempts
 from headcross_routing.keyclaims import claim_key, release_key
 from headcross_routing.picking import Candidate, Picker, prefix_of
@@ -43,15 +44,15 @@
     RequestMeta,
     read_meta,
 )
-from headcross_routing.retry import MAX_ATTEMPTS, RetryBudget, may_try_again
+from headcross_routing.retry import MAX_ATTEMPTS, RetryBudget, may_retry
 from headcross_routing.teams import TeamLimits
 
-# A request without any replica in view waits so long for one: a swap of the last replica, or an
-# entry that has just started, mends itself within this.
+# A request waits this long while no replica is known to serve it: a swap of the last replica and
+# the start of an entry take less time than this.
 REPLICA_WAIT_SECONDS: Final = 2.0
 REPLICA_POLL_SECONDS: Final = 0.05
 
-CALLERS_FAULTS: Final = frozenset({BAD_REQUEST, NO_ROUTE, UNKNOWN_TEAM, TEAM_LIMIT})
+CALLER_ERRORS: Final = frozenset({BAD_REQUEST, NO_ROUTE, UNKNOWN_TEAM, TEAM_LIMIT})
 
 logger = logging.getLogger(__name__)
 
@@ -60,19 +61,19 @@
 
 @dataclass(slots=True)
 class _Progress:
-    """What was tried so far for one request."""
+    """The attempts made so far for one request."""
 
-    flow: AnswerFlow
+    relay: AnswerRelay
     tried: set[str] = field(default_factory=set)
     attempts: int = 0
 
 
-class EntryPath:
-    """Handles callers' requests at one entry."""
+class EntryHandler:
+    """Handles the requests of callers at one entry."""
 
-    # Requests by verdict and reason.
+    # Number of requests by verdict and reason.
     counts: Counter[str]
-    # Requests being served now.
+    # Number of admitted requests that are being handled.
     in_flight: int
     budget: RetryBudget
     limits: TeamLimits
@@ -97,11 +98,11 @@
 
     @property
     def attempts(self) -> int:
-        """Attempts at upstreams so far, for the ratio to requests."""
+        """Number of attempts at upstreams, for the ratio to requests."""
         return self._attempts.made
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request of a caller."""
+        """Handle one request of a caller."""
         started_at = monotonic()
         meta = read_meta(exchange.request, self._documents.fleet)
         if not self._settled.is_set():
@@ -111,15 +112,15 @@
             await self._refuse(exchange, meta, "")
             return
         self.in_flight += 1
-        flow = AnswerFlow(exchange)
+        relay = AnswerRelay(exchange)
         try:
-            verdict = await self._admit_and_run(meta, flow)
+            verdict = await self._admit_and_run(meta, relay)
             self._observe(meta, verdict, monotonic() - started_at)
             if isinstance(verdict, Completed):
                 self.counts[COMPLETED] += 1
-            elif flow.started:
+            elif relay.started:
                 self._count(verdict, meta.id)
-                await flow.break_off(verdict)
+                await relay.abort(verdict)
             else:
                 await self._refuse(exchange, verdict, meta.id)
         finally:
@@ -134,12 +135,12 @@
         name = verdict_name(refusal)
         self.counts[f"{name} {refusal.reason.code}"] += 1
         fields = {"verdict": name, "reason": refusal.reason.code, "detail": refusal.detail}
-        # What a caller does wrong is counted but not logged line by line: a flood must not cost
-        # more than refusing it does.
-        level = logging.DEBUG if refusal.reason in CALLERS_FAULTS else logging.INFO
+        # Errors of callers are counted but logged at debug level only: a flood of them must not
+        # cost more than the refusals do.
+        level = logging.DEBUG if refusal.reason in CALLER_ERRORS else logging.INFO
         logger.log(level, "request refused", extra={"request": request, **fields})
 
-    async def _admit_and_run(self, meta: RequestMeta, flow: AnswerFlow) -> Verdict:
+    async def _admit_and_run(self, meta: RequestMeta, relay: AnswerRelay) -> Verdict:
         fleet = self._documents.fleet
         entries = sum(host.role == "entry" for host in self._documents.hosts.hosts)
         refusal: Refusal | None = self.limits.admit(meta.team, fleet.teams[meta.team], entries)
@@ -147,20 +148,18 @@
             return refusal
         with self.limits.in_flight(meta.team):
             if meta.repeatable or meta.key is None:
-                return await self._run(meta, flow)
+                return await self._run(meta, relay)
             refusal = await claim_key(meta, self._documents.hosts)
             if refusal is not None:
                 return refusal
-            verdict = await self._run(meta, flow)
+            verdict = await self._run(meta, relay)
             if isinstance(verdict, NotRun):
                 await release_key(meta, self._documents.hosts)
             return verdict
 
-    # Attempts.
-
-    async def _run(self, meta: RequestMeta, flow: AnswerFlow) -> Verdict:
+    async def _run(self, meta: RequestMeta, relay: AnswerRelay) -> Verdict:
         self.budget.earn()
-        progress = _Progress(flow)
+        progress = _Progress(relay)
         last: Refusal | None = None
         while True:
             candidate = await self._next_candidate(meta, progress)
@@ -168,27 +167,27 @@
                 return last or NotRun(NO_REPLICA, meta.target, 1.0)
             progress.attempts += 1
             progress.tried.add(candidate.upstream)
-            verdict = await self._attempts.make(meta, progress.flow, candidate)
+            verdict = await self._attempts.make(meta, progress.relay, candidate)
             if isinstance(verdict, Completed):
                 return verdict
-            last = self._worst(last, verdict)
-            if not self._may_go_on(meta, progress, verdict):
+            last = self._merge_refusals(last, verdict)
+            if not self._may_retry(meta, progress, verdict):
                 return last
 
-    def _worst(self, last: Refusal | None, new: Refusal) -> Refusal:
-        """Return the refusal that a caller must be told: once may-have-run, always so."""
+    def _merge_refusals(self, last: Refusal | None, new: Refusal) -> Refusal:
+        """Return the refusal to report: NotRun does not replace an earlier MayHaveRun."""
         return last if isinstance(last, MayHaveRun) and isinstance(new, NotRun) else new
 
-    def _may_go_on(self, meta: RequestMeta, progress: _Progress, refusal: Refusal) -> bool:
+    def _may_retry(self, meta: RequestMeta, progress: _Progress, refusal: Refusal) -> bool:
         if meta.remaining <= 0 or progress.attempts >= MAX_ATTEMPTS:
             return False
-        # A stream that broke off goes on from its next token, which repeats nothing the caller
-        # has seen; any other answer that was begun cannot be begun again.
-        begun = progress.flow.started and not progress.flow.resumable
-        return may_try_again(refusal, meta.repeatable, begun) and self.budget.spend()
+        # A broken stream resumes at its next token, which repeats nothing that the caller has
+        # received; any other answer that was started cannot be started again.
+        cannot_resume = progress.relay.started and not progress.relay.resumable
+        return may_retry(refusal, meta.repeatable, cannot_resume) and self.budget.spend()
 
     async def _next_candidate(self, meta: RequestMeta, progress: _Progress) -> Candidate | None:
-        """Pick the next upstream; wait a moment if none at all is in view."""
+        """Pick the next upstream; wait up to REPLICA_WAIT_SECONDS while there is none."""
         wait_until = monotonic() + min(REPLICA_WAIT_SECONDS, max(0.0, meta.remaining))
         prefix = prefix_of(meta.request.body) if meta.route.pool else None
         while True:
@@ -196,16 +195,16 @@
             candidate = self._picker.pick(candidates, prefix)
             if candidate is not None:
                 return candidate
-            refused = progress.attempts and not progress.flow.started
+            refused = progress.attempts and not progress.relay.started
             if refused or monotonic() >= wait_until:
                 return None
             await trio.sleep(REPLICA_POLL_SECONDS)
 
     def _candidates(self, meta: RequestMeta, progress: _Progress) -> list[Candidate]:
-        """Return the upstreams that may be tried now."""
+        """Return the upstreams that may be tried in the next attempt."""
         serving = self._picker.candidates(meta.target, self._documents.hosts)
-        if progress.flow.started:
-            serving = [c for c in serving if c.digest == progress.flow.digest]
-        fresh = [c for c in serving if c.upstream not in progress.tried]
-        # A stream that broke may go on where it was before, rather than not at all.
-        return fresh or (serving if progress.flow.started else [])
+        if progress.relay.started:
+            serving = [c for c in serving if c.digest == progress.relay.digest]
+        untried = [c for c in serving if c.upstream not in progress.tried]
+        # A broken stream may resume at an upstream that was tried before if there is no other.
+        return untried or (serving if progress.relay.started else [])
--- a/libs/routing/src/headcross_routing/fairqueue.py
+++ b/libs/routing/src/headcross_routing/fairqueue.py
@@ -1,9 +1,10 @@
-"""The queue before one upstream: bounded, fair between teams, early to refuse.
+"""A bounded queue in front of one upstream that is fair between teams.
 
-At most `slots` requests are handed over at once. The others wait in a queue for each team; a free
-slot goes to the team that had the least for its weight (start-time fair queueing). When the queue
-is full, the newest request of the team with the longest queue for its weight gives way, be it the
-one that just came: so a flood of one team never keeps the others out.
+At most `slots` requests are handed over at once. The others wait in one queue per team; a free
+slot goes to the team that received the least relative to its weight (start-time fair queueing).
+When the queue is full, the newest request of the team with the longest queue relative to its
+weight is refused, even if it has just arrived, so a flood from one team does not keep the others
+out.
 """
 
 from collections import deque
@@ -15,7 +16,7 @@
 
 
 @dataclass(slots=True, eq=False)
-class _Waiting:
+class _Waiter:
     team: str
     granted: bool = False
     refused: bool = False
@@ -26,15 +27,15 @@
 class _TeamQueue:
     weight: int
     virtual_time: float
-    waiting: deque[_Waiting] = field(default_factory=deque)
+    waiting: deque[_Waiter] = field(default_factory=deque)
 
-    def pressure(self) -> float:
-        """Return how long the queue is for the team's weight."""
+    def weighted_length(self) -> float:
+        """Return the number of waiting requests divided by the team's weight."""
         return len(self.waiting) / self.weight
 
 
 class FairQueue:
-    """Slots of one upstream and those who wait for them."""
+    """The slots of one upstream and the requests that wait for them."""
 
     # Requests refused because the queue was full.
     refused: int
@@ -51,41 +52,44 @@
 
     @property
     def queued(self) -> int:
-        """Requests that wait now."""
+        """Number of requests that wait."""
         return sum(len(queue.waiting) for queue in self._teams.values())
 
     @property
     def running(self) -> int:
-        """Slots taken now."""
+        """Number of slots in use."""
         return self._running
 
     async def enter(self, team: str, weight: int, seconds: float) -> NotRun | None:
-        """Wait for a slot; the caller gives it back with `leave` unless refused."""
+        """Wait up to `seconds` for a slot; return None, or a refusal.
+
+        Unless refused, the caller holds a slot and must release it with `leave`.
+        """
         if self._running < self.slots and not self.queued:
             self._running += 1
             self._charge(self._queue_of(team, weight))
             return None
-        waiting = _Waiting(team)
+        waiter = _Waiter(team)
         queue = self._queue_of(team, weight)
-        queue.waiting.append(waiting)
+        queue.waiting.append(waiter)
         if self.queued > self._max_queued:
             self._refuse_one()
         try:
             with trio.move_on_after(max(0.0, seconds)):
-                await waiting.event.wait()
+                await waiter.event.wait()
         except trio.Cancelled:
-            self._withdraw(waiting)
+            self._withdraw(waiter)
             raise
-        if waiting.refused:
+        if waiter.refused:
             self.refused += 1
             return NotRun(QUEUE_FULL, f"{self._max_queued} requests wait", 1.0)
-        if not waiting.granted:
-            self._withdraw(waiting)
+        if not waiter.granted:
+            self._withdraw(waiter)
             return NotRun(DEADLINE, "the deadline passed in the queue")
         return None
 
     def leave(self) -> None:
-        """Give a slot back; the next request in turn gets it."""
+        """Release a slot; it goes to the next request."""
         self._running -= 1
         self._grant_next()
 
@@ -95,7 +99,7 @@
             queue = self._teams[team] = _TeamQueue(weight, self._virtual_time)
         queue.weight = weight
         if not queue.waiting:
-            # A team that was idle starts level with the others, with no credit from its past.
+            # A team that was idle starts level with the others; it earns no credit while idle.
             queue.virtual_time = max(queue.virtual_time, self._virtual_time)
         return queue
 
@@ -104,10 +108,10 @@
         queue.virtual_time += 1 / queue.weight
 
     def _grant_next(self) -> None:
-        waiting = [queue for queue in self._teams.values() if queue.waiting]
-        if not waiting or self._running >= self.slots:
+        waiting_queues = [queue for queue in self._teams.values() if queue.waiting]
+        if not waiting_queues or self._running >= self.slots:
             return
-        queue = min(waiting, key=lambda queue: queue.virtual_time)
+        queue = min(waiting_queues, key=lambda queue: queue.virtual_time)
         granted = queue.waiting.popleft()
         self._charge(queue)
         self._running += 1
@@ -115,15 +119,15 @@
         granted.event.set()
 
     def _refuse_one(self) -> None:
-        longest = max(self._teams.values(), key=_TeamQueue.pressure)
+        longest = max(self._teams.values(), key=_TeamQueue.weighted_length)
         refused = longest.waiting.pop()
         refused.refused = True
         refused.event.set()
 
-    def _withdraw(self, waiting: _Waiting) -> None:
-        if waiting.granted:
+    def _withdraw(self, waiter: _Waiter) -> None:
+        if waiter.granted:
             self.leave()
             return
-        queue = self._teams[waiting.team]
-        if waiting in queue.waiting:
-            queue.waiting.remove(waiting)
+        queue = self._teams[waiter.team]
+        if waiter in queue.waiting:
+            queue.waiting.remove(waiter)
--- a/libs/routing/src/headcross_routing/keyclaims.py
+++ b/libs/routing/src/headcross_routing/keyclaims.py
@@ -1,4 +1,4 @@
-"""An entry's side of the key ledger: claiming a key at its home, and giving the claim back."""
+"""An entry's client of the key ledger: claims keys at their owners and releases the claims."""
 
 from typing import Final
 
@@ -11,18 +11,18 @@
 from headcross_wire.httpclient import call
 from headcross_wire.replies import MAX_ERROR_BYTES, read_refusal
 
-from headcross_routing.ledger import CLAIMS_PATH, KeyClaim, home_of, key_homes
+from headcross_routing.ledger import CLAIMS_PATH, KeyClaim, key_owners, owner_of
 from headcross_routing.requestmeta import RequestMeta
 
-CLAIM_SECONDS: Final = 1.0
-CLAIM_ATTEMPTS: Final = 2  # a claim may be repeated: it is granted to the same submission again
+CLAIM_TIMEOUT_SECONDS: Final = 1.0
+CLAIM_ATTEMPTS: Final = 2  # a repeated claim is granted to the same submission again
 
 
 async def claim_key(meta: RequestMeta, hosts: HostList) -> Refusal | None:
-    """Claim the key of a request that must not be repeated; None means that it is granted."""
+    """Claim the key of a request that must not be repeated; return None, or a refusal."""
     outcome: Failure | None = None
     for _ in range(CLAIM_ATTEMPTS):
-        result = await _call_home(_claim_of(meta), hosts)
+        result = await _call_owner(_claim_of(meta), hosts)
         if not isinstance(result, Failure):
             return result
         outcome = result
@@ -30,13 +30,13 @@
 
 
 async def release_key(meta: RequestMeta, hosts: HostList) -> None:
-    """Give a claim back, so that the caller may send the request again.
+    """Release a claim, so that the caller may send the request again.
 
     If this message is lost, the key stays claimed: a resubmission is refused, not run twice.
     """
     claim = msgspec.structs.replace(_claim_of(meta), release=True)
     with trio.CancelScope(shield=True):
-        await _call_home(claim, hosts)
+        await _call_owner(claim, hosts)
 
 
 def _claim_of(meta: RequestMeta) -> KeyClaim:
@@ -48,17 +48,17 @@
     )
 
 
-async def _call_home(claim: KeyClaim, hosts: HostList) -> Refusal | Failure | None:
-    name = home_of(claim.key, key_homes(hosts))
-    home = hosts.find(name) if name is not None else None
-    if home is None:
+async def _call_owner(claim: KeyClaim, hosts: HostList) -> Refusal | Failure | None:
+    name = owner_of(claim.key, key_owners(hosts))
+    owner = hosts.find(name) if name is not None else None
+    if owner is None:
         return Failure(CONNECT_FAILED, "no upstream daemon is listed")
     outcome = await call(
-        home.http_address,
+        owner.http_address,
         "POST",
         CLAIMS_PATH,
         body=msgspec.json.encode(claim),
-        seconds=CLAIM_SECONDS,
+        seconds=CLAIM_TIMEOUT_SECONDS,
         max_bytes=MAX_ERROR_BYTES,
     )
     if isinstance(outcome, Failure):
--- a/libs/routing/src/headcross_routing/picking.py
+++ b/libs/routing/src/headcross_routing/picking.py
@@ -1,13 +1,14 @@
-"""Picking an upstream for one attempt.
+"""Picks an upstream for each attempt of an entry.
 
-Candidates are the upstreams that serve the route's pool by their last heartbeat, less those this
-entry has reason to avoid for a while: it could not connect, or was refused. The entry's own zone
-goes first unless it is clearly busier than the others. Within that, requests with the same prefix
-prefer the same upstream (its prompt cache), unless it has no free slot or clearly more to do than
-the mean; all others take the better of two at random.
+Candidates are the upstreams that serve the route's pool by their last heartbeat, except those that
+this entry avoids for a while because it could not connect or was refused. The entry's own zone is
+preferred unless it is clearly busier than the others. Within that choice, requests with the same
+prefix prefer the same upstream, for its prompt cache, unless it has no free slot or a load clearly
+above the mean; all others go to the less loaded of two random upstreams.
 
-An upstream's load is what this entry has in flight there plus what the daemon last told, which
-counts for less the older it is: a report that nobody renews fades instead of misleading for ever.
+An upstream's load is the larger of what this entry has in flight there and the daemon's last
+report, which counts less the older it is, so that a report that is not renewed does not mislead
+for ever.
 """
 
 import math
@@ -23,17 +24,20 @@
 from headcross_fleet.upstreamgate import SERVING
 from headcross_native.hostlist import HostList
 
-# An upstream that could not be reached is avoided for so long, doubling up to the second figure.
-AVOID_SECONDS: Final = 1.0
-AVOID_MAX_SECONDS: Final = 15.0
-# A load report counts for half after so long.
+# After a failure an upstream is avoided for MIN_AVOID_SECONDS; the time doubles with each further
+# failure, up to MAX_AVOID_SECONDS.
+MIN_AVOID_SECONDS: Final = 1.0
+MAX_AVOID_SECONDS: Final = 15.0
+# The weight of a load report halves in this time.
 LOAD_HALF_LIFE_SECONDS: Final = 3.0
-# The own zone is left when its least loaded upstream has this many more requests than another.
-ZONE_SPILL: Final = 4.0
-# Prefix affinity gives way when the preferred upstream has this many times the mean load.
-AFFINITY_BOUND: Final = 1.25
-AFFINITY_SLACK: Final = 1.0
-PREFIX_BYTES: Final = 512  # the part of a body that stands for its prompt's prefix
+# The entry's own zone is left when its least loaded upstream has over this many requests more
+# than the least loaded one elsewhere.
+ZONE_SPILL_REQUESTS: Final = 4.0
+# Prefix affinity ends when the preferred upstream's load reaches the mean load times the factor,
+# plus the slack.
+AFFINITY_LOAD_FACTOR: Final = 1.25
+AFFINITY_SLACK_REQUESTS: Final = 1.0
+PREFIX_BYTES: Final = 512  # length of the part of a body that counts as its prefix
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,20 +48,20 @@
     host: str
     address: Address
     zone: str
-    digest: str  # weights digest it serves
-    slots: int  # requests it takes at once
+    digest: str  # digest of the weights that it serves
+    slots: int  # requests that it accepts at once
     incarnation: int  # of its daemon
 
 
 @dataclass(slots=True)
-class _Local:
-    """What this entry knows of an upstream by its own experience."""
+class _LocalState:
+    """What this entry itself has observed of an upstream."""
 
     in_flight: int = 0
-    reported: float = 0.0  # requests in flight and queued there, by its last word
+    reported: float = 0.0  # requests in flight and queued there, by the last report
     reported_at: float = 0.0
     avoid_until: float = 0.0
-    avoid_seconds: float = AVOID_SECONDS
+    avoid_seconds: float = MIN_AVOID_SECONDS
     picked: int = 0
     failed: int = 0
 
@@ -68,13 +72,13 @@
     def __init__(self, zone: str, statuses: StatusTable) -> None:
         self._zone = zone
         self._statuses = statuses
-        self._local: dict[str, _Local] = {}
+        self._states: dict[str, _LocalState] = {}
 
     def candidates(self, pool: str, hosts: HostList) -> list[Candidate]:
-        """Return the upstreams that serve a pool or service by all this entry knows."""
+        """Return the upstreams that serve a pool or service as far as this entry knows."""
         by_name = {host.name: host for host in hosts.hosts}
         found: list[Candidate] = []
-        suspects: list[Candidate] = []
+        silent: list[Candidate] = []
         for daemon, upstream in self._statuses.upstreams():
             host = by_name.get(daemon.status.host)
             if host is None or upstream.pool != pool or upstream.state != SERVING:
@@ -88,17 +92,17 @@
                 slots=upstream.slots,
                 incarnation=daemon.status.incarnation,
             )
-            (suspects if daemon.silent() else found).append(candidate)
-        # A suspect may be alive behind a lost link; it is better than nobody.
-        return found or suspects
+            (silent if daemon.silent() else found).append(candidate)
+        # A silent upstream may be alive behind a lost link; it is used if there is no other.
+        return found or silent
 
     def pick(self, candidates: list[Candidate], prefix: str | None) -> Candidate | None:
-        """Return the upstream for the next attempt."""
+        """Return the upstream for the next attempt, or None if all are avoided."""
         now = monotonic()
-        usable = [c for c in candidates if self._of(c).avoid_until <= now]
+        usable = [c for c in candidates if self._state(c).avoid_until <= now]
         near = [c for c in usable if c.zone == self._zone]
         far = [c for c in usable if c.zone != self._zone]
-        if near and far and self._least(near) > self._least(far) + ZONE_SPILL:
+        if near and far and self._least_load(near) > self._least_load(far) + ZONE_SPILL_REQUESTS:
             near = far
         choice = near or far
         if not choice:
@@ -109,77 +113,77 @@
         return min(pair, key=self.load)
 
     def load(self, candidate: Candidate) -> float:
-        """Return how many requests the upstream is thought to have."""
-        local = self._of(candidate)
-        age = monotonic() - local.reported_at
-        faded = local.reported * math.exp2(-age / LOAD_HALF_LIFE_SECONDS)
-        return local.in_flight + max(0.0, faded - local.in_flight)
-
-    def started(self, candidate: Candidate) -> None:
-        """An attempt begins."""
-        local = self._of(candidate)
-        local.in_flight += 1
-        local.picked += 1
-
-    def ended(self, candidate: Candidate) -> None:
-        """An attempt ended, however."""
-        self._of(candidate).in_flight -= 1
-
-    def succeeded(self, candidate: Candidate) -> None:
-        """The upstream answered."""
-        self._of(candidate).avoid_seconds = AVOID_SECONDS
+        """Return the estimated number of requests at an upstream."""
+        state = self._state(candidate)
+        age = monotonic() - state.reported_at
+        decayed = state.reported * math.exp2(-age / LOAD_HALF_LIFE_SECONDS)
+        return state.in_flight + max(0.0, decayed - state.in_flight)
+
+    def attempt_started(self, candidate: Candidate) -> None:
+        """Count an attempt at an upstream as in flight."""
+        state = self._state(candidate)
+        state.in_flight += 1
+        state.picked += 1
+
+    def attempt_ended(self, candidate: Candidate) -> None:
+        """Count an attempt as no longer in flight, whatever its outcome."""
+        self._state(candidate).in_flight -= 1
+
+    def attempt_succeeded(self, candidate: Candidate) -> None:
+        """Reset the avoidance time of an upstream that answered."""
+        self._state(candidate).avoid_seconds = MIN_AVOID_SECONDS
 
     def avoid(self, candidate: Candidate, reason: ErrorCode) -> None:
-        """Leave an upstream alone for a while."""
-        local = self._of(candidate)
-        local.failed += 1
-        local.avoid_until = monotonic() + local.avoid_seconds
-        local.avoid_seconds = min(AVOID_MAX_SECONDS, 2 * local.avoid_seconds)
+        """Exclude an upstream for a time that doubles with each failure, up to a maximum."""
+        state = self._state(candidate)
+        state.failed += 1
+        state.avoid_until = monotonic() + state.avoid_seconds
+        state.avoid_seconds = min(MAX_AVOID_SECONDS, 2 * state.avoid_seconds)
 
     def report_load(self, upstream: str, requests: float) -> None:
-        """Take a daemon's word of its load, from an answer or a heartbeat."""
-        local = self._local.setdefault(upstream, _Local())
-        local.reported = requests
-        local.reported_at = monotonic()
+        """Record the load that a daemon reported in an answer or a heartbeat."""
+        state = self._states.setdefault(upstream, _LocalState())
+        state.reported = requests
+        state.reported_at = monotonic()
 
-    def forget_absent(self, upstreams: set[str]) -> None:
-        """Drop what is known of upstreams that are gone."""
-        for name in list(self._local):
-            if name not in upstreams and not self._local[name].in_flight:
-                del self._local[name]
+    def remove_absent(self, upstreams: set[str]) -> None:
+        """Discard the state of upstreams that are gone, unless attempts are in flight there."""
+        for name in list(self._states):
+            if name not in upstreams and not self._states[name].in_flight:
+                del self._states[name]
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Return what this entry knows by its own experience."""
+        """Return this entry's own observations of each upstream, for diagnosis."""
         now = monotonic()
         return {
             name: {
-                "in_flight": local.in_flight,
-                "reported": local.reported,
-                "reported_age": round(now - local.reported_at, 3),
-                "avoid_seconds": round(max(0.0, local.avoid_until - now), 3),
-                "picked": local.picked,
-                "failed": local.failed,
+                "in_flight": state.in_flight,
+                "reported": state.reported,
+                "reported_age": round(now - state.reported_at, 3),
+                "avoid_seconds": round(max(0.0, state.avoid_until - now), 3),
+                "picked": state.picked,
+                "failed": state.failed,
             }
-            for name, local in self._local.items()
+            for name, state in self._states.items()
         }
 
     def _pick_by_prefix(self, choice: list[Candidate], prefix: str) -> Candidate:
         by_name = {candidate.upstream: candidate for candidate in choice}
         mean = sum(self.load(c) for c in choice) / len(choice)
-        bound = AFFINITY_BOUND * mean + AFFINITY_SLACK
+        bound = AFFINITY_LOAD_FACTOR * mean + AFFINITY_SLACK_REQUESTS
         for name in rendezvous_order(f"prefix {prefix}", by_name):
-            # A cached prefix saves less than a place in a queue costs.
+            # A cached prefix saves less time than waiting in a queue costs.
             if self.load(by_name[name]) < min(bound, by_name[name].slots):
                 return by_name[name]
         return min(choice, key=self.load)
 
-    def _least(self, candidates: list[Candidate]) -> float:
+    def _least_load(self, candidates: list[Candidate]) -> float:
         return min(self.load(candidate) for candidate in candidates)
 
-    def _of(self, candidate: Candidate) -> _Local:
-        return self._local.setdefault(candidate.upstream, _Local())
+    def _state(self, candidate: Candidate) -> _LocalState:
+        return self._states.setdefault(candidate.upstream, _LocalState())
 
 
 def prefix_of(body: bytes) -> str | None:
-    """Return what stands for a request's prompt prefix, or None for an empty body."""
+    """Return a digest of a request's prompt prefix, or None for an empty body."""
     return digest_of(body[:PREFIX_BYTES])[:16] if body else None
--- a/libs/routing/src/headcross_routing/retry.py
+++ b/libs/routing/src/headcross_routing/retry.py
@@ -1,9 +1,9 @@
-"""Retry rules: what may be tried again, and how much of it.
+"""Retry rules: which refusals may be retried, and how many retries an entry may make.
 
-A refusal that was not run may always be tried elsewhere. What may have run is tried again only if
-the request is repeatable and nothing of an answer has reached the caller. Both only before the
-deadline and within a budget: each request earns a fifth of a retry, so that a pool that is half
-dead sees at most 1.2 attempts for each request, not a storm.
+A request that was refused as not run may always be retried elsewhere. One that may have run is
+retried only if it is repeatable and nothing of an answer has reached the caller. Both apply only
+before the deadline and within a budget: each request earns a fifth of a retry, so that a pool of
+which half is down receives at most 1.2 attempts per request instead of a retry storm.
 """
 
 from typing import Final
@@ -23,13 +23,13 @@
 )
 from headcross_base.verdicts import MayHaveRun, NotRun, Refusal
 
-EARNED_PER_REQUEST: Final = 0.2
-# Retries that may be saved up; also what a starting entry has.
-BUDGET_MOST: Final = 20.0
-MAX_ATTEMPTS: Final = 5  # for one request, the first included
+RETRIES_EARNED_PER_REQUEST: Final = 0.2
+# Maximum of saved retries; an entry starts with this many.
+MAX_SAVED_RETRIES: Final = 20.0
+MAX_ATTEMPTS: Final = 5  # per request, including the first
 
-# Refusals for which another upstream may do better.
-ELSEWHERE: Final[frozenset[ErrorCode]] = frozenset(
+# Reasons of refusals for which another upstream may succeed.
+RETRYABLE_REASONS: Final[frozenset[ErrorCode]] = frozenset(
     {
         CONNECT_FAILED,
         DRAINING,
@@ -46,23 +46,23 @@
 
 
 class RetryBudget:
-    """The retries one entry may still make."""
+    """The retries that one entry may still make."""
 
-    # Retries made, and refused for want of budget.
+    # Retries made, and retries denied because the budget was used up.
     spent: int
     denied: int
 
     def __init__(self) -> None:
         self.spent = 0
         self.denied = 0
-        self._tokens = BUDGET_MOST
+        self._tokens = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
-        """Count a request."""
-        self._tokens = min(BUDGET_MOST, self._tokens + EARNED_PER_REQUEST)
+        """Add the fraction of a retry that a request earns."""
+        self._tokens = min(MAX_SAVED_RETRIES, self._tokens + RETRIES_EARNED_PER_REQUEST)
 
     def spend(self) -> bool:
-        """Take one retry if there is one left."""
+        """Take one retry from the budget; return False if none is left."""
         if self._tokens < 1:
             self.denied += 1
             return False
@@ -71,15 +71,15 @@
         return True
 
 
-def may_try_again(refusal: Refusal, repeatable: bool, answer_started: bool) -> bool:
-    """Tell whether a refused request may be handed to another upstream.
+def may_retry(refusal: Refusal, repeatable: bool, answer_started: bool) -> bool:
+    """Return whether a refused request may be sent to another upstream.
 
-    >>> may_try_again(MayHaveRun(LINK_LOST), repeatable=False, answer_started=False)
+    >>> may_retry(MayHaveRun(LINK_LOST), repeatable=False, answer_started=False)
     False
-    >>> may_try_again(MayHaveRun(LINK_LOST), repeatable=True, answer_started=False)
+    >>> may_retry(MayHaveRun(LINK_LOST), repeatable=True, answer_started=False)
     True
     """
-    if refusal.reason not in ELSEWHERE or answer_started:
+    if refusal.reason not in RETRYABLE_REASONS or answer_started:
         return False
     match refusal:
         case NotRun():
--- a/libs/routing/src/headcross_routing/teams.py
+++ b/libs/routing/src/headcross_routing/teams.py
@@ -1,8 +1,8 @@
 """Team limits at an entry, without shared counters.
 
-The fleet file gives a team's limits for the whole fleet. Each entry holds its own share of them: a
-limit divided by the number of entries in the host list, since the platform's balancer spreads
-callers over them. When entries come or go the share changes with the host list.
+The fleet file gives a team's limits for the whole fleet. Each entry enforces its own share: the
+limit divided by the number of entries in the host list, since the platform's load balancer spreads
+callers over them. The share changes with the host list.
 """
 
 import math
@@ -16,8 +16,8 @@
 from headcross_base.verdicts import NotRun
 from headcross_fleet.fleetfile import Team
 
-# The balancer is never quite even; an entry lets through this much more than its even share.
-SHARE_SLACK: Final = 1.25
+# The load balancer is never quite even; an entry admits up to its even share times this.
+SHARE_FACTOR: Final = 1.25
 IN_FLIGHT_RETRY_SECONDS: Final = 1.0
 
 
@@ -31,14 +31,14 @@
 
 
 class TeamLimits:
-    """The shares of all teams at one entry."""
+    """The shares of all teams' limits at one entry."""
 
     def __init__(self) -> None:
         self._states: dict[str, _TeamState] = {}
 
     def admit(self, name: str, team: Team, entries: int) -> NotRun | None:
-        """Take one request of a team, or say when to come back."""
-        share = SHARE_SLACK / max(1, entries) if entries > 1 else 1.0
+        """Admit one request of a team; return None, or a refusal with the time to wait."""
+        share = SHARE_FACTOR / max(1, entries) if entries > 1 else 1.0
         state = self._state(name, team, share)
         if state.in_flight >= math.ceil(team.max_in_flight * share):
             state.refused += 1
@@ -54,7 +54,7 @@
 
     @contextmanager
     def in_flight(self, name: str) -> Iterator[None]:
-        """Count an admitted request as in flight within the block."""
+        """Count an admitted request as in flight within the `with` block."""
         state = self._states[name]
         state.in_flight += 1
         try:
@@ -63,7 +63,7 @@
             state.in_flight -= 1
 
     def dump(self) -> dict[str, dict[str, float]]:
-        """Return the numbers of every team seen here."""
+        """Return the counters of every team seen at this entry, for diagnosis."""
         return {
             name: {
                 "in_flight": state.in_flight,
--- a/libs/routing/src/headcross_routing/upstreampath.py
+++ b/libs/routing/src/headcross_routing/upstreamhandler.py
@@ -1,9 +1,11 @@
-"""The daemon's side of a request: the one place that knows whether it was handed over.
-
-Straight down: is the upstream here and serving what the entry thinks; may this id still run; wait
-for a slot; check again, since things change in a queue; mark the id as handed over; connect; send.
-From the mark on, a failure may have run, except that a connection which never opened takes the
-mark back. Retries are the entry's affair: a daemon hands a request over once.
+"""Handles what entries send to a daemon: requests for its upstreams, key claims, revocations.
+
+Only the daemon knows whether a request was handed over. The steps for a request are: check that
+the upstream is local and serves what the entry expects; wait for a slot; check again, since the
+state may change while the request waits; record the id as handed over unless it was revoked;
+connect; send. After the record a failed request may have run, except that the record is removed if
+no connection could be opened or the engine refuses for want of the weights. Retries are left to
+the entry: a daemon hands a request over once.
 """
 
 import logging
@@ -67,7 +69,7 @@
 )
 from headcross_routing.requestmeta import (
     DIGEST_HEADER,
-    HOP_HEADERS,
+    HOP_BY_HOP_HEADERS,
     LOAD_HEADER,
     POOL_HEADER,
     PRIORITY_HEADER,
@@ -78,10 +80,10 @@
     TEAM_HEADER,
     UPSTREAM_HEADER,
     WEIGHT_HEADER,
-    passed_headers,
+    forwarded_headers,
 )
 
-# Headers an entry sends, and what engines call them.
+# Headers that entries set, with the names that engines use for them.
 ENGINE_HEADERS: Final = (
     (RESUME_HEADER, ENGINE_RESUME_HEADER),
     (PRIORITY_HEADER, ENGINE_PRIORITY_HEADER),
@@ -91,8 +93,8 @@
 
 
 @dataclass(slots=True)
-class UpstreamSlot:
-    """One upstream beside this daemon, as requests see it."""
+class LocalUpstream:
+    """An upstream of this daemon, with what request handling needs."""
 
     gate: UpstreamGate
     queue: FairQueue
@@ -101,7 +103,7 @@
 
 @dataclass(frozen=True, slots=True)
 class _Handover:
-    """A request as an entry sent it."""
+    """A request that an entry sent to be handed over to an upstream."""
 
     id: str
     upstream: str
@@ -109,8 +111,8 @@
     digest: str
     team: str
     weight: int
-    deadline: float  # monotonic
-    resumable: bool  # the entry can take the stream up elsewhere
+    deadline: float  # in seconds on the monotonic clock
+    resumable: bool  # the entry can resume the stream elsewhere
     request: Request
 
     @property
@@ -118,29 +120,29 @@
         return self.deadline - monotonic()
 
 
-class UpstreamPath:
+class UpstreamHandler:
     """Handles what entries send to this daemon."""
 
-    # Requests by verdict and reason.
+    # Number of requests by verdict and reason.
     counts: Counter[str]
 
     def __init__(
         self,
-        slots: dict[str, UpstreamSlot],
+        upstreams: dict[str, LocalUpstream],
         requests: RequestLedger,
         keys: KeyLedger,
         documents: Documents,
         incarnation: int,
     ) -> None:
         self.counts = Counter()
-        self._slots = slots
+        self._upstreams = upstreams
         self._requests = requests
         self._keys = keys
         self._documents = documents
         self._incarnation = incarnation
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request of an entry."""
+        """Handle one request, key claim or revocation of an entry."""
         request = exchange.request
         if request.path == CLAIMS_PATH:
             await self._handle_claim(exchange)
@@ -152,9 +154,9 @@
     async def _handle_revocation(self, exchange: Exchange) -> None:
         path = exchange.request.path.removeprefix(REVOCATIONS_PATH)
         incarnation, _, request = path.partition("/")
-        # What an earlier incarnation of this daemon handed over is not known here.
-        mine = incarnation == str(self._incarnation)
-        state = self._requests.revoke(request) if mine else "unknown"
+        # This incarnation does not know what an earlier one handed over.
+        is_current = incarnation == str(self._incarnation)
+        state = self._requests.revoke(request) if is_current else "unknown"
         await exchange.respond_json(200, {"state": state})
 
     async def _handle_claim(self, exchange: Exchange) -> None:
@@ -178,43 +180,43 @@
         if isinstance(handover, NotRun):
             await send_refusal(exchange, handover, [])
             return
-        slot = self._slots.get(handover.upstream)
-        if slot is None:
+        upstream = self._upstreams.get(handover.upstream)
+        if upstream is None:
             refusal = NotRun(NOT_SERVING, f"no upstream {handover.upstream[:64]!r} here")
             await send_refusal(exchange, refusal, [])
             return
-        verdict: Verdict = await self._queue_and_run(exchange, handover, slot)
+        verdict: Verdict = await self._queue_and_run(exchange, handover, upstream)
         reason = "" if isinstance(verdict, Completed) else verdict.reason.code
         self.counts[f"{verdict_name(verdict)} {reason}".strip()] += 1
         if not isinstance(verdict, Completed):
             fields = {"request": handover.id, "reason": reason, "detail": verdict.detail}
             logger.info("request refused", extra=fields)
             if exchange.started:
-                # The answer broke off midway; closing without an end tells the entry.
+                # The answer is incomplete; closing without the body's end signals that.
                 raise CallerGone(reason)
-            await send_refusal(exchange, verdict, [(LOAD_HEADER, _load(slot))])
+            await send_refusal(exchange, verdict, [(LOAD_HEADER, _load(upstream))])
 
     async def _queue_and_run(
-        self, exchange: Exchange, handover: _Handover, slot: UpstreamSlot
+        self, exchange: Exchange, handover: _Handover, upstream: LocalUpstream
     ) -> Verdict:
-        refusal = _check_gate(slot.gate, handover)
+        refusal = _check_gate(upstream.gate, handover)
         if refusal is not None:
             return refusal
-        refusal = await slot.queue.enter(handover.team, handover.weight, handover.remaining)
+        refusal = await upstream.queue.enter(handover.team, handover.weight, handover.remaining)
         if refusal is not None:
             return refusal
         try:
             # The gate may have closed while the request waited.
-            refusal = _check_gate(slot.gate, handover)
+            refusal = _check_gate(upstream.gate, handover)
             if refusal is not None:
                 return refusal
-            with slot.gate.entered():
-                return await self._hand_over(exchange, handover, slot)
+            with upstream.gate.entered():
+                return await self._hand_over(exchange, handover, upstream)
         finally:
-            slot.queue.leave()
+            upstream.queue.leave()
 
     async def _hand_over(
-        self, exchange: Exchange, handover: _Handover, slot: UpstreamSlot
+        self, exchange: Exchange, handover: _Handover, upstream: LocalUpstream
     ) -> Verdict:
         if self._requests.full:
             return NotRun(LEDGER_FULL, "too many requests to remember", 1.0)
@@ -224,15 +226,15 @@
         if state == "handed-over":
             return MayHaveRun(LINK_LOST, "this submission came before")
         try:
-            # A connection of its own: on one kept open, an engine that closes it at the same
-            # moment would leave the request's fate unknown.
-            connection = await connect(slot.address)
+            # A new connection: if the engine closed a reused one at the same moment, it would be
+            # unknown whether the request ran.
+            connection = await connect(upstream.address)
         except ConnectError as error:
-            self._requests.take_back(handover.id)
+            self._requests.undo_hand_over(handover.id)
             return NotRun(CONNECT_FAILED, str(error))
         async with closing(connection):
             with trio.move_on_after(max(0.0, handover.remaining)) as scope:
-                return await self._exchange(exchange, handover, slot, connection)
+                return await self._exchange(exchange, handover, upstream, connection)
             assert scope.cancelled_caught
             return MayHaveRun(DEADLINE, "the upstream did not answer in time")
 
@@ -240,19 +242,19 @@
         self,
         exchange: Exchange,
         handover: _Handover,
-        slot: UpstreamSlot,
+        upstream: LocalUpstream,
         connection: HttpConnection,
     ) -> Verdict:
         request = handover.request
         try:
-            headers = _upstream_headers(handover, slot)
+            headers = _upstream_headers(handover, upstream)
             await connection.send(request.method, request.target, headers, request.body)
             answer = await connection.receive_answer()
-            if answer.status == NOT_HELD_STATUS and slot.gate.digest:
-                self._requests.take_back(handover.id)
+            if answer.status == NOT_HELD_STATUS and upstream.gate.digest:
+                self._requests.undo_hand_over(handover.id)
                 return NotRun(NOT_SERVING, "the engine does not hold these weights")
-            await exchange.start(answer.status, _answer_headers(answer, slot))
-            if not await _pass_body(exchange, connection, slot.gate, handover.resumable):
+            await exchange.start(answer.status, _answer_headers(answer, upstream))
+            if not await _forward_body(exchange, connection, upstream.gate, handover.resumable):
                 return MayHaveRun(LEAVING, "the stream is to go on elsewhere")
             await exchange.finish()
         except LinkLostError as error:
@@ -274,10 +276,10 @@
     return None
 
 
-async def _pass_body(
+async def _forward_body(
     exchange: Exchange, connection: HttpConnection, gate: UpstreamGate, resumable: bool
 ) -> bool:
-    """Pass an answer's body on; False when it was broken off to go on elsewhere."""
+    """Forward an answer's body; return False if it was stopped to be resumed elsewhere."""
     hand_off = gate.hand_off
     while (piece := await connection.receive_piece()) is not None:
         if resumable and hand_off.is_set():
@@ -303,28 +305,28 @@
         return NotRun(BAD_REQUEST, str(error))
 
 
-def _upstream_headers(handover: _Handover, slot: UpstreamSlot) -> Headers:
-    headers = passed_headers(handover.request)
-    if slot.gate.digest:
-        headers.append((ENGINE_MATCH_HEADER, f'"{slot.gate.digest}"'))
-    for ours, theirs in ENGINE_HEADERS:
-        value = handover.request.header(ours)
+def _upstream_headers(handover: _Handover, upstream: LocalUpstream) -> Headers:
+    headers = forwarded_headers(handover.request)
+    if upstream.gate.digest:
+        headers.append((ENGINE_MATCH_HEADER, f'"{upstream.gate.digest}"'))
+    for entry_name, engine_name in ENGINE_HEADERS:
+        value = handover.request.header(entry_name)
         if value is not None:
-            headers.append((theirs, value))
+            headers.append((engine_name, value))
     headers.append((REQUEST_HEADER, handover.id))
     return headers
 
 
-def _answer_headers(answer: Answer, slot: UpstreamSlot) -> Headers:
-    headers = [(name, value) for name, value in answer.headers if name not in HOP_HEADERS]
+def _answer_headers(answer: Answer, upstream: LocalUpstream) -> Headers:
+    headers = [(name, value) for name, value in answer.headers if name not in HOP_BY_HOP_HEADERS]
     length = answer.header("content-length")
     if length is not None:
         headers.append(("content-length", length))
     headers.append((VERDICT_HEADER, COMPLETED))
-    headers.append((DIGEST_HEADER, slot.gate.digest))
-    headers.append((LOAD_HEADER, _load(slot)))
+    headers.append((DIGEST_HEADER, upstream.gate.digest))
+    headers.append((LOAD_HEADER, _load(upstream)))
     return headers
 
 
-def _load(slot: UpstreamSlot) -> str:
-    return str(slot.gate.in_flight + slot.queue.queued)
+def _load(upstream: LocalUpstream) -> str:
+    return str(upstream.gate.in_flight + upstream.queue.queued)
--- a/tests/test_pools.py
+++ b/tests/test_pools.py
@@ -1,4 +1,4 @@
-"""Several models, adapters and pools in one file; a weight store; a short fault campaign."""
+"""Tests of several models, adapters and pools in one file, of a store, and of random faults."""
 
 import random
 from pathlib import Path
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -1,4 +1,4 @@
-"""Requests: whole answers, true verdicts, at most once; the engines' ledgers are the witness."""
+"""Tests of requests: complete answers, correct verdicts, and at most one run by an engine."""
 
 import json
 from collections import Counter
@@ -34,8 +34,8 @@
     return found[0]
 
 
-async def ask_while(small: Small, headers: list[tuple[str, str]], act) -> Reply:  # type: ignore[no-untyped-def]  # noqa: ANN001
-    """Ask for a stream and act on the host that serves it while it runs."""
+async def generate_while(small: Small, headers: list[tuple[str, str]], act) -> Reply:  # type: ignore[no-untyped-def]  # noqa: ANN001
+    """Request a stream and call `act` with the host that serves it; return the reply."""
     replies: list[Reply] = []
 
     async def ask() -> None:
@@ -48,7 +48,7 @@
     return replies[0]
 
 
-async def test_each_caller_gets_its_own_whole_answer(tmp_path: Path) -> None:
+async def test_each_caller_gets_its_own_complete_answer(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, entries=2, plain=1) as small:
         digest = small.text.digests["v1"]
 
@@ -64,15 +64,15 @@
                 nursery.start_soon(ask, index)
 
 
-async def test_a_broken_stream_of_a_repeatable_request_goes_on_elsewhere(tmp_path: Path) -> None:
+async def test_a_broken_stream_of_a_repeatable_request_resumes_elsewhere(tmp_path: Path) -> None:
     async with small_fleet(tmp_path) as small:
         for engine in small.fleet.engines().values():
             engine.break_after = 5
         reply, prompt = await generate(small.entry(), POOL_PATH, tokens=TOKENS, headers=YES)
         digest = small.text.digests["v1"]
         assert check_tokens(reply, prompt, TOKENS, [digest]) == digest
-        firsts = [r.first_token for e in small.fleet.engines().values() for r in e.runs]
-        assert sorted(firsts)[:2] == [0, 5]
+        first_tokens = [r.first_token for e in small.fleet.engines().values() for r in e.runs]
+        assert sorted(first_tokens)[:2] == [0, 5]
 
 
 async def test_a_broken_stream_that_must_not_be_repeated_ends_in_a_plain_error(
@@ -94,7 +94,7 @@
         async def act(host: str) -> None:
             small.fleet.kill(host)
 
-        reply = await ask_while(small, YES, act)
+        reply = await generate_while(small, YES, act)
         digest = small.text.digests["v1"]
         assert check_tokens(reply, "p1", TOKENS, [digest]) == digest
 
@@ -105,7 +105,7 @@
         async def act(host: str) -> None:
             small.fleet.kill(host)
 
-        reply = await ask_while(small, NO, act)
+        reply = await generate_while(small, NO, act)
         assert b"may-have-run" in reply.body
         assert runs_of(small, "p1") == 1
 
@@ -135,7 +135,7 @@
         assert runs_of(small, "p1") == 1
 
 
-async def test_a_home_too_new_to_know_refuses_a_possible_resubmission(tmp_path: Path) -> None:
+async def test_a_new_key_owner_refuses_a_possible_resubmission(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, settings="[ledger]\nremember_seconds = 600\n") as small:
         headers = [*NO, ("idempotency-key", "k1")]
         reply, prompt = await generate(small.entry(), POOL_PATH, headers=headers)
@@ -147,7 +147,7 @@
         assert runs_of(small, prompt) == 1
 
 
-async def test_a_request_refused_as_not_run_gives_its_key_back(tmp_path: Path) -> None:
+async def test_a_request_refused_as_not_run_releases_its_key(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, settings=QUICK_LEDGER) as small:
         for engine in small.fleet.engines().values():
             engine.loaded = []
@@ -175,7 +175,7 @@
         reply = await send(daemon, POOL_PATH, body, headers=headers)
         assert (reply.code, reply.verdict) == ("revoked", "not-run")
         assert runs_of(small, "p1") == 0
-        # The other way round: what was handed over cannot be revoked.
+        # Conversely, a request that was handed over cannot be revoked.
         headers[0] = ("headcross-request", "id2")
         assert (await send(daemon, POOL_PATH, body, headers=headers)).status == 200
         assert not await revoke(daemon, incarnation, "id2")
@@ -188,7 +188,7 @@
         await small.fleet.wait_exit("host0")
         small.fleet.start("host0")
         await small.fleet.wait_settled()
-        # The request may have been handed over before the restart; nobody here can know.
+        # The request may have been handed over before the restart; the new process cannot know.
         assert not await revoke(small.fleet.nodes["host0"].address(HTTP), incarnation, "id1")
 
 
@@ -201,7 +201,7 @@
             reply, _ = await generate(small.entry(), POOL_PATH, headers=YES)
             statuses[reply.status] += 1
         state = await small.fleet.state("entry0")
-        # Twenty retries are there from the start; see headcross_routing.retry.
+        # An entry starts with twenty saved retries; see headcross_routing.retry.
         assert state["attempts"] <= 1.2 * 200 + 20
         assert statuses[200] >= 195, statuses
 
@@ -232,7 +232,7 @@
         assert (await generate(small.entry(), POOL_PATH))[0].status == 200
 
 
-async def test_a_team_over_its_limit_is_told_when_to_come_back(tmp_path: Path) -> None:
+async def test_a_team_over_its_limit_is_refused_with_a_retry_after(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=1, zones=1) as small:
         small.text.teams += "\n[teams.small]\nrequests_per_second = 0.5\nburst = 2"
         revision = small.fleet.publish_fleet(str(small.text))
@@ -247,7 +247,7 @@
         assert (await generate(small.entry(), POOL_PATH))[0].status == 200
 
 
-async def test_callers_that_do_not_read_hold_nobody_up_and_take_bounded_memory(
+async def test_callers_that_do_not_read_block_no_others_and_use_bounded_memory(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=1, zones=1) as small:
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -1,4 +1,4 @@
-"""The rollout: make before break, orders from sure facts only, whole weights or none."""
+"""Tests of rollouts: availability during changes, no outdated orders, no wrong weights served."""
 
 import signal
 from pathlib import Path
@@ -11,17 +11,17 @@
 
 
 class Sampler:
-    """Watches how many engines serve, as the engines themselves know it."""
+    """Records the least number of engines that held weights at any one time."""
 
     def __init__(self, fleet: Fleet) -> None:
         self.fleet = fleet
-        self.least = 10**6
+        self.min_serving = 10**6
 
     async def run(self) -> None:
-        """Sample until cancelled."""
+        """Sample every 5 ms until cancelled."""
         while True:
             serving = sum(bool(e.loaded) for e in self.fleet.engines().values())
-            self.least = min(self.least, serving)
+            self.min_serving = min(self.min_serving, serving)
             await trio.sleep(0.005)
 
 
@@ -35,7 +35,7 @@
                 digest = await small.move_to(version)
                 await small.fleet.wait_serving(digest, 5)
             nursery.cancel_scope.cancel()
-        assert sampler.least >= 3
+        assert sampler.min_serving >= 3
 
 
 async def test_a_file_that_supersedes_a_rollout_halfway_keeps_the_pool_available(
@@ -50,7 +50,7 @@
             third = await small.move_to("v3")
             await small.fleet.wait_serving(third, 4)
             nursery.cancel_scope.cancel()
-        assert sampler.least >= 3
+        assert sampler.min_serving >= 3
 
 
 async def test_a_migration_fills_the_new_zone_before_the_old_one_leaves(tmp_path: Path) -> None:
@@ -78,18 +78,18 @@
 
             await wait_for(new_side_only, "z1 alone serves v2")
             nursery.cancel_scope.cancel()
-        assert sampler.least >= 2
+        assert sampler.min_serving >= 2
 
 
-async def test_the_old_side_serves_on_when_the_new_one_dies(tmp_path: Path) -> None:
+async def test_the_old_zone_keeps_serving_while_the_new_one_is_down(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2, zones=2) as small:
         small.text.replicas, small.text.zones = 1, ["z0"]
         small.fleet.publish_fleet(str(small.text))
 
-        async def one() -> bool:
+        async def only_host0_serves() -> bool:
             return [n for n, e in small.fleet.engines().items() if e.loaded] == ["host0"]
 
-        await wait_for(one, "host0 alone serves")
+        await wait_for(only_host0_serves, "host0 alone serves")
         small.fleet.kill("host1")
         await small.fleet.wait_exit("host1")
         small.text.zones = ["z1"]
@@ -104,16 +104,16 @@
         assert (await generate(small.entry(), POOL_PATH))[0].status == 200
 
 
-async def test_a_spare_stands_in_for_a_silent_host_and_gives_way(tmp_path: Path) -> None:
+async def test_a_spare_stands_in_for_a_silent_host_until_it_returns(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=3, zones=1) as small:
         small.text.replicas = 2
         small.text.pool = "max_unavailable = 1\nstand_in_seconds = 1"
         small.fleet.publish_fleet(str(small.text))
 
-        async def two() -> bool:
+        async def two_serve() -> bool:
             return sum(bool(e.loaded) for e in small.fleet.engines().values()) == 2
 
-        await wait_for(two, "two serve")
+        await wait_for(two_serve, "two serve")
         spare = next(n for n, e in small.fleet.engines().items() if not e.loaded)
         first = next(n for n, e in small.fleet.engines().items() if e.loaded)
         small.fleet.kill(first)
@@ -131,7 +131,7 @@
         await wait_for(gave_way, f"{spare} gives way")
 
 
-async def test_fewer_hosts_than_replicas_serve_what_there_is(tmp_path: Path) -> None:
+async def test_a_pool_with_fewer_hosts_than_replicas_uses_all_hosts(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
         small.text.replicas = 5
         digest = await small.move_to("v2")
@@ -142,24 +142,24 @@
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=2, serving=False) as small:
-        liar = small.fleet.engines()["host0"]
-        liar.report_digest = "f" * 64
-        # The entry refuses as not ready until it has settled facts, whatever the upstreams serve.
+        mismatched_engine = small.fleet.engines()["host0"]
+        mismatched_engine.report_digest = "f" * 64
+        # The entry refuses requests as not ready until its documents are settled.
         await small.fleet.wait_settled()
         await small.fleet.wait_serving(small.text.digests["v1"], 1)
 
-        async def said() -> bool:
+        async def mismatch_reported() -> bool:
             counts = (await small.fleet.state("host0"))["decision_counts"]
             return bool(counts.get("engine-mismatch"))
 
-        await wait_for(said, "the mismatch is reported")
+        await wait_for(mismatch_reported, "the mismatch is reported")
         for _ in range(10):
             assert (await generate(small.entry(), POOL_PATH))[0].status == 200
-        assert not liar.runs
+        assert not mismatched_engine.runs
 
 
-async def paused_daemon_wakes(small: Small) -> None:
-    """Pause host0, move the fleet on, wake host0 up; it must not act on what it knew."""
+async def check_resumed_daemon(small: Small) -> None:
+    """Pause host0 during two version changes and resume it; it must not order the first one."""
     paused = small.fleet.engines()["host0"]
     small.fleet.kill("host0", signal.SIGSTOP)
     small.text.pool = "max_unavailable = 2\nstand_in_seconds = 1"
@@ -172,35 +172,37 @@
     assert [w.digest for w in paused.loaded] == [third]
 
 
-async def test_a_paused_daemon_gives_no_old_order_to_an_engine_that_checks(tmp_path: Path) -> None:
+async def test_a_paused_daemon_sends_no_outdated_order_to_an_engine_that_checks_fences(
+    tmp_path: Path,
+) -> None:
     async with small_fleet(tmp_path) as small:
-        await paused_daemon_wakes(small)
+        await check_resumed_daemon(small)
 
 
-async def test_a_paused_daemon_gives_no_old_order_to_an_engine_that_does_not_check(
+async def test_a_paused_daemon_sends_no_outdated_order_to_an_engine_without_fence_checks(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, checks_fences=False) as small:
-        await paused_daemon_wakes(small)
+        await check_resumed_daemon(small)
 
 
-async def test_a_daemon_cut_off_from_everyone_holds_and_gives_no_order(tmp_path: Path) -> None:
+async def test_an_isolated_daemon_keeps_its_weights_and_sends_no_order(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2, proxied=True) as small:
-        alone = small.fleet.nodes["host0"].ip
+        isolated_ip = small.fleet.nodes["host0"].ip
         engine = small.fleet.engines()["host0"]
-        given = len(engine.orders)
+        orders_before = len(engine.orders)
         small.fleet.fault_of = lambda source, target: (
-            "cut" if alone in (source, target) and source != target else "pass"
+            "cut" if isolated_ip in (source, target) and source != target else "pass"
         )
         await small.move_to("v2")
         await trio.sleep(3)
-        assert len(engine.orders) == given
+        assert len(engine.orders) == orders_before
         assert engine.loaded
         small.fleet.fault_of = lambda source, target: "pass"
         await small.fleet.wait_serving(small.text.digests["v2"], 2)
 
 
-async def test_a_second_daemon_for_one_slot_is_kept_out(tmp_path: Path) -> None:
+async def test_a_second_daemon_for_the_same_upstream_exits(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=1, zones=1) as small:
         first = small.fleet.nodes["host0"].process
         small.fleet.start_again("host0")
@@ -214,12 +216,12 @@
 async def test_a_restarted_daemon_takes_over_an_engine_that_serves(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
         engine = small.fleet.engines()["host0"]
-        given = len(engine.orders)
+        orders_before = len(engine.orders)
         small.fleet.kill("host0")
         await small.fleet.wait_exit("host0")
         small.fleet.start("host0")
         await small.fleet.wait_serving(small.text.digests["v1"], 2)
-        assert len(engine.orders) == given
+        assert len(engine.orders) == orders_before
         digest = await small.move_to("v2")
         await small.fleet.wait_serving(digest, 2)
 
@@ -229,10 +231,10 @@
         small.text.replicas = 2
         small.fleet.publish_fleet(str(small.text))
 
-        async def two() -> bool:
+        async def two_serve() -> bool:
             return sum(bool(e.loaded) for e in small.fleet.engines().values()) == 2
 
-        await wait_for(two, "two serve")
+        await wait_for(two_serve, "two serve")
         leaver = next(n for n, e in small.fleet.engines().items() if e.loaded)
         sampler = Sampler(small.fleet)
         async with trio.open_nursery() as nursery:
@@ -245,10 +247,10 @@
 
             await wait_for(left, f"{leaver} left")
             nursery.cancel_scope.cancel()
-        assert sampler.least >= 2
+        assert sampler.min_serving >= 2
 
 
-async def test_an_engine_that_dies_serves_no_more_and_the_others_do(tmp_path: Path) -> None:
+async def test_a_failed_engine_stops_serving_and_the_others_go_on(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
         small.fleet.engines()["host0"].down = True
 
@@ -263,7 +265,7 @@
 
 async def test_a_pool_is_moved_to_another_name_without_a_load(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
-        given = {n: len(e.orders) for n, e in small.fleet.engines().items()}
+        orders_before = {n: len(e.orders) for n, e in small.fleet.engines().items()}
         text = str(small.text).replace("[pools.p]", "[pools.q]").replace('"p"', '"q"')
         small.fleet.publish_fleet(text)
 
@@ -272,15 +274,15 @@
             return [r["pool"] for r in rows if r["state"] == "serving"] == ["q", "q"]
 
         await wait_for(moved, "both serve pool q")
-        assert {n: len(e.orders) for n, e in small.fleet.engines().items()} == given
+        assert {n: len(e.orders) for n, e in small.fleet.engines().items()} == orders_before
 
 
-async def test_an_order_answered_too_late_is_read_back_and_not_given_twice(
+async def test_an_order_answered_too_late_is_not_sent_twice(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
         for engine in small.fleet.engines().values():
-            engine.order_answer_seconds = 3.0  # a daemon waits two
+            engine.order_answer_seconds = 3.0  # a daemon waits 2 s for the answer to an order
         digest = await small.move_to("v2")
         await small.fleet.wait_serving(digest, 2)
         for engine in small.fleet.engines().values():
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -13,11 +13,11 @@
 from headcross_fleet.membership import PoolRow, StatusTable
 from headcross_native.eventstream import EventSplitter
 from headcross_native.hostlist import Host, HostList, HostUpstream, parse_host_list
-from headcross_rollout.placement import place
+from headcross_rollout.placement import compute_placement
 from headcross_rollout.turns import may_leave, may_swap
 from headcross_routing import ledger, teams
 from headcross_routing.fairqueue import FairQueue
-from headcross_routing.ledger import KeyClaim, KeyLedger, RequestLedger, home_of, key_homes
+from headcross_routing.ledger import KeyClaim, KeyLedger, RequestLedger, key_owners, owner_of
 from headcross_routing.teams import TeamLimits
 from headcross_weights.chunkchoice import choose_chunk, is_link_slow
 from headcross_weights.chunkstore import StoredArtifact
@@ -85,7 +85,7 @@
 ) -> None:
     clock = Clock(monkeypatch, ledger)
     before, after = make_hosts(2), make_hosts(1)
-    key = next(f"k{i}" for i in range(99) if home_of(f"k{i}", key_homes(before)) == "h1")
+    key = next(f"k{i}" for i in range(99) if owner_of(f"k{i}", key_owners(before)) == "h1")
     keys = KeyLedger("h0", 10, 60)
     keys.update_hosts(before)
     clock.now += 100
@@ -198,8 +198,8 @@
     assert isinstance(fleet, Ok)
     hosts = make_hosts(count)
     left = HostList([host for host in hosts.hosts if host.name != f"h{gone}"])
-    before = set(place(fleet.value, hosts).pools["p"].assigned)
-    after = set(place(fleet.value, left).pools["p"].assigned)
+    before = set(compute_placement(fleet.value, hosts).pools["p"].assigned)
+    after = set(compute_placement(fleet.value, left).pools["p"].assigned)
     assert len(before) == min(count, replicas)
     assert len((before - {f"u{gone}"}) - after) <= (0 if f"u{gone}" not in before else 1)
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -1,4 +1,4 @@
-"""Planned stops and leaving: nothing is cut off, and no new work comes in."""
+"""Tests of planned stops: no request is cut off, and a leaving daemon accepts no new ones."""
 
 import signal
 from collections.abc import Awaitable, Callable
@@ -10,27 +10,27 @@
 from testing.fleet import HTTP
 from testing.small import POOL_PATH, SERVICE_PATH, Small, small_fleet
 
-MOST_UNDER_WAY = 40
+MAX_IN_FLIGHT = 40
 TOKENS = 60
 
 
-async def ask_steadily(small: Small, act: Callable[[], Awaitable[None]]) -> list[str]:
-    """Ask all entries for streams while `act` runs; return what went wrong."""
+async def generate_steadily(small: Small, act: Callable[[], Awaitable[None]]) -> list[str]:
+    """Request streams from all entries while `act` runs; return descriptions of the failures."""
     problems: list[str] = []
     stopped = False
     digests = list(small.text.digests.values())
 
-    # A quiet machine has 20 to 28 under way at most, as counted once in each of the two tests, so
-    # that this bounds nothing there. Callers, engines and origin share the process of the test: on
-    # a busy machine more would pile up there, and each upstream would drain them all.
-    under_way = trio.CapacityLimiter(MOST_UNDER_WAY)
+    # On an idle machine at most 20 to 28 requests are in flight, so the limit has no effect there.
+    # Callers, engines and origin share the process of the test: on a busy machine more requests
+    # would pile up there, and each upstream that stops would have to drain them all.
+    in_flight = trio.CapacityLimiter(MAX_IN_FLIGHT)
 
     async def ask(entry: str) -> None:
         address = small.fleet.nodes[entry].address(HTTP)
-        async with under_way:
+        async with in_flight:
             reply, prompt = await generate(address, POOL_PATH, tokens=TOKENS)
         if reply.status == 0 and not reply.body and "ConnectError" in reply.error:
-            return  # The balancer would have taken the stopped entry out before this.
+            return  # A load balancer would have removed the stopped entry by then.
         if not check_tokens(reply, prompt, TOKENS, digests):
             problems.append(f"{reply.status} {reply.code} {reply.error} {reply.body[-80:]!r}")
 
@@ -38,7 +38,7 @@
         async with trio.open_nursery() as asking:
             while not stopped:
                 for entry in small.fleet.names("entry"):
-                    if under_way.available_tokens >= 1:
+                    if in_flight.available_tokens >= 1:
                         asking.start_soon(ask, entry)
                 await trio.sleep(0.05)
 
@@ -59,7 +59,7 @@
                 small.fleet.kill(name, signal.SIGTERM)
                 assert await small.fleet.wait_exit(name) == 0
 
-        assert await ask_steadily(small, act) == []
+        assert await generate_steadily(small, act) == []
         runs = [run for engine in small.fleet.engines().values() for run in engine.runs]
         assert all(run.finished for run in runs)
         assert len({run.prompt for run in runs}) == len(runs)
@@ -72,15 +72,15 @@
             digest = await small.move_to("v2")
             await small.fleet.wait_serving(digest, 3)
 
-        assert await ask_steadily(small, act) == []
+        assert await generate_steadily(small, act) == []
 
 
-async def test_a_leaving_daemon_takes_no_work_from_an_entry_cut_off_from_news(
+async def test_a_leaving_daemon_accepts_nothing_from_an_entry_without_news(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=2, proxied=True) as small:
         entry = small.fleet.nodes["entry0"]
-        # The entry hears nothing any more; it can still send requests, to the HTTP ports.
+        # The entry receives no news any more, but can still send requests to the HTTP ports.
         small.fleet.config.down = True
         engine = small.fleet.engines()["host0"]
         async with trio.open_nursery() as nursery:
@@ -136,8 +136,8 @@
         assert statuses == [200] * 6
 
 
-async def ask_through_pause(small: Small, paused: str, seconds: float) -> list[str]:
-    """Ask for long repeatable streams while a daemon is stopped for a while."""
+async def generate_during_pause(small: Small, paused: str, seconds: float) -> list[str]:
+    """Request long repeatable streams and pause a process meanwhile; return their results."""
     digest = small.text.digests["v1"]
     results: list[str] = []
 
@@ -156,12 +156,12 @@
     return results
 
 
-async def test_a_paused_entry_that_wakes_up_gives_up_no_stream(tmp_path: Path) -> None:
+async def test_an_entry_that_was_paused_gives_up_no_stream(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=1, zones=1) as small:
-        assert await ask_through_pause(small, "entry0", 4) == ["whole"] * 4
+        assert await generate_during_pause(small, "entry0", 4) == ["whole"] * 4
         assert len(small.fleet.engines()["host0"].runs) == 4
 
 
-async def test_streams_of_a_frozen_host_go_on_elsewhere(tmp_path: Path) -> None:
+async def test_streams_of_a_frozen_host_resume_elsewhere(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
-        assert await ask_through_pause(small, "host0", 8) == ["whole"] * 4
+        assert await generate_during_pause(small, "host0", 8) == ["whole"] * 4
