--- a/libs/rollout/src/headcross_rollout/runner.py
+++ b/libs/rollout/src/headcross_rollout/runner.py
@@ -226,7 +226,7 @@
                 scope.cancel()
 
     def _current_target(self, target: Target) -> Target | None:
-        """Return the target of this upstream now; None if it has none any more.
+        """Return the target of this upstream now; None if it no longer has one.
 
         For a spare this is what the pool of `target` asks for.
         """
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -165,7 +165,7 @@
             daemon = self._statuses.daemon(candidate.host)
             silent = daemon is None or daemon.silent()
             silent_checks = silent_checks + 1 if silent else 0
-        raise LinkLostError(f"{candidate.host} sends no heartbeats")
+        raise LinkLostError(f"{candidate.host} fell silent")
 
     async def _classify_lost_link(
         self, meta: RequestMeta, relay: AnswerRelay, candidate: Candidate, detail: str
--- a/libs/routing/src/headcross_routing/entryhandler.py
+++ b/libs/routing/src/headcross_routing/entryhandler.py
@@ -73,7 +73,7 @@
 
     # Number of requests by verdict and reason.
     counts: Counter[str]
-    # Number of admitted requests that are being handled.
+    # Number of valid requests that are being handled.
     in_flight: int
     budget: RetryBudget
     limits: TeamLimits
--- a/libs/routing/src/headcross_routing/picking.py
+++ b/libs/routing/src/headcross_routing/picking.py
@@ -7,8 +7,7 @@
 above the mean; all others go to the less loaded of two random upstreams.
 
 An upstream's load is the larger of what this entry has in flight there and the daemon's last
-report, which counts less the older it is, so that a report that is not renewed does not mislead
-for ever.
+report, which counts less the older it is, so that a report that is not renewed loses its effect.
 """
 
 import math
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -144,7 +144,8 @@
     async with small_fleet(tmp_path, hosts=2, serving=False) as small:
         mismatched_engine = small.fleet.engines()["host0"]
         mismatched_engine.report_digest = "f" * 64
-        # The entry refuses requests as not ready until its documents are settled.
+        # The entry refuses requests as not ready until its documents are settled, even while
+        # upstreams serve.
         await small.fleet.wait_settled()
         await small.fleet.wait_serving(small.text.digests["v1"], 1)
 
