--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -20,7 +20,7 @@
 from headcross_gateway.admission import Admission, QueueOrder
 from headcross_gateway.directory import Directory
 from headcross_gateway.overload import Overload, OverloadSettings
-from headcross_gateway.picking import Picker, Wish
+from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.weightsrules import WeightsRules
 from headcross_platform.store import MetadataStore
 from headcross_ports.configuration import CallerLimits, Configuration, Service, WeightsLayout
@@ -157,7 +157,7 @@
                 fleet.entries,
             )
             for entry in self._entries:
-                if entry.directory.hear(load) is not None:
+                if entry.directory.record_report(load) is not None:
                     entry.admission.notify(SERVICE)
             await trio.sleep(max(0.01, fleet.tell_seconds - fleet.report_lag_seconds))
 
@@ -226,8 +226,8 @@
             wait = entry.overload.returning_wait_seconds(
                 SERVICE, aim, seconds_left, any_serves=True
             )
-        place = await entry.admission.take_place(
-            Wish(SERVICE, MODEL, None, (), True),
+        place = await entry.admission.acquire_slot(
+            Requirements(SERVICE, MODEL, None, (), True),
             self._configuration,
             QueueOrder(kind.priority, last, now + seconds_left),
             now + wait,
@@ -246,7 +246,7 @@
             await trio.sleep(way)
             await self._be_served(self._replicas[place.replica.id], job, way, seconds_left)
         finally:
-            entry.admission.give_back(place)
+            entry.admission.release_slot(place)
         if job.ended.is_set():
             entry.overload.note_answer(SERVICE, trio.current_time() - placed_at)
         return None
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -141,7 +141,7 @@
         )
         self._server = HttpServer(self._path.handle, self._limits())
         self._readiness = Readiness(
-            lambda: self.process.facts.complete, self._directory.hears_most_daemons
+            lambda: self.process.facts.complete, self._directory.has_most_reports
         )
         # Rounds of telling others that this entry mirrors weights.
         self._announcements = 0
@@ -199,12 +199,12 @@
                     "slots": state.replica.slots,
                     "load": round(state.load(), 2),
                     "limit": state.backpressure.limit.per_second,
-                    "told_age": round(min(state.told_age(), 1e9), 3),
+                    "told_age": round(min(state.report_age(), 1e9), 3),
                     "draining": state.replica.draining,
                     "leaving": state.backpressure.leaving,
-                    "between_lives": state.is_between_lives(),
+                    "between_lives": state.has_conflicting_incarnations(),
                     "loads": state.loads.dump(),
-                    "resting": state.health.resting(),
+                    "resting": state.health.is_ejected(),
                     "seconds_to_next": round(state.seconds_to_next(), 3),
                     "in_subset": state.in_subset,
                     "failures": state.health.failures,
@@ -272,7 +272,7 @@
         with trio.move_on_after(limit):
             # At first everything is taken: callers still come, and most requests are short.
             await trio.sleep(min(TAKING_ALL_SECONDS, limit / 3))
-            self._path.end_by(started_at + limit)
+            self._path.refuse_ending_after(started_at + limit)
             await trio.sleep(
                 min(STILL_TAKING_SECONDS, limit / 2) - min(TAKING_ALL_SECONDS, limit / 3)
             )
@@ -348,7 +348,7 @@
             self.process.node.malformed += 1
             return
         hear_versions(self.process.facts, incoming.message.named)
-        state = self._directory.hear(incoming.message)
+        state = self._directory.record_report(incoming.message)
         if state is not None:
             self._admission.notify(state.replica.service)
 
@@ -403,7 +403,7 @@
         return msgspec.structs.replace(
             message,
             named=news_of_versions(self.process.facts),
-            loaded=self._directory.loaded_lately(daemon.ip, NEWS_SECONDS),
+            loaded=self._directory.recently_loaded(daemon.ip, NEWS_SECONDS),
             first_heard_age=self._directory.first_heard_age(daemon.ip),
             wants_losses=monotonic() < self._asks_losses_until,
         )
--- a/libs/gateway/src/headcross_gateway/admission.py
+++ b/libs/gateway/src/headcross_gateway/admission.py
@@ -17,7 +17,7 @@
 import trio
 from headcross_ports.configuration import Configuration
 
-from headcross_gateway.picking import Picker, Wish
+from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.replicastate import ReplicaState
 
 # Waiting requests of one service at one entry; beyond that a refusal comes at once.
@@ -39,12 +39,12 @@
 
     order: "QueueOrder"
     number: int
-    wish: Wish = field(compare=False)
+    requirements: Requirements = field(compare=False)
     configuration: Configuration = field(compare=False)
-    came: trio.Event = field(compare=False, default_factory=trio.Event)
-    place: ReplicaState | None = field(compare=False, default=None)
+    assigned: trio.Event = field(compare=False, default_factory=trio.Event)
+    replica_state: ReplicaState | None = field(compare=False, default=None)
     returning: bool = field(compare=False, default=False)
-    left: bool = field(compare=False, default=False)
+    done: bool = field(compare=False, default=False)
 
 
 class Admission:
@@ -61,18 +61,20 @@
 
     def waiting(self, service: str) -> int:
         """Return how many requests wait for a place."""
-        return sum(not waiter.left for waiter in self._queues.get(service, []))
+        return sum(not waiter.done for waiter in self._queues.get(service, []))
 
-    def seconds_to_opening(self, wish: Wish, configuration: Configuration) -> float:
+    def seconds_to_opening(
+        self, requirements: Requirements, configuration: Configuration
+    ) -> float:
         """Return after how many seconds a replica may take a request, if it has room then.
 
         Infinite if none may.
         """
-        return self._picker.seconds_to_opening(wish, configuration)
+        return self._picker.seconds_to_opening(requirements, configuration)
 
-    async def take_place(
+    async def acquire_slot(
         self,
-        wish: Wish,
+        requirements: Requirements,
         configuration: Configuration,
         order: QueueOrder,
         until: float,
@@ -85,46 +87,46 @@
         clock; `returning` tells that the caller was refused before. The place must be given back
         with `give_back`.
         """
-        queue = self._queues.setdefault(wish.service, [])
+        queue = self._queues.setdefault(requirements.service, [])
         if not queue:
-            place = self._pick(wish, configuration, returning)
-            if place is not None:
-                place.take_place()
-                return place
+            replica_state = self._pick(requirements, configuration, returning)
+            if replica_state is not None:
+                replica_state.reserve_slot()
+                return replica_state
         seconds_left = until - trio.current_time()
         if len(queue) >= MAX_WAITING or seconds_left <= 0:
             return None
-        if seconds_left < self.seconds_to_opening(wish, configuration) < math.inf:
+        if seconds_left < self.seconds_to_opening(requirements, configuration) < math.inf:
             return None
         number = next(self._numbers)
-        waiter = _Waiter(order, number, wish, configuration, returning=returning)
+        waiter = _Waiter(order, number, requirements, configuration, returning=returning)
         bisect.insort(queue, waiter)
-        self.notify(wish.service)
+        self.notify(requirements.service)
         try:
             await self._wait(waiter, until)
         except trio.Cancelled:
-            if waiter.place is not None:
-                self.give_back(waiter.place)
+            if waiter.replica_state is not None:
+                self.release_slot(waiter.replica_state)
             raise
         finally:
-            waiter.left = True
-            self._drop_left(wish.service)
-        return waiter.place
+            waiter.done = True
+            self._drop_done(requirements.service)
+        return waiter.replica_state
 
     async def _wait(self, waiter: _Waiter, until: float) -> None:
         """Wait for a place until a moment; look anew when a limit allows the next one."""
-        while waiter.place is None and trio.current_time() < until:
-            seconds = self.seconds_to_opening(waiter.wish, waiter.configuration)
+        while waiter.replica_state is None and trio.current_time() < until:
+            seconds = self.seconds_to_opening(waiter.requirements, waiter.configuration)
             opening = trio.current_time() + seconds if seconds > 0 else until
             with trio.move_on_at(min(until, opening)):
-                await waiter.came.wait()
-            if waiter.place is None:
-                self.notify(waiter.wish.service)
+                await waiter.assigned.wait()
+            if waiter.replica_state is None:
+                self.notify(waiter.requirements.service)
 
-    def give_back(self, place: ReplicaState) -> None:
+    def release_slot(self, replica_state: ReplicaState) -> None:
         """Free a place."""
-        place.give_place_back()
-        self.notify(place.replica.service)
+        replica_state.release_slot()
+        self.notify(replica_state.replica.service)
 
     def notify(self, service: str) -> None:
         """Hand places to those who wait, now that something about the service has changed.
@@ -134,28 +136,28 @@
         """
         returning_blocked = False
         for waiter in list(self._queues.get(service, [])):
-            if waiter.left or (waiter.returning and returning_blocked):
+            if waiter.done or (waiter.returning and returning_blocked):
                 continue
-            place = self._pick(waiter.wish, waiter.configuration, waiter.returning)
-            if place is None:
-                if waiter.wish.is_particular:
+            replica_state = self._pick(waiter.requirements, waiter.configuration, waiter.returning)
+            if replica_state is None:
+                if waiter.requirements.is_particular:
                     continue
                 if waiter.returning:
                     returning_blocked = True
                     continue
                 break
-            place.take_place()
-            waiter.place = place
-            waiter.left = True
-            waiter.came.set()
-        self._drop_left(service)
+            replica_state.reserve_slot()
+            waiter.replica_state = replica_state
+            waiter.done = True
+            waiter.assigned.set()
+        self._drop_done(service)
 
     def _pick(
-        self, wish: Wish, configuration: Configuration, returning: bool
+        self, requirements: Requirements, configuration: Configuration, returning: bool
     ) -> ReplicaState | None:
-        reserved = self._reserved_share(wish.service) if returning else 0.0
-        return self._picker.pick(wish, configuration, reserved)
+        reserved = self._reserved_share(requirements.service) if returning else 0.0
+        return self._picker.pick(requirements, configuration, reserved)
 
-    def _drop_left(self, service: str) -> None:
+    def _drop_done(self, service: str) -> None:
         queue = self._queues.get(service, [])
-        queue[:] = [waiter for waiter in queue if not waiter.left]
+        queue[:] = [waiter for waiter in queue if not waiter.done]
--- a/libs/gateway/src/headcross_gateway/admitted.py
+++ b/libs/gateway/src/headcross_gateway/admitted.py
@@ -8,7 +8,7 @@
 from headcross_ports.requests import RequestFacts
 from headcross_wire.httpserver import Exchange
 
-from headcross_gateway.outcomes import Whole
+from headcross_gateway.outcomes import CompleteAnswer
 from headcross_gateway.relay import StreamRelay
 from headcross_gateway.requestidentity import RequestIdentity, group_of, identity_of
 
@@ -43,7 +43,7 @@
     unreached: int = 0  # replicas that it did not come to
     retry_paid: bool = False  # a silent replica was left, and the next attempt is paid for
     # A replica's own failure, passed on if nothing better comes.
-    failed_answer: Whole | None = None
+    failed_answer: CompleteAnswer | None = None
     _identity: RequestIdentity | None = None
     _group: bytes | None = None
 
--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -35,38 +35,38 @@
 from headcross_gateway.connections import ReplicaConnections
 from headcross_gateway.eventstream import EventTooLongError
 from headcross_gateway.linkproofs import LinkProofs, LinkUnprovenError
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
-from headcross_gateway.relay import EventOutOfOrderError, StreamRelay, passed_headers
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
+from headcross_gateway.relay import EventOutOfOrderError, StreamRelay, end_to_end_headers
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.unbegun import UnbegunAttempts
 
 MAX_BODY_BYTES: Final = 16 * 1024 * 1024
 # A replica that is silent for too long is left as soon as another could take the request; that is
 # looked at this often.
-LEAVE_CHECK_SECONDS: Final = 0.2
+ABANDON_CHECK_SECONDS: Final = 0.2
 T = TypeVar("T")
 
 SUCCESS: Final = range(200, 300)
 
 
-_LEFT_MEANWHILE: Final = DidNotRun(
+_REPLICA_UNAVAILABLE: Final = DidNotRun(
     UNREACHED, "the replica took nothing any more", arrived=False, withdrawn=True
 )
 
 
-class SilentError(LinkLostError):
+class ReplicaTimeoutError(LinkLostError):
     """The replica gave no sign of life in time."""
 
 
 @dataclass(frozen=True, slots=True)
-class Patience:
+class AttemptTimeouts:
     """How long an attempt waits for signs of life before another replica may do better."""
 
     first_seconds: float  # for the head of the answer, or the first event
     pause_seconds: float  # between two pieces
     # Called when that time is over, and again every moment while it returns False: whether the
     # request leaves the replica. It is called no more once it returned True.
-    leave: Callable[[], bool] = lambda: True
+    should_abandon: Callable[[], bool] = lambda: True
 
 
 @dataclass(slots=True)
@@ -120,9 +120,9 @@
         self,
         request: Request,
         facts: RequestFacts,
-        place: ReplicaState,
+        replica_state: ReplicaState,
         hand_over: HandOver,
-        patience: Patience,
+        timeouts: AttemptTimeouts,
         relay: StreamRelay | None,
         *,
         fresh: bool,
@@ -134,24 +134,28 @@
         connection: HttpConnection | None = None
         outcome: Outcome
         try:
-            with self._unbegun.waiting(facts.model, place) as waiting:
+            with self._unbegun.waiting(facts.model, replica_state) as waiting:
                 times.unbegun = waiting
                 placed_at = trio.current_time()
-                connection = await self.connections.take(place.replica.address, fresh=fresh)
-                await self._prove(connection, facts, place, times)
+                connection = await self.connections.take(
+                    replica_state.replica.address, fresh=fresh
+                )
+                await self._prove(connection, facts, replica_state, times)
                 # Both take a while, so what was decided before is looked at again.
-                if place.takes_nothing() or place.backpressure.is_resting(monotonic()):
-                    begun: _Begun | Outcome = _LEFT_MEANWHILE
+                if replica_state.is_unavailable() or replica_state.backpressure.is_resting(
+                    monotonic()
+                ):
+                    begun: _Begun | Outcome = _REPLICA_UNAVAILABLE
                 else:
-                    hand_over = _less(hand_over, trio.current_time() - placed_at)
+                    hand_over = _with_elapsed_time(hand_over, trio.current_time() - placed_at)
                     begun = await self._begin(
-                        connection, request, facts, place, hand_over, patience, times
+                        connection, request, facts, replica_state, hand_over, timeouts, times
                     )
             times.unbegun = None
             if waiting.cancelled_caught:
-                outcome = _withdrawn(times)
+                outcome = _withdrawn_outcome(times)
             elif isinstance(begun, _Begun):
-                outcome = await self._finish(connection, begun, relay, patience)
+                outcome = await self._finish(connection, begun, relay, timeouts)
             else:
                 outcome = begun
         except ConnectError as error:
@@ -167,7 +171,7 @@
                 unproven=error.silent,
             )
         except LinkLostError as error:
-            silent = isinstance(error, SilentError)
+            silent = isinstance(error, ReplicaTimeoutError)
             outcome = MayRun(LINK_LOST, str(error), silent=silent, broken=not silent)
         except (EventTooLongError, EventOutOfOrderError) as error:
             outcome = MayRun(UPSTREAM_ERROR, f"broken events: {error}")
@@ -175,7 +179,7 @@
             if connection is not None:
                 await connection.abandon()
             raise
-        kept = isinstance(outcome, Whole | Streamed) or (
+        kept = isinstance(outcome, CompleteAnswer | Streamed) or (
             isinstance(outcome, DidNotRun) and not outcome.withdrawn
         )
         if connection is not None and not kept:
@@ -186,11 +190,11 @@
         self,
         connection: HttpConnection,
         facts: RequestFacts,
-        place: ReplicaState,
+        replica_state: ReplicaState,
         times: AttemptTimes,
     ) -> None:
         """Have a connection prove that it delivers, where the request could come too late."""
-        if not self.proofs.is_needed(facts.model, place):
+        if not self.proofs.is_needed(facts.model, replica_state):
             return
         began_at = trio.current_time()
         await self.proofs.take(connection)
@@ -201,28 +205,28 @@
         connection: HttpConnection,
         request: Request,
         facts: RequestFacts,
-        place: ReplicaState,
+        replica_state: ReplicaState,
         hand_over: HandOver,
-        patience: Patience,
+        timeouts: AttemptTimeouts,
         times: AttemptTimes,
     ) -> _Begun | MayRun:
         """Send a request and wait until its answer has begun."""
-        until = trio.current_time() + patience.first_seconds
-        headers = self._dialect.upstream_headers(passed_headers(request.headers), hand_over)
+        until = trio.current_time() + timeouts.first_seconds
+        headers = self._dialect.upstream_headers(end_to_end_headers(request.headers), hand_over)
         sending = partial(connection.send, request.method, request.target, headers, request.body)
         await trio.lowlevel.checkpoint_if_cancelled()
         times.sending_at = trio.current_time()
         sent_at = monotonic()
-        await _in_time(until, sending)
+        await _wait_until(until, sending)
         times.sent_at = trio.current_time()
-        answer = await _in_time(until, connection.receive_answer, patience.leave)
+        answer = await _wait_until(until, connection.receive_answer, timeouts.should_abandon)
         answer_facts = self._dialect.read_answer(answer.status, answer.headers)
-        problem = _problem(answer, answer_facts, facts.id)
+        problem = _response_problem(answer, answer_facts, facts.id)
         if problem:
             return MayRun(UPSTREAM_ERROR, problem)
         if not answer_facts.elsewhere:
-            place.note_signals(answer_facts.signals, sent_at)
-        piece = await _in_time(until, connection.receive_piece, patience.leave)
+            replica_state.note_signals(answer_facts.signals, sent_at)
+        piece = await _wait_until(until, connection.receive_piece, timeouts.should_abandon)
         times.began_at = trio.current_time()
         return _Begun(answer, answer_facts, piece, until)
 
@@ -231,44 +235,44 @@
         connection: HttpConnection,
         begun: _Begun,
         relay: StreamRelay | None,
-        patience: Patience,
+        timeouts: AttemptTimeouts,
     ) -> Outcome:
         """Take the rest of an answer."""
         answer, facts = begun.answer, begun.facts
         if relay is not None and answer.status in SUCCESS:
             relay.begin(answer, facts.weights_version)
-            return await self._pass_stream(connection, begun, relay, patience)
-        body = await _read_body(connection, begun, patience.leave)
+            return await self._pass_stream(connection, begun, relay, timeouts)
+        body = await _read_body(connection, begun, timeouts.should_abandon)
         await self.connections.give(connection, answer)
         if facts.not_run:
             detail = f"status {answer.status}"
             return DidNotRun(NOT_SERVING, detail, arrived=True, elsewhere=facts.elsewhere)
-        return Whole(answer, body)
+        return CompleteAnswer(answer, body)
 
     async def _pass_stream(
         self,
         connection: HttpConnection,
         begun: _Begun,
         relay: StreamRelay,
-        patience: Patience,
+        timeouts: AttemptTimeouts,
     ) -> Outcome:
         piece, until = begun.piece, begun.until
         while piece is not None:
             if await relay.pass_on(piece):
-                until = trio.current_time() + patience.pause_seconds
-            piece = await _in_time(until, connection.receive_piece, patience.leave)
+                until = trio.current_time() + timeouts.pause_seconds
+            piece = await _wait_until(until, connection.receive_piece, timeouts.should_abandon)
         if not await relay.finish():
             raise LinkLostError("the stream ended within an event")
         await self.connections.give(connection, begun.answer)
         return Streamed()
 
 
-def _less(hand_over: HandOver, seconds: float) -> HandOver:
+def _with_elapsed_time(hand_over: HandOver, seconds: float) -> HandOver:
     """Return what a replica is told once some of the time has passed."""
     return replace(hand_over, remaining_seconds=hand_over.remaining_seconds - seconds)
 
 
-def _withdrawn(times: AttemptTimes) -> DidNotRun | MayRun:
+def _withdrawn_outcome(times: AttemptTimes) -> DidNotRun | MayRun:
     """Return the outcome of an attempt that was taken back before its answer began."""
     if times.ends_replicas:
         detail = "withdrawn: replicas ended under the same request"
@@ -281,8 +285,10 @@
     return MayRun(WEIGHTS_ENDED, "the weights ended before it began", withdrawn=True)
 
 
-async def _in_time(
-    until: float, act: Callable[[], Awaitable[T]], leave: Callable[[], bool] = lambda: True
+async def _wait_until(
+    until: float,
+    act: Callable[[], Awaitable[T]],
+    should_abandon: Callable[[], bool] = lambda: True,
 ) -> T:
     """Wait for a replica until a moment on trio's clock; raise SilentError after that.
 
@@ -293,12 +299,12 @@
     while True:
         with trio.move_on_at(until):
             return await act()
-        if leave():
-            raise SilentError("silent for too long")
-        until = trio.current_time() + LEAVE_CHECK_SECONDS
+        if should_abandon():
+            raise ReplicaTimeoutError("silent for too long")
+        until = trio.current_time() + ABANDON_CHECK_SECONDS
 
 
-def _problem(answer: Answer, facts: AnswerFacts, request_id: str) -> str:
+def _response_problem(answer: Answer, facts: AnswerFacts, request_id: str) -> str:
     """Return why an answer cannot be the one to this request, empty if it can."""
     if facts.id != request_id and not (facts.id is None and facts.not_run):
         return f"an answer to {facts.id!r}"
@@ -310,7 +316,7 @@
 
 
 async def _read_body(
-    connection: HttpConnection, begun: _Begun, leave: Callable[[], bool]
+    connection: HttpConnection, begun: _Begun, should_abandon: Callable[[], bool]
 ) -> bytes:
     """Return the whole body of an answer."""
     body = bytearray()
@@ -319,5 +325,5 @@
         body += piece
         if len(body) > MAX_BODY_BYTES:
             raise LinkLostError(f"an answer over {MAX_BODY_BYTES} bytes")
-        piece = await _in_time(begun.until, connection.receive_piece, leave)
+        piece = await _wait_until(begun.until, connection.receive_piece, should_abandon)
     return bytes(body)
--- a/libs/gateway/src/headcross_gateway/confirmedloads.py
+++ b/libs/gateway/src/headcross_gateway/confirmedloads.py
@@ -16,7 +16,8 @@
     """The loads of one life of a replica, as one entry knows of them.
 
     >>> loads = ConfirmedLoads([LoadedModel("m", 1)])
-    >>> loads.hear(ReplicaLoad("10.0.0.1:80", 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1), 5.0)
+    >>> load = ReplicaLoad("10.0.0.1:80", 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1)
+    >>> loads.record_report(load, 5.0)
     False
     >>> loads.may_serve("m", 1), loads.may_serve("m", 2)
     (True, False)
@@ -33,7 +34,7 @@
         self._suspect: set[LoadedModel] = set()
         self._hears_daemon = False
 
-    def hear(self, load: ReplicaLoad, now: float) -> bool:
+    def record_report(self, load: ReplicaLoad, now: float) -> bool:
         """Take the word of the daemon about this life; return whether a load was judged anew.
 
         A load stays suspect until the same version is confirmed: another process of the daemon
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -18,9 +18,9 @@
 
 # Replicas whose entries lapsed while the store was away are used on for this part of the bound
 # on leaving ones: one that left meanwhile may get requests for as long as that.
-LAPSED_PART: Final = 0.6
+LAPSED_USE_SHARE: Final = 0.6
 # A replica that did not answer, or whose daemon did not, is left out of the subset for so long.
-LEFT_OUT_SECONDS: Final = 5.0
+SUBSET_EXCLUSION_SECONDS: Final = 5.0
 
 logger = logging.getLogger(__name__)
 
@@ -40,7 +40,7 @@
         leaving_seconds: float = FactBounds().leaving,
     ) -> None:
         self.entries = max(1, entries)
-        self._lapsed_seconds = LAPSED_PART * leaving_seconds
+        self._lapsed_seconds = LAPSED_USE_SHARE * leaving_seconds
         self._facts = facts
         self._host = host
         self._zone = zone
@@ -75,7 +75,7 @@
                 self._states[replica.id] = ReplicaState(replica, own_share=1 / self.entries)
             else:
                 state.replica = replica
-                if state.told is None:
+                if state.last_report is None:
                     state.own_share = 1 / self.entries
                 state.loads.note_held(replica.loaded, monotonic())
                 state.lapsed_until = None
@@ -115,15 +115,15 @@
         """Return every replica."""
         return self._states.values()
 
-    def hear(self, load: ReplicaLoad) -> ReplicaState | None:
+    def record_report(self, load: ReplicaLoad) -> ReplicaState | None:
         """Take the word of the daemon beside a replica; return the replica if it is known."""
         state = self._by_address.get(load.address)
         if state is not None:
-            state.hear(load, draw_allowance(load.listeners))
+            state.record_report(load, draw_allowance(load.listeners))
             self._first_heard_at.setdefault(state.replica.address.ip, monotonic())
         return state
 
-    def loaded_lately(self, ip: str, seconds: float) -> list[LoadedVersionNews]:
+    def recently_loaded(self, ip: str, seconds: float) -> list[LoadedVersionNews]:
         """Return what the replica at an IP number came to hold in the last seconds."""
         now = monotonic()
         state = self._by_ip.get(ip)
@@ -139,23 +139,23 @@
         heard_at = self._first_heard_at.get(ip)
         return round(monotonic() - heard_at, 3) if heard_at is not None else None
 
-    def hears_most_daemons(self) -> bool:
+    def has_most_reports(self) -> bool:
         """Tell whether at least half of the subset's daemons were heard, or there are none."""
         states = [state for state in self._with_daemons() if state.in_subset]
-        return 2 * sum(state.told is not None for state in states) >= len(states)
+        return 2 * sum(state.last_report is not None for state in states) >= len(states)
 
     def choose_subset(self) -> None:
         """Choose anew which replicas to keep informed of, from what is known now."""
         states = self._with_daemons()
         now = monotonic()
         for state in states:
-            if not state.seems_alive():
-                state.left_out_until = now + LEFT_OUT_SECONDS
+            if not state.is_responsive():
+                state.excluded_until = now + SUBSET_EXCLUSION_SECONDS
         usable = {s.replica.id for s in states if s.is_usable(now)}
         replicas = [state.replica for state in states]
         chosen = choose_subset(self._host, self._zone, replicas, lambda r: r.id in usable)
         for state in states:
-            if state.in_subset and state.replica.id not in chosen and state.seems_alive():
+            if state.in_subset and state.replica.id not in chosen and state.is_responsive():
                 state.loads.stop_hearing()
             state.in_subset = state.replica.id in chosen
         self._subset_share = len(chosen) / len(states) if states else 1.0
@@ -181,8 +181,8 @@
         part of them. The mean over the daemons counts, rounded up: by the daemon heard last, 11
         entries seemed to be 8 in one second and 12 in the next.
         """
-        told = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
-        listeners = [load.listeners for load in told if load is not None]
+        loads = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
+        listeners = [load.listeners for load in loads if load is not None]
         if not listeners:
             return None
         return max(1, math.ceil(statistics.mean(listeners) / self._subset_share))
--- a/libs/gateway/src/headcross_gateway/health.py
+++ b/libs/gateway/src/headcross_gateway/health.py
@@ -9,9 +9,9 @@
 
 from headcross_base.clocks import monotonic
 
-FAILURES_TO_REST: Final = 2
-FIRST_REST_SECONDS: Final = 0.5
-MAX_REST_SECONDS: Final = 4.0
+FAILURES_TO_EJECT: Final = 2
+FIRST_EJECTION_SECONDS: Final = 0.5
+MAX_EJECTION_SECONDS: Final = 4.0
 
 
 @dataclass(slots=True)
@@ -19,23 +19,23 @@
     """One replica, as one entry experiences it."""
 
     failures: int = 0  # in a row
-    rests: int = 0  # in a row
-    resting_until: float = 0.0  # monotonic
+    ejections: int = 0  # in a row
+    ejected_until: float = 0.0  # monotonic
     # When a request was last held back there, also if others came through since (monotonic).
     silent_at: float = float("-inf")
     # When it last answered a request (monotonic).
     answered_at: float = float("-inf")
     on_trial: bool = False  # one request is trying it after a rest
 
-    def resting(self) -> bool:
+    def is_ejected(self) -> bool:
         """Tell whether it should be left alone."""
-        return monotonic() < self.resting_until
+        return monotonic() < self.ejected_until
 
     def needs_trial(self) -> bool:
         """Tell whether it came out of a rest and nothing has succeeded since."""
-        return self.rests > 0 and not self.resting()
+        return self.ejections > 0 and not self.is_ejected()
 
-    def was_silent(self) -> None:
+    def note_silence(self) -> None:
         """Note that a request, or a connection, got no sign of life in time."""
         self.silent_at = monotonic()
 
@@ -51,18 +51,18 @@
         """Return how long ago it last answered, in seconds; infinite if it never did."""
         return monotonic() - self.answered_at
 
-    def succeeded(self) -> None:
+    def note_success(self) -> None:
         """Note a request that it answered."""
         self.answered_at = monotonic()
         self.failures = 0
-        self.rests = 0
+        self.ejections = 0
         self.on_trial = False
 
-    def failed(self, certain: bool) -> None:
+    def note_failure(self, certain: bool) -> None:
         """Note a failure; `certain` if it could not be reached at all."""
         self.failures += 1
         self.on_trial = False
-        if certain or self.failures >= FAILURES_TO_REST or self.rests:
-            seconds = min(MAX_REST_SECONDS, FIRST_REST_SECONDS * 2.0**self.rests)
-            self.rests += 1
-            self.resting_until = monotonic() + seconds
+        if certain or self.failures >= FAILURES_TO_EJECT or self.ejections:
+            seconds = min(MAX_EJECTION_SECONDS, FIRST_EJECTION_SECONDS * 2.0**self.ejections)
+            self.ejections += 1
+            self.ejected_until = monotonic() + seconds
--- a/libs/gateway/src/headcross_gateway/linkproofs.py
+++ b/libs/gateway/src/headcross_gateway/linkproofs.py
@@ -45,12 +45,12 @@
         self._rules = rules
         self._target = dialect.immediate_target()
 
-    def is_needed(self, model: str | None, place: ReplicaState) -> bool:
+    def is_needed(self, model: str | None, replica_state: ReplicaState) -> bool:
         """Tell whether a request that its link holds might begin on weights past their bound."""
-        version = place.version_of(model) if model is not None else None
+        version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
             return False
-        return self._rules.may_be_held_past_bound(model, version)
+        return self._rules.may_arrive_past_bound(model, version)
 
     async def take(self, connection: HttpConnection) -> None:
         """Have a call answered on a connection, which may carry a request after it.
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -17,7 +17,7 @@
 from headcross_gateway.admitted import Admitted
 from headcross_gateway.attempts import AttemptTimes
 from headcross_gateway.lossnews import SharedLosses
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.replicalosses import UNCERTAIN_SECONDS, Evidence, LossKey
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestidentity import RequestIdentity
@@ -70,7 +70,7 @@
         """Note how an attempt ended; None if it was cancelled."""
         attempt.ended_at = self._clock()
         match outcome:
-            case Whole() | Streamed():
+            case CompleteAnswer() | Streamed():
                 self._note_answer(attempt)
                 self._forget(attempt)
             case DidNotRun():
@@ -180,9 +180,9 @@
 
 def _lives_after(place: ReplicaState, moment: float) -> bool:
     """Tell whether a replica's daemon has reached this life of it since a moment."""
-    told = place.told
+    told = place.last_report
     if told is None or told.at < moment or not told.load.reachable:
         return False
     # A later life begins without weights; not every one tells when it began.
     held_before = {loaded.model for loaded in place.replica.loaded}
-    return not place.is_between_lives() and held_before <= told.load.versions.keys()
+    return not place.has_conflicting_incarnations() and held_before <= told.load.versions.keys()
--- a/libs/gateway/src/headcross_gateway/outcomes.py
+++ b/libs/gateway/src/headcross_gateway/outcomes.py
@@ -10,7 +10,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Whole:
+class CompleteAnswer:
     """The replica's whole answer."""
 
     answer: Answer
@@ -50,4 +50,4 @@
     broken: bool = False  # the connection broke, and not at this end
 
 
-Outcome = Whole | Streamed | DidNotRun | MayRun
+Outcome = CompleteAnswer | Streamed | DidNotRun | MayRun
--- a/libs/gateway/src/headcross_gateway/picking.py
+++ b/libs/gateway/src/headcross_gateway/picking.py
@@ -20,23 +20,23 @@
 
 # A replica of another zone is taken when it has this share of its places freer.
 OTHER_ZONE_SHARE: Final = 0.22
-CHANCE_SHARE: Final = 0.04
+JITTER_SHARE: Final = 0.04
 # A replica whose daemon was heard before and is late now may be behind a slow or broken link.
-SILENT_SHARE: Final = 0.5
+LATE_REPORT_SHARE: Final = 0.5
 # A request that has run without an answer is not to meet a second replica that has ended unseen:
 # where no daemon speaks for a replica, the time since its last answer counts, up to so much.
-DOUBTED_SECONDS: Final = 1.6
-DOUBTED_SHARE: Final = 0.5
+UNSEEN_END_SECONDS: Final = 1.6
+UNSEEN_END_SHARE: Final = 0.5
 # Shortly before the bound on its version, a replica must have been heard of so lately.
-SOON_TOLD_SECONDS: Final = 0.5
+CLOSING_REPORT_SECONDS: Final = 0.5
 # A while before the bound, it must not have been silent to a request for so long. A link that is
 # too narrow holds requests back for 2 to 3 s, and delivers them although they were given up; in
 # between it lets some through, and its daemon's words go the other way.
-CALM_SECONDS: Final = 3.0
+LINK_TRUST_SECONDS: Final = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
+class Requirements:
     """What a request needs of a replica."""
 
     service: str
@@ -60,52 +60,63 @@
         self._rules = rules
 
     def pick(
-        self, wish: Wish, configuration: Configuration, reserved: float = 0.0
+        self, requirements: Requirements, configuration: Configuration, reserved: float = 0.0
     ) -> ReplicaState | None:
         """Return the best replica that has room, or None.
 
         `reserved` is the part of each replica's places that must be free for others.
         """
-        everyone = self._directory.serving(wish.service)
+        everyone = self._directory.serving(requirements.service)
         informed = [state for state in everyone if state.in_subset]
         if len(informed) < len(everyone):
             # Of a replica outside of the subset nothing is known but the list: it comes last.
-            fitting = self._fitting(informed, wish, configuration)
-            sound = [s for s in fitting if s.told_reachable() and self._is_healthy(s, wish)]
+            fitting = self._fitting(informed, requirements, configuration)
+            sound = [
+                s for s in fitting if s.reported_reachable() and self._is_healthy(s, requirements)
+            ]
             with_room = [state for state in sound if state.has_room(reserved)]
             if with_room:
-                return min(with_room, key=lambda state: self._cost(state, wish))
-        candidates = self.candidates(wish, configuration)
+                return min(with_room, key=lambda state: self._cost(state, requirements))
+        candidates = self.candidates(requirements, configuration)
         with_room = [state for state in candidates if state.has_room(reserved)]
-        return min(with_room, key=lambda state: self._cost(state, wish), default=None)
+        return min(with_room, key=lambda state: self._cost(state, requirements), default=None)
 
-    def candidates(self, wish: Wish, configuration: Configuration) -> list[ReplicaState]:
+    def candidates(
+        self, requirements: Requirements, configuration: Configuration
+    ) -> list[ReplicaState]:
         """Return the replicas that could serve a request, full ones too."""
-        everyone = self._directory.serving(wish.service)
-        fitting = self._fitting(everyone, wish, configuration)
-        reachable = [state for state in fitting if state.told_reachable()] or fitting
-        return [state for state in reachable if self._is_healthy(state, wish)] or reachable
-
-    def seconds_to_opening(self, wish: Wish, configuration: Configuration) -> float:
+        everyone = self._directory.serving(requirements.service)
+        fitting = self._fitting(everyone, requirements, configuration)
+        reachable = [state for state in fitting if state.reported_reachable()] or fitting
+        return [state for state in reachable if self._is_healthy(state, requirements)] or reachable
+
+    def seconds_to_opening(
+        self, requirements: Requirements, configuration: Configuration
+    ) -> float:
         """Return after how many seconds a replica wants a request, infinite if none may serve it.
 
         It is 0 where only a lack of room keeps it away: a place may come free at any moment.
         """
-        candidates = self.candidates(wish, configuration)
+        candidates = self.candidates(requirements, configuration)
         return min((state.seconds_to_next() for state in candidates), default=math.inf)
 
     def _fitting(
-        self, states: Iterable[ReplicaState], wish: Wish, configuration: Configuration
+        self,
+        states: Iterable[ReplicaState],
+        requirements: Requirements,
+        configuration: Configuration,
     ) -> list[ReplicaState]:
         """Return those that hold the right weights, are not leaving and had no chance yet."""
-        service = configuration.services.get(wish.service)
-        fitting = [s for s in states if s.replica.id not in wish.tried and not s.takes_nothing()]
-        if service is not None and service.weights is not None and wish.model is not None:
-            lowest = self._rules.lowest_allowed(wish.model)
-            fitting = [s for s in fitting if _version_fits(s, wish, lowest)]
-            fitting = [s for s in fitting if self._begins_in_time(s, wish.model)]
-            if wish.exact_version is None:
-                fitting = [s for s in fitting if self._starts_soon(s, wish.model)]
+        service = configuration.services.get(requirements.service)
+        fitting = [
+            s for s in states if s.replica.id not in requirements.tried and not s.is_unavailable()
+        ]
+        if service is not None and service.weights is not None and requirements.model is not None:
+            lowest = self._rules.lowest_allowed(requirements.model)
+            fitting = [s for s in fitting if _version_fits(s, requirements, lowest)]
+            fitting = [s for s in fitting if self._begins_in_time(s, requirements.model)]
+            if requirements.exact_version is None:
+                fitting = [s for s in fitting if self._starts_soon(s, requirements.model)]
         return fitting
 
     def _begins_in_time(self, state: ReplicaState, model: str) -> bool:
@@ -127,36 +138,38 @@
         A stream that goes on is lost without a place, so it may wait where others may not.
         """
         version = state.version_of(model)
-        fullest = self._rules.fullest(model, version) if version is not None else None
-        if fullest is None:
+        max_load_share = (
+            self._rules.max_load_share(model, version) if version is not None else None
+        )
+        if max_load_share is None:
             return True
-        known = state.told_age() < SOON_TOLD_SECONDS and not state.health.failures
-        return known and state.load() < fullest * state.replica.slots
+        known = state.report_age() < CLOSING_REPORT_SECONDS and not state.health.failures
+        return known and state.load() < max_load_share * state.replica.slots
 
     @staticmethod
-    def _is_healthy(state: ReplicaState, wish: Wish) -> bool:
+    def _is_healthy(state: ReplicaState, requirements: Requirements) -> bool:
         """Tell whether it does not rest, or may be tried after a rest."""
-        if state.health.resting():
+        if state.health.is_ejected():
             return False
         if not state.health.needs_trial():
             return True
-        return wish.may_run_again and not state.health.on_trial
+        return requirements.may_run_again and not state.health.on_trial
 
-    def _cost(self, state: ReplicaState, wish: Wish) -> float:
+    def _cost(self, state: ReplicaState, requirements: Requirements) -> float:
         share = state.load() / state.replica.slots
         zone = 0.0 if state.replica.zone == self._zone else OTHER_ZONE_SHARE
         told = state.fresh_load()
         pace = max(1.0, told.pace) if told is not None else 1.0
-        silence = SILENT_SHARE if state.told_late() else 0.0
-        doubt = _doubt(state) if wish.tried else 0.0
-        return share * pace + zone + silence + doubt + random.uniform(0.0, CHANCE_SHARE)
+        silence = LATE_REPORT_SHARE if state.is_report_late() else 0.0
+        unseen_end = _unseen_end_cost(state) if requirements.tried else 0.0
+        return share * pace + zone + silence + unseen_end + random.uniform(0.0, JITTER_SHARE)
 
 
-def _doubt(state: ReplicaState) -> float:
+def _unseen_end_cost(state: ReplicaState) -> float:
     """Return what the chance costs that a replica has ended unseen."""
     if state.fresh_load() is not None:
         return 0.0
-    return DOUBTED_SHARE * min(1.0, state.health.answered_age() / DOUBTED_SECONDS)
+    return UNSEEN_END_SHARE * min(1.0, state.health.answered_age() / UNSEEN_END_SECONDS)
 
 
 def _link_is_trusted(state: ReplicaState) -> bool:
@@ -164,19 +177,19 @@
 
     One that holds requests back delivers them even after their connection's reset.
     """
-    return state.health.silent_age() >= CALM_SECONDS and state.may_deliver()
+    return state.health.silent_age() >= LINK_TRUST_SECONDS and state.is_delivering()
 
 
-def _version_fits(state: ReplicaState, wish: Wish, lowest: int) -> bool:
-    assert wish.model is not None
-    version = state.version_of(wish.model)
+def _version_fits(state: ReplicaState, requirements: Requirements, lowest: int) -> bool:
+    assert requirements.model is not None
+    version = state.version_of(requirements.model)
     if version is None:
         return False
-    if wish.exact_version is not None and version != wish.exact_version:
+    if requirements.exact_version is not None and version != requirements.exact_version:
         return False
     return version >= lowest
 
 
-def wish_of(facts: RequestFacts, service: str, may_run_again: bool) -> Wish:
+def requirements_of(facts: RequestFacts, service: str, may_run_again: bool) -> Requirements:
     """Return what a request needs before anything was tried."""
-    return Wish(service, facts.model, None, (), may_run_again)
+    return Requirements(service, facts.model, None, (), may_run_again)
--- a/libs/gateway/src/headcross_gateway/relay.py
+++ b/libs/gateway/src/headcross_gateway/relay.py
@@ -98,7 +98,7 @@
     async def _start(self) -> None:
         assert self._answer is not None
         self.started = True
-        await self._exchange.start(self._answer.status, passed_headers(self._answer.headers))
+        await self._exchange.start(self._answer.status, end_to_end_headers(self._answer.headers))
 
     def _note_time(self) -> None:
         now = trio.current_time()
@@ -121,7 +121,7 @@
         return True
 
 
-def passed_headers(headers: Headers) -> Headers:
+def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that go from one side to the other."""
     named = {
         token.strip().lower()
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -18,42 +18,42 @@
 from headcross_gateway.backpressure import Backpressure
 from headcross_gateway.confirmedloads import ConfirmedLoads
 from headcross_gateway.health import Health
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.waittimes import WaitTimes
 
 # What a daemon told of its replica counts for so long.
-TOLD_SECONDS: Final = 1.5
+REPORT_VALID_SECONDS: Final = 1.5
 # Daemons tell every 0.15 s to 0.45 s; one that is silent for so long is late.
-LATE_SECONDS: Final = 0.8
+REPORT_LATE_SECONDS: Final = 0.8
 # Requests that all entries together may place at a replica between two messages of its daemon.
-PLACED_TOGETHER: Final = 6
+MAX_PLACED_BETWEEN_REPORTS: Final = 6
 # A replica whose entry lapsed around an outage of the store is used on as long as its daemon says
 # that it answers, or a request was answered so lately.
-LAPSED_TOLD_SECONDS: Final = 0.8
+LAPSED_REPORT_SECONDS: Final = 0.8
 LAPSED_ANSWERED_SECONDS: Final = 2.0
 # Shortly before the bound on its version, a replica whose daemon speaks is not tried unless a
 # subscription of this entry came through that was sent so lately. Entries subscribe every 0.3 s
 # then, and daemons tell every 0.15 s to 0.45 s. A link that is too narrow holds them for longer.
-DELIVERED_SECONDS: Final = 1.2
+LINK_DELIVERY_SECONDS: Final = 1.2
 # A replica whose daemon has not reached it for so long has ended.
 OUT_OF_REACH_SECONDS: Final = 1.5
 # A replica that refused a request for want of room is not tried again for so long.
-FULL_SECONDS: Final = 0.12
+FULL_BACKOFF_SECONDS: Final = 0.12
 # One that holds another version than its silent daemon said is not tried again for so long: the
 # list tells which one within about a second.
-OTHER_VERSION_SECONDS: Final = 1.0
+OTHER_VERSION_BACKOFF_SECONDS: Final = 1.0
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class Told:
+class LoadReport:
     """The last word of the daemon beside a replica."""
 
     load: ReplicaLoad
     at: float  # monotonic
     own_in_flight: int  # requests of this entry at that moment
-    own_placed: int = 0  # requests that this entry placed there since
+    own_placed_since: int = 0  # requests that this entry placed there since
     allowance: int = 1  # requests that this entry may place there until the next word
 
 
@@ -63,8 +63,8 @@
 
     replica: Replica
     in_flight: int = 0  # requests of this entry
-    told: Told | None = None
-    full_until: float = 0.0
+    last_report: LoadReport | None = None
+    backoff_until: float = 0.0
     # This entry's part of the replica's places and of its limit, 0 to 1: an equal one among the
     # entries that its daemon tells its load to, and before its first word among those known.
     own_share: float = 1.0
@@ -74,7 +74,7 @@
     # are full.
     in_subset: bool = True
     # Until then it is left out of the subset, since it or its daemon did not answer (monotonic).
-    left_out_until: float = 0.0
+    excluded_until: float = 0.0
     # Another incarnation answered at its address: this one will not come back.
     gone: bool = False
     # Its entry lapsed around an outage of the store: it is used until then at most (monotonic).
@@ -90,35 +90,35 @@
         self.loads = ConfirmedLoads(self.replica.loaded)
         self.backpressure = Backpressure(self.replica.id)
 
-    def told_age(self) -> float:
+    def report_age(self) -> float:
         """Return how old the last word of its daemon is, in seconds."""
-        return monotonic() - self.told.at if self.told is not None else float("inf")
+        return monotonic() - self.last_report.at if self.last_report is not None else float("inf")
 
-    def told_late(self) -> bool:
+    def is_report_late(self) -> bool:
         """Tell whether its daemon spoke before and has been silent for too long since."""
-        return self.told is not None and self.told_age() > LATE_SECONDS
+        return self.last_report is not None and self.report_age() > REPORT_LATE_SECONDS
 
-    def may_deliver(self) -> bool:
+    def is_delivering(self) -> bool:
         """Tell whether its daemon, if it speaks, says nothing against its link.
 
         That only saves a try: each request to old weights has its own proof (see linkproofs).
         """
-        if self.told is None or self.told_late():
+        if self.last_report is None or self.is_report_late():
             return True
-        return monotonic() - self.told.load.subscribed_ms / 1000 < DELIVERED_SECONDS
+        return monotonic() - self.last_report.load.subscribed_ms / 1000 < LINK_DELIVERY_SECONDS
 
     def fresh_load(self) -> ReplicaLoad | None:
         """Return what its daemon told, if that is recent."""
-        if self.told is None or self.told_age() > TOLD_SECONDS:
+        if self.last_report is None or self.report_age() > REPORT_VALID_SECONDS:
             return None
-        return self.told.load
+        return self.last_report.load
 
     def load(self) -> float:
         """Return how many requests it has, of this entry and, by its daemon's word, of others."""
-        told = self.told
-        if told is None or self.told_age() > TOLD_SECONDS:
+        report = self.last_report
+        if report is None or self.report_age() > REPORT_VALID_SECONDS:
             return self.in_flight
-        others = max(0, told.load.active + told.load.queued - told.own_in_flight)
+        others = max(0, report.load.active + report.load.queued - report.own_in_flight)
         return self.in_flight + others
 
     def has_room(self, reserved: float = 0.0) -> bool:
@@ -128,22 +128,22 @@
         would for another try.
         """
         now = monotonic()
-        if now < self.full_until or self._is_left_to_others():
+        if now < self.backoff_until or self._is_left_to_others():
             return False
         if not self.backpressure.wants_request(self.own_share, now):
             return False
         if reserved and self.load() > (1 - reserved) * self.replica.slots:
             return False
-        if not self.replica.loaded and self.told is None:
+        if not self.replica.loaded and self.last_report is None:
             return self.load() < self.replica.slots  # a plain service: nobody tells its load
         if self.fresh_load() is None:
             # What the other entries placed there is not known, so each keeps to its own part.
             return self.in_flight < max(1.0, self.replica.slots * self.own_share)
-        assert self.told is not None
+        assert self.last_report is not None
         free = self.replica.slots - self.load()
         # No more of those placed since the last word can still be there than are under way.
-        placed = min(self.told.own_placed, self.in_flight)
-        return free > 0 and placed < self.told.allowance
+        placed = min(self.last_report.own_placed_since, self.in_flight)
+        return free > 0 and placed < self.last_report.allowance
 
     def seconds_to_next(self) -> float:
         """Return after how many seconds it wants a request of this entry, 0 if now."""
@@ -158,9 +158,9 @@
     def is_usable(self, now: float) -> bool:
         """Tell whether it may be worth keeping informed of: it serves and answers."""
         listed = self.replica
-        return bool(listed.loaded) and not self.is_leaving() and now >= self.left_out_until
+        return bool(listed.loaded) and not self.is_leaving() and now >= self.excluded_until
 
-    def learn(self, outcome: Outcome, *, bound: bool) -> None:
+    def record_outcome(self, outcome: Outcome, *, bound: bool) -> None:
         """Note what an attempt tells of the replica.
 
         `bound` tells that the request asked for one version, as a stream does that had begun: a
@@ -169,49 +169,49 @@
         match outcome:
             case DidNotRun(withdrawn=True) | MayRun(withdrawn=True):
                 return
-            case Whole(failed=True):
-                self.health.failed(certain=False)
-            case Whole() | Streamed():
-                self.health.succeeded()
+            case CompleteAnswer(failed=True):
+                self.health.note_failure(certain=False)
+            case CompleteAnswer() | Streamed():
+                self.health.note_success()
             case DidNotRun(elsewhere=True) if not bound:
                 self.gone = True
-            case DidNotRun(elsewhere=True) if self.told_late():
-                self.full_until = monotonic() + OTHER_VERSION_SECONDS
+            case DidNotRun(elsewhere=True) if self.is_report_late():
+                self.backoff_until = monotonic() + OTHER_VERSION_BACKOFF_SECONDS
             case DidNotRun(unproven=True):
-                self.health.failed(certain=False)
-                self.health.was_silent()
+                self.health.note_failure(certain=False)
+                self.health.note_silence()
             case DidNotRun(arrived=True):
-                self.full_until = monotonic() + FULL_SECONDS
+                self.backoff_until = monotonic() + FULL_BACKOFF_SECONDS
             case DidNotRun():
-                self.health.failed(certain=True)
-                self.health.was_silent()
+                self.health.note_failure(certain=True)
+                self.health.note_silence()
             case MayRun(silent=silent):
-                self.health.failed(certain=False)
+                self.health.note_failure(certain=False)
                 if silent:
-                    self.health.was_silent()
+                    self.health.note_silence()
 
     def note_signals(self, signals: BackpressureSignals, sent_at: float) -> None:
         """Take what the head of an answer asks; its request was sent at a moment (monotonic)."""
         self.backpressure.note_answer(signals, sent_at, self.own_share, monotonic())
 
-    def take_place(self) -> None:
+    def reserve_slot(self) -> None:
         """Count a request of this entry as under way there."""
         self.in_flight += 1
         self.backpressure.note_sent(self.own_share, monotonic())
-        if self.told is not None:
-            self.told.own_placed += 1
+        if self.last_report is not None:
+            self.last_report.own_placed_since += 1
 
-    def give_place_back(self) -> None:
+    def release_slot(self) -> None:
         """Count a request of this entry as ended there."""
         self.in_flight -= 1
         self.backpressure.note_ended()
 
-    def told_reachable(self) -> bool:
+    def reported_reachable(self) -> bool:
         """Tell whether its daemon, if it says anything, says that it answers."""
         load = self.fresh_load()
         return load is None or load.reachable
 
-    def told_leaving(self) -> bool:
+    def reported_leaving(self) -> bool:
         """Tell whether its daemon says that it loads, or is about to, and takes no requests."""
         load = self.fresh_load()
         return load is not None and load.leaving
@@ -226,22 +226,22 @@
             return self.gone
         if monotonic() >= self.lapsed_until:
             return True
-        if self.told is None:
+        if self.last_report is None:
             return not self.health.answered_within(LAPSED_ANSWERED_SECONDS)
-        return self.told_age() > LAPSED_TOLD_SECONDS or not self.told.load.reachable
+        return self.report_age() > LAPSED_REPORT_SECONDS or not self.last_report.load.reachable
 
-    def hear(self, load: ReplicaLoad, allowance: int) -> None:
+    def record_report(self, load: ReplicaLoad, allowance: int) -> None:
         """Take the word of its daemon, and how many requests may be placed until the next one."""
-        if self.told is None or self.told.load.reachable != load.reachable:
+        if self.last_report is None or self.last_report.load.reachable != load.reachable:
             self._log_reachable(load)
             self.out_of_reach_since = None if load.reachable else monotonic()
-        self.told = Told(load, monotonic(), self.in_flight, allowance=allowance)
+        self.last_report = LoadReport(load, monotonic(), self.in_flight, allowance=allowance)
         self.own_share = 1 / max(1, load.listeners)
-        if not load.reachable or self._is_of_another_life(load):
+        if not load.reachable or self._is_other_incarnation(load):
             return
         if load.ends:
             self.backpressure.leave("daemon")
-        if self.loads.hear(load, self.told.at):
+        if self.loads.record_report(load, self.last_report.at):
             logger.info("load judged", extra={"replica": self.replica.id, **self.loads.dump()})
 
     def _log_reachable(self, load: ReplicaLoad) -> None:
@@ -254,35 +254,39 @@
         """Tell whether it is known to have ended without having announced it."""
         if self.is_leaving():
             return False
-        if self.gone or self.is_between_lives():
+        if self.gone or self.has_conflicting_incarnations():
             return True
         since = self.out_of_reach_since
         if since is None or self.fresh_load() is None:
             return False
         return monotonic() - since >= OUT_OF_REACH_SECONDS
 
-    def is_between_lives(self) -> bool:
+    def has_conflicting_incarnations(self) -> bool:
         """Tell whether the list and its daemon speak of different incarnations.
 
         Which is the later one is not known then, nor whether that one holds any weights: it begins
         without, and the list and the daemon agree within a second or two.
         """
         load = self.fresh_load()
-        return load is not None and self._is_of_another_life(load)
+        return load is not None and self._is_other_incarnation(load)
 
-    def _is_of_another_life(self, load: ReplicaLoad) -> bool:
-        told = Incarnation(self.replica.id, load.started_ms)
-        return told.is_other_than(self.replica.incarnation)
+    def _is_other_incarnation(self, load: ReplicaLoad) -> bool:
+        reported = Incarnation(self.replica.id, load.started_ms)
+        return reported.is_other_than(self.replica.incarnation)
 
-    def takes_nothing(self) -> bool:
+    def is_unavailable(self) -> bool:
         """Tell whether it must be sent nothing new: it leaves, is gone, loads, or begins anew."""
-        if self.is_leaving() or self.is_gone() or self.told_leaving():
+        if self.is_leaving() or self.is_gone() or self.reported_leaving():
             return True
-        return self.is_between_lives()
+        return self.has_conflicting_incarnations()
 
-    def seems_alive(self) -> bool:
+    def is_responsive(self) -> bool:
         """Tell whether it and its daemon answer, as far as this entry has heard."""
-        return self.told_reachable() and not self.told_late() and not self.health.resting()
+        return (
+            self.reported_reachable()
+            and not self.is_report_late()
+            and not self.health.is_ejected()
+        )
 
     def version_of(self, model: str) -> int | None:
         """Return the version of a model that it may serve, None if it holds none that may."""
@@ -295,16 +299,16 @@
         While its daemon is silent nobody tells that the replica takes another load, nor whether
         that one is whole.
         """
-        return self.version_of(model) if self.told_late() else None
+        return self.version_of(model) if self.is_report_late() else None
 
     def held_version(self, model: str) -> int | None:
         """Return the version of a model that it holds, whether or not it may serve it."""
         listed = next((m.version for m in self.replica.loaded if m.model == model), None)
         load = self.fresh_load()
-        told = load.versions.get(model) if load is not None else None
-        if listed is None or told is None:
-            return told if listed is None else listed
-        return max(listed, told)
+        reported = load.versions.get(model) if load is not None else None
+        if listed is None or reported is None:
+            return reported if listed is None else listed
+        return max(listed, reported)
 
 
 def draw_allowance(listeners: int) -> int:
@@ -317,5 +321,5 @@
     >>> draw_allowance(1), draw_allowance(5)
     (6, 1)
     """
-    part = PLACED_TOGETHER / max(1, listeners)
+    part = MAX_PLACED_BETWEEN_REPORTS / max(1, listeners)
     return int(part) if part >= 1 else int(random.random() < part)
--- a/libs/gateway/src/headcross_gateway/requestlog.py
+++ b/libs/gateway/src/headcross_gateway/requestlog.py
@@ -10,14 +10,14 @@
 
 from headcross_gateway.admitted import Admitted
 from headcross_gateway.attempts import AttemptTimes
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.replicastate import ReplicaState
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class WeightsPlacedOn:
+class AttemptWeights:
     """The weights that an attempt was placed on."""
 
     version: int | None  # None for a service without weights
@@ -26,24 +26,24 @@
 
 def log_attempt(
     request: Admitted,
-    place: ReplicaState,
+    replica_state: ReplicaState,
     outcome: Outcome,
-    weights: WeightsPlacedOn,
+    weights: AttemptWeights,
     times: AttemptTimes,
 ) -> None:
     """Log an attempt with what decided for its replica, after the replica's health was noted."""
     result, detail = _result_of(outcome)
     fields: dict[str, object] = {
         "request": request.facts.id,
-        "replica": place.replica.id,
-        "address": str(place.replica.address),
-        "load": round(place.load(), 1),
-        "told_age": round(min(999.0, place.told_age()), 2),
-        "share": round(place.own_share, 2),
+        "replica": replica_state.replica.id,
+        "address": str(replica_state.replica.address),
+        "load": round(replica_state.load(), 1),
+        "told_age": round(min(999.0, replica_state.report_age()), 2),
+        "share": round(replica_state.own_share, 2),
         "ms": _milliseconds_since(request.arrived_at),
         "outcome": result,
         "detail": detail,
-        "health_failures": place.health.failures,
+        "health_failures": replica_state.health.failures,
     }
     if weights.version is not None:
         fields["weights_version"] = weights.version
@@ -61,17 +61,17 @@
 
 def log_completed(request: Admitted, verdict: Completed) -> None:
     """Log a request that was answered."""
-    logger.info("completed", extra={**_story_of(request), "status": verdict.status})
+    logger.info("completed", extra={**_request_fields(request), "status": verdict.status})
 
 
 def log_caller_gone(request: Admitted) -> None:
     """Log a request whose caller left before its end."""
-    logger.info("caller gone", extra=_story_of(request))
+    logger.info("caller gone", extra=_request_fields(request))
 
 
 def log_refused(refusal: Refusal, request_id: str | None, request: Admitted | None = None) -> None:
     """Log a refusal; `request` is None for one that was not admitted."""
-    story = _story_of(request) if request is not None else {"request": request_id}
+    request_fields = _request_fields(request) if request is not None else {"request": request_id}
     fields = {
         "verdict": verdict_name(refusal),
         "reason": refusal.reason.code,
@@ -79,13 +79,13 @@
     }
     if request is not None and refusal.reason is ENDS_REPLICAS:
         fields["request_digest"] = str(request.identity)
-    logger.info("refused", extra={**story, **fields})
+    logger.info("refused", extra={**request_fields, **fields})
 
 
 def _result_of(outcome: Outcome) -> tuple[str, str]:
     """Return an outcome's name in the log, and its detail."""
     match outcome:
-        case Whole():
+        case CompleteAnswer():
             return "answered", str(outcome.answer.status)
         case Streamed():
             return "streamed", ""
@@ -95,7 +95,7 @@
             return "may-have-run", f"{outcome.reason.code}: {outcome.detail}"
 
 
-def _story_of(request: Admitted) -> dict[str, object]:
+def _request_fields(request: Admitted) -> dict[str, object]:
     """Return the fields of a request's last line."""
     relay = request.relay
     times: dict[str, object] = {}
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -43,18 +43,18 @@
 from headcross_gateway.budget import RetryBudget
 from headcross_gateway.containment import Containment
 from headcross_gateway.linkproofs import LinkProofs
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.overload import (
     COME_BACK_LATER_SECONDS,
     COME_BACK_SECONDS,
     Overload,
 )
-from headcross_gateway.picking import Wish, wish_of
+from headcross_gateway.picking import Requirements, requirements_of
 from headcross_gateway.refusedrequests import fingerprint_of
-from headcross_gateway.relay import StreamRelay, passed_headers
+from headcross_gateway.relay import StreamRelay, end_to_end_headers
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestlog import (
-    WeightsPlacedOn,
+    AttemptWeights,
     log_attempt,
     log_caller_gone,
     log_completed,
@@ -65,9 +65,9 @@
 from headcross_gateway.weightsrules import WeightsRules
 
 # A request that may have run goes first to its second place.
-RUN_AGAIN_PRIORITY: Final = -1
+RERUN_PRIORITY: Final = -1
 # When a caller is told to come back whom another entry will serve.
-COME_BACK_SOON_SECONDS: Final = 0.02
+DRAINING_RETRY_AFTER_SECONDS: Final = 0.02
 
 Observe = Callable[[str, str, float], None]  # service, verdict, seconds
 
@@ -99,7 +99,7 @@
         self.budget = budget
         self.unbegun = UnbegunAttempts(rules)
         self.attempts = Attempts(dialect, self.unbegun, LinkProofs(rules, dialect))
-        self._last_moment: float | None = None
+        self._drain_deadline: float | None = None
         self._facts = facts
         self._dialect = dialect
         self._admission = admission
@@ -122,7 +122,7 @@
             with trio.move_on_at(request.deadline) as scope:
                 verdict = await self._serve(request)
             if scope.cancelled_caught:
-                verdict = _too_late(request)
+                verdict = _deadline_verdict(request)
             await self._conclude(request, verdict)
         except trio.Cancelled:
             self.counts["caller-gone"] += 1
@@ -131,9 +131,9 @@
         finally:
             self.in_flight -= 1
 
-    def end_by(self, moment: float) -> None:
+    def refuse_ending_after(self, moment: float) -> None:
         """Take nothing from now on that may not be answered by a moment on trio's clock."""
-        self._last_moment = moment
+        self._drain_deadline = moment
 
     # Admission.
 
@@ -157,8 +157,8 @@
         seconds = route.timeout_seconds
         if facts.deadline_seconds is not None:
             seconds = min(seconds, facts.deadline_seconds)
-        if self._last_moment is not None and now + seconds > self._last_moment:
-            refusal = NotRun(DRAINING, "this entry stops", COME_BACK_SOON_SECONDS)
+        if self._drain_deadline is not None and now + seconds > self._drain_deadline:
+            refusal = NotRun(DRAINING, "this entry stops", DRAINING_RETRY_AFTER_SECONDS)
             return NotAdmitted(refusal, facts.id)
         relay = StreamRelay(exchange, facts.resume_after) if route.repetition.is_stream else None
         service = route.pick_service()
@@ -183,60 +183,66 @@
     # Attempts.
 
     async def _serve(self, request: Admitted) -> Verdict:
-        wish = wish_of(request.facts, request.service, request.route.repetition.may_run_again)
+        requirements = requirements_of(
+            request.facts, request.service, request.route.repetition.may_run_again
+        )
         last: Refusal | None = None
         while True:
             refusal = self._containment.refusal_of(request)
             if refusal is not None:
-                return self._last_word(request, self._worse(last, refusal))
-            wish = replace(
-                wish, tried=frozenset(request.tried), exact_version=request.bound_version
+                return self._final_refusal(request, self._stronger_refusal(last, refusal))
+            requirements = replace(
+                requirements, tried=frozenset(request.tried), exact_version=request.bound_version
             )
-            place = await self._take_place(request, wish)
-            if place is None:
-                opening = self._admission.seconds_to_opening(wish, request.configuration)
+            replica_state = await self._acquire_slot(request, requirements)
+            if replica_state is None:
+                opening = self._admission.seconds_to_opening(requirements, request.configuration)
                 if not request.runs:
                     self._overload.note_refused(
                         request.service, returning=request.returning, for_room=opening < math.inf
                     )
-                return self._last_word(request, self._no_room(request, last, opening))
+                return self._final_refusal(request, self._no_room_refusal(request, last, opening))
             if self._containment.refusal_of(request) is not None:
-                self._admission.give_back(place)
+                self._admission.release_slot(replica_state)
                 continue
-            weights = self._weights_of(request, place)
-            expected_version = _version_to_expect(request, place)
+            weights = self._weights_of(request, replica_state)
+            expected_version = _version_to_expect(request, replica_state)
             times = AttemptTimes()
             placed_at = trio.current_time()
             try:
-                outcome = await self._attempt(request, place, expected_version, times)
+                outcome = await self._attempt(request, replica_state, expected_version, times)
             finally:
-                self._admission.give_back(place)
-            place.learn(outcome, bound=expected_version is not None)
-            log_attempt(request, place, outcome, weights, times)
-            if isinstance(outcome, Whole | Streamed):
+                self._admission.release_slot(replica_state)
+            replica_state.record_outcome(outcome, bound=expected_version is not None)
+            log_attempt(request, replica_state, outcome, weights, times)
+            if isinstance(outcome, CompleteAnswer | Streamed):
                 seconds = trio.current_time() - placed_at
                 self._overload.note_answer(request.service, seconds)
             if not isinstance(outcome, DidNotRun):
                 # One that refused may have room in a moment; one that ran it had its chance.
-                request.tried.add(place.replica.id)
+                request.tried.add(replica_state.replica.id)
             match outcome:
-                case Whole():
+                case CompleteAnswer():
                     if not self._retries.should_repeat_failure(request, outcome):
-                        return await self._pass_whole(request, outcome)
+                        return await self._forward_complete(request, outcome)
                     request.failed_answer = outcome
                 case Streamed():
                     return Completed(200)
                 case DidNotRun(reason=reason, detail=detail):
-                    last = self._worse(last, NotRun(reason, detail, COME_BACK_SECONDS))
+                    last = self._stronger_refusal(last, NotRun(reason, detail, COME_BACK_SECONDS))
                     if not self._retries.may_go_on_after_refusal(request, outcome):
-                        opening = self._admission.seconds_to_opening(wish, request.configuration)
-                        return self._last_word(request, self._no_room(request, last, opening))
+                        opening = self._admission.seconds_to_opening(
+                            requirements, request.configuration
+                        )
+                        return self._final_refusal(
+                            request, self._no_room_refusal(request, last, opening)
+                        )
                 case MayRun(reason=reason, detail=detail):
                     last = MayHaveRun(reason, detail)
                     if not self._retries.may_run_again(request):
-                        return self._last_word(request, last)
+                        return self._final_refusal(request, last)
 
-    def _no_room(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
+    def _no_room_refusal(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
         """Return what a request is told that finds no place; none opens for some seconds."""
         if isinstance(last, MayHaveRun):
             return last
@@ -250,24 +256,26 @@
         if opening > 0:
             detail = f"no replica wants a request for another {opening:.2f} s"
             return NotRun(NO_ROOM, detail, seconds)
-        return NotRun(NO_ROOM, self._why_no_room(request), seconds)
+        return NotRun(NO_ROOM, self._no_room_detail(request), seconds)
 
-    def _why_no_room(self, request: Admitted) -> str:
+    def _no_room_detail(self, request: Admitted) -> str:
         kept = self._overload.reserved_share(request.service)
         if not request.returning or not kept:
             return "no replica has room"
         return f"no replica has room beside {kept:.2f} of the places, kept for first tries"
 
-    async def _take_place(self, request: Admitted, wish: Wish) -> ReplicaState | None:
+    async def _acquire_slot(
+        self, request: Admitted, requirements: Requirements
+    ) -> ReplicaState | None:
         now = trio.current_time()
         priority = request.priority
         returning = request.returning and not request.tried
-        opening = self._admission.seconds_to_opening(wish, request.configuration)
+        opening = self._admission.seconds_to_opening(requirements, request.configuration)
         any_serves = opening < math.inf
         wait = self._wait_seconds(request, returning, any_serves)
         if request.tried:
             # It has run somewhere: without a place it fails for good, so it goes first.
-            until, priority = now + RUN_AGAIN_WAIT_SECONDS, RUN_AGAIN_PRIORITY
+            until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
         elif request.refusals or request.unreached:
             until = now + wait
         else:
@@ -275,8 +283,8 @@
         until = min(until, request.deadline)
         last = self._overload.comes_last(returning=returning)
         order = QueueOrder(priority, last, request.deadline)
-        return await self._admission.take_place(
-            wish, request.configuration, order, until, returning=returning
+        return await self._admission.acquire_slot(
+            requirements, request.configuration, order, until, returning=returning
         )
 
     def _wait_seconds(self, request: Admitted, returning: bool, any_serves: bool) -> float:
@@ -287,27 +295,27 @@
             request.service, aim, request.remaining, any_serves=any_serves
         )
 
-    def _weights_of(self, request: Admitted, place: ReplicaState) -> WeightsPlacedOn:
+    def _weights_of(self, request: Admitted, replica_state: ReplicaState) -> AttemptWeights:
         """Return the weights that a replica holds for a request, and how long they may be used."""
         model = request.facts.model
-        version = place.version_of(model) if model is not None else None
+        version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
-            return WeightsPlacedOn(None, float("inf"))
-        return WeightsPlacedOn(version, self._rules.seconds_left(model, version))
+            return AttemptWeights(None, float("inf"))
+        return AttemptWeights(version, self._rules.seconds_left(model, version))
 
     async def _attempt(
         self,
         request: Admitted,
-        place: ReplicaState,
+        replica_state: ReplicaState,
         expected_version: int | None,
         times: AttemptTimes,
     ) -> Outcome:
-        health = place.health
+        health = replica_state.health
         health.on_trial = health.needs_trial()
         relay = request.relay
         resume_after = relay.last_id if relay is not None else None
         hand_over = HandOver(
-            replica=place.replica.id,
+            replica=replica_state.replica.id,
             remaining_seconds=request.remaining,
             team=request.team.name if request.team is not None else None,
             priority=request.priority,
@@ -315,15 +323,15 @@
             resume_after=resume_after,
         )
         request.runs += 1
-        attempt = self._containment.watch.begin(request, place, times)
+        attempt = self._containment.watch.begin(request, replica_state, times)
         outcome: Outcome | None = None
         try:
             outcome = await self.attempts.make(
                 request.exchange.request,
                 request.facts,
-                place,
+                replica_state,
                 hand_over,
-                self._retries.patience(request, place),
+                self._retries.patience(request, replica_state),
                 relay,
                 fresh=not request.route.repetition.may_run_again,
                 times=times,
@@ -336,19 +344,19 @@
     # The end.
 
     @staticmethod
-    def _worse(last: Refusal | None, now: NotRun) -> Refusal:
+    def _stronger_refusal(last: Refusal | None, now: NotRun) -> Refusal:
         """Once a request may have run, no later refusal takes that back."""
         return last if isinstance(last, MayHaveRun) else now
 
-    def _last_word(self, request: Admitted, last: Refusal) -> Verdict:
+    def _final_refusal(self, request: Admitted, last: Refusal) -> Verdict:
         if request.relay is not None and request.relay.started:
             return MayHaveRun(STREAM_BROKEN, last.detail)
         return last
 
-    async def _pass_whole(self, request: Admitted, outcome: Whole) -> Verdict:
+    async def _forward_complete(self, request: Admitted, outcome: CompleteAnswer) -> Verdict:
         if request.relay is not None and request.relay.started:
             return MayHaveRun(STREAM_BROKEN, f"status {outcome.answer.status} while resuming")
-        headers = passed_headers(outcome.answer.headers)
+        headers = end_to_end_headers(outcome.answer.headers)
         await request.exchange.respond(outcome.answer.status, headers, outcome.body)
         return Completed(outcome.answer.status)
 
@@ -367,7 +375,7 @@
         if request.exchange.started:
             await request.exchange.abort()
         elif request.failed_answer is not None:
-            await self._pass_whole(request, request.failed_answer)
+            await self._forward_complete(request, request.failed_answer)
         else:
             await send_refusal(request.exchange, self._dialect, verdict, request.facts.id)
 
@@ -375,11 +383,11 @@
         self.counts[f"{verdict_name(refusal)} {refusal.reason.code}"] += 1
 
 
-def _version_to_expect(request: Admitted, place: ReplicaState) -> int | None:
+def _version_to_expect(request: Admitted, replica_state: ReplicaState) -> int | None:
     """Return the version without which a replica must not run a request, None if any will do."""
     if request.bound_version is not None or request.facts.model is None:
         return request.bound_version
-    return place.version_to_expect(request.facts.model)
+    return replica_state.version_to_expect(request.facts.model)
 
 
 def _fingerprint_of(request: Request, facts: RequestFacts) -> int | None:
@@ -389,7 +397,7 @@
     return fingerprint_of(request.header("host") or "", request.target, facts.key, facts.prompt)
 
 
-def _too_late(request: Admitted) -> Verdict:
+def _deadline_verdict(request: Admitted) -> Verdict:
     """Return the verdict on a request whose time is up."""
     if request.relay is not None and request.relay.started:
         return MayHaveRun(STREAM_BROKEN, "the time is up")
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -9,11 +9,11 @@
 
 from headcross_gateway.admission import Admission
 from headcross_gateway.admitted import Admitted
-from headcross_gateway.attempts import Patience
+from headcross_gateway.attempts import AttemptTimeouts
 from headcross_gateway.budget import RetryBudget
 from headcross_gateway.containment import Containment
-from headcross_gateway.outcomes import DidNotRun, Whole
-from headcross_gateway.picking import wish_of
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun
+from headcross_gateway.picking import requirements_of
 from headcross_gateway.replicastate import ReplicaState
 
 # Refusals that one request is carried on after; each is an arrival that the budget pays for.
@@ -37,20 +37,20 @@
         self._budget = budget
         self._containment = containment
 
-    def patience(self, request: Admitted, place: ReplicaState) -> Patience:
+    def patience(self, request: Admitted, place: ReplicaState) -> AttemptTimeouts:
         """Return how long a request waits for signs of life of a replica."""
         if (
             not request.route.repetition.may_run_again
             or request.runs >= request.route.max_attempts
         ):
-            return Patience(float("inf"), float("inf"))
+            return AttemptTimeouts(float("inf"), float("inf"))
 
         def leave() -> bool:
             return self._containment.is_clear(request) and self._pay_to_leave(request, place)
 
         if request.relay is not None:
-            return Patience(STREAM_FIRST_SECONDS, STREAM_PAUSE_SECONDS, leave)
-        return Patience(REPEATABLE_PATIENCE_SECONDS, REPEATABLE_PATIENCE_SECONDS, leave)
+            return AttemptTimeouts(STREAM_FIRST_SECONDS, STREAM_PAUSE_SECONDS, leave)
+        return AttemptTimeouts(REPEATABLE_PATIENCE_SECONDS, REPEATABLE_PATIENCE_SECONDS, leave)
 
     def _pay_to_leave(self, request: Admitted, place: ReplicaState) -> bool:
         """Take the retry with which a request leaves a silent replica; False if it has to stay.
@@ -59,7 +59,7 @@
         up for a pause of its replica was lost for nothing, since the replica might have gone on.
         Where a full link silences many replicas at once, only as many leave as there are retries.
         """
-        wish = wish_of(request.facts, request.service, may_run_again=True)
+        wish = requirements_of(request.facts, request.service, may_run_again=True)
         tried = frozenset({*request.tried, place.replica.id})
         wish = replace(wish, tried=tried, exact_version=request.bound_version)
         opening = self._admission.seconds_to_opening(wish, request.configuration)
@@ -70,7 +70,7 @@
         request.retry_paid = self._budget.spend(request.service)
         return request.retry_paid
 
-    def should_repeat_failure(self, request: Admitted, outcome: Whole) -> bool:
+    def should_repeat_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
         """Tell whether a replica's own failure is tried elsewhere, and pay for it."""
         return outcome.failed and self.may_run_again(request)
 
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -179,23 +179,23 @@
 ) -> None:
     loads = ConfirmedLoads([OLDER])
     for each in words:
-        loads.hear(each, 1.0)
+        loads.record_report(each, 1.0)
     assert loads.may_serve("m", version) == serves
 
 
 def test_an_entry_that_does_not_ask_a_daemon_any_more_goes_by_the_list() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(word(1), 1.0)
+    loads.record_report(word(1), 1.0)
     loads.stop_hearing()
     assert loads.may_serve("m", 2)
 
 
 def test_an_entry_knows_since_when_a_version_is_held_that_came_in_its_sight() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(word(1), 1.0)
+    loads.record_report(word(1), 1.0)
     assert not loads.came_at
     loads.note_held([NEWER], 2.0)
-    loads.hear(word(2, confirmed=2), 3.0)
+    loads.record_report(word(2, confirmed=2), 3.0)
     assert loads.came_at == {NEWER: 2.0}
 
 
@@ -207,25 +207,25 @@
 
 def test_an_unconfirmed_version_is_held_and_not_served() -> None:
     state = replica_state()
-    state.hear(word(2), 1)
+    state.record_report(word(2), 1)
     assert state.held_version("m") == 2
     assert state.version_of("m") is None
-    state.hear(word(2, confirmed=2), 1)
+    state.record_report(word(2, confirmed=2), 1)
     assert state.version_of("m") == 2
 
 
 def test_the_word_about_another_life_confirms_nothing() -> None:
     state = replica_state()
-    state.hear(word(1), 1)
-    state.hear(word(2, confirmed=2, started_ms=8), 1)
+    state.record_report(word(1), 1)
+    state.record_report(word(2, confirmed=2, started_ms=8), 1)
     assert not state.loads.may_serve("m", 2)
 
 
 def test_requests_ask_for_the_version_by_name_while_a_daemon_is_silent() -> None:
     state = replica_state()
-    state.hear(word(1), 1)
+    state.record_report(word(1), 1)
     assert state.version_to_expect("m") is None
-    assert state.told is not None
-    state.told.at -= 1.0
+    assert state.last_report is not None
+    state.last_report.at -= 1.0
     assert state.version_to_expect("m") == 1
     assert replica_state().version_to_expect("m") is None
--- a/tests/test_gateway_lapsed.py
+++ b/tests/test_gateway_lapsed.py
@@ -7,7 +7,7 @@
 from headcross_base.addresses import Address
 from headcross_base.clocks import monotonic
 from headcross_facts.facts import LAPSE_SECONDS, Facts
-from headcross_gateway.directory import LAPSED_PART, Directory
+from headcross_gateway.directory import LAPSED_USE_SHARE, Directory
 from headcross_gateway.replicastate import ReplicaState
 from headcross_platform import names
 from headcross_platform.store import MetadataStore
@@ -36,13 +36,13 @@
         monkeypatch.setattr("headcross_gateway.replicastate.monotonic", lambda: self.now)
 
 
-def told(directory: Directory, *, reachable: bool = True) -> None:
+def report_load(directory: Directory, *, reachable: bool = True) -> None:
     """Let the daemon beside the model replica speak."""
     address = str(MODEL_REPLICA.address)
-    directory.hear(ReplicaLoad(address, 1, reachable, False, {"m": 1}, 0, 0, 0.0, 1.0, 1))
+    directory.record_report(ReplicaLoad(address, 1, reachable, False, {"m": 1}, 0, 0, 0.0, 1.0, 1))
 
 
-def known(*replicas: Replica) -> tuple[Facts, Directory]:
+def directory_listing(*replicas: Replica) -> tuple[Facts, Directory]:
     """Return what an entry knows once a list of replicas is there."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     facts.take_listing(Topic.REPLICAS, Listing((), 1), 0.0, "store")
@@ -71,17 +71,17 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock(monkeypatch)
-    facts, directory = known(MODEL_REPLICA)
+    facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, MODEL_REPLICA)
     state = state_of(directory)
     assert state is not None and state.is_gone()  # nobody says that it lives
-    told(directory)
+    report_load(directory)
     assert not state.is_gone()
-    told(directory, reachable=False)
+    report_load(directory, reachable=False)
     assert state.is_gone()
-    clock.now += LAPSED_PART * LEAVING_SECONDS
-    told(directory)
+    clock.now += LAPSED_USE_SHARE * LEAVING_SECONDS
+    report_load(directory)
     assert state.is_gone()
     directory.update()
     assert state_of(directory) is None
@@ -91,20 +91,20 @@
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     Clock(monkeypatch)
-    facts, directory = known(PLAIN_REPLICA)
+    facts, directory = directory_listing(PLAIN_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, PLAIN_REPLICA)
     state = state_of(directory)
     assert state is not None and state.is_gone()
-    state.health.succeeded()
+    state.health.note_success()
     assert not state.is_gone()
-    state.health.failed(certain=False)
+    state.health.note_failure(certain=False)
     assert state.is_gone()
 
 
 def test_one_that_is_listed_again_is_one_like_any_other(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock(monkeypatch)
-    facts, directory = known(MODEL_REPLICA)
+    facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, MODEL_REPLICA)
     facts.replicas[MODEL_REPLICA.id] = MODEL_REPLICA
@@ -119,10 +119,10 @@
 ) -> None:
     """Some replicas never say that they leave: their entry goes, and they serve on for a while."""
     clock = Clock(monkeypatch)
-    facts, directory = known(MODEL_REPLICA)
+    facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     clock.now += LAPSE_SECONDS
-    told(directory)
+    report_load(directory)
     lapse(facts, directory, MODEL_REPLICA)
     assert state_of(directory) is None
 
@@ -130,9 +130,9 @@
 def test_one_that_said_it_leaves_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
     Clock(monkeypatch)
     draining = Replica("i-model", "lm", Address("127.0.0.1", 1), "z", 8, draining=True)
-    facts, directory = known(draining)
+    facts, directory = directory_listing(draining)
     facts.note_failure(Topic.REPLICAS)
-    told(directory)
+    report_load(directory)
     lapse(facts, directory, draining)
     assert state_of(directory) is None
 
--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -11,7 +11,7 @@
 from headcross_gateway.admission import Admission, QueueOrder
 from headcross_gateway.directory import Directory
 from headcross_gateway.overload import Overload
-from headcross_gateway.picking import Picker, Wish
+from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.weightsrules import WeightsRules
 from headcross_ports.configuration import CallerLimits, Configuration, Service
 from headcross_ports.published import Replica
@@ -19,7 +19,7 @@
 
 from tests.test_gateway_rules import rules
 
-WISH: Final = Wish("api", None, None, (), True)
+WISH: Final = Requirements("api", None, None, (), True)
 CONFIGURATION: Final = Configuration(
     1, (), {"api": Service("api", 1)}, (), CallerLimits(1, 1, 1.0, 1.0)
 )
@@ -52,7 +52,7 @@
     admission, directory = site(2)
     use_up(directory, 0.5)
     before = trio.current_time()
-    assert await admission.take_place(WISH, CONFIGURATION, ORDER, before + 1.0) is None
+    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, before + 1.0) is None
     assert trio.current_time() == before
     assert admission.seconds_to_opening(WISH, CONFIGURATION) > 1.0
 
@@ -63,7 +63,7 @@
     free = next(iter(directory.states()))
     free.note_signals(BackpressureSignals(), monotonic() + 1)
     for _ in range(free.replica.slots):
-        place = await admission.take_place(WISH, CONFIGURATION, ORDER, trio.current_time())
+        place = await admission.acquire_slot(WISH, CONFIGURATION, ORDER, trio.current_time())
         assert place is free
 
 
@@ -73,7 +73,7 @@
     state.note_signals(BackpressureSignals(limit=50.0), 0.0)
     for _ in range(2):
         until = trio.current_time() + 5.0
-        assert await admission.take_place(WISH, CONFIGURATION, ORDER, until) is state
+        assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, until) is state
 
 
 @pytest.mark.parametrize("opening", [0.0, 3.0, 30.0])
@@ -91,12 +91,12 @@
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.2), 0.0)
     now = trio.current_time()
-    assert await admission.take_place(WISH, CONFIGURATION, ORDER, now) is None
-    assert await admission.take_place(WISH, CONFIGURATION, ORDER, now + 5.0) is state
+    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now) is None
+    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now + 5.0) is state
     now = trio.current_time()
-    assert await admission.take_place(WISH, CONFIGURATION, ORDER, now) is None
+    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now) is None
     state.note_signals(BackpressureSignals(), 0.0)
-    assert await admission.take_place(WISH, CONFIGURATION, ORDER, now) is state
+    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now) is state
 
 
 async def test_a_caller_that_leaves_while_it_tries_a_replica_after_its_rest_shuts_nobody_out() -> (
@@ -105,10 +105,10 @@
     admission, directory = site(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.0), 0.0)
-    place = await admission.take_place(WISH, CONFIGURATION, ORDER, trio.current_time())
+    place = await admission.acquire_slot(WISH, CONFIGURATION, ORDER, trio.current_time())
     assert place is state
-    admission.give_back(place)
-    assert await admission.take_place(WISH, CONFIGURATION, ORDER, trio.current_time()) is state
+    admission.release_slot(place)
+    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, trio.current_time()) is state
 
 
 async def test_a_shorter_rest_does_not_end_a_longer_one() -> None:
--- a/tests/test_gateway_linkproofs.py
+++ b/tests/test_gateway_linkproofs.py
@@ -11,11 +11,11 @@
 from headcross_facts.facts import VersionNotice
 from headcross_gateway.linkproofs import LinkProofs, LinkUnprovenError
 from headcross_gateway.outcomes import DidNotRun
-from headcross_gateway.weightsrules import UNDER_WAY_SECONDS
+from headcross_gateway.weightsrules import MAX_LINK_HOLD_SECONDS
 from headcross_platform.dialect import PlatformDialect
 from headcross_wire.httpclient import HttpConnection, connect
 
-from tests.test_gateway_places import model_place
+from tests.test_gateway_places import model_replica_state
 from tests.test_gateway_rules import rules
 
 BOUND_SECONDS = 8.0
@@ -63,8 +63,8 @@
 @pytest.mark.parametrize(
     ("left", "version", "needed"),
     [
-        (UNDER_WAY_SECONDS + 0.5, 1, False),
-        (UNDER_WAY_SECONDS - 0.1, 1, True),
+        (MAX_LINK_HOLD_SECONDS + 0.5, 1, False),
+        (MAX_LINK_HOLD_SECONDS - 0.1, 1, True),
         (1.0, 1, True),
         (1.0, 2, False),
     ],
@@ -72,9 +72,9 @@
 def test_only_old_weights_whose_bound_is_near_need_a_proof(
     left: float, version: int, needed: bool
 ) -> None:
-    place = model_place("replica", version, 0)
-    assert proofs(BOUND_SECONDS - left).is_needed("m", place) == needed
-    assert not proofs(BOUND_SECONDS - left).is_needed(None, place)
+    replica_state = model_replica_state("replica", version, 0)
+    assert proofs(BOUND_SECONDS - left).is_needed("m", replica_state) == needed
+    assert not proofs(BOUND_SECONDS - left).is_needed(None, replica_state)
 
 
 async def test_a_connection_that_answers_may_carry_a_request_after_its_proof() -> None:
@@ -101,9 +101,9 @@
 
 
 def test_a_replica_whose_link_is_not_proven_is_left_alone_after_the_second_time() -> None:
-    place = model_place("replica", 1, 0)
+    replica_state = model_replica_state("replica", 1, 0)
     unproven = DidNotRun(UNREACHED, "", arrived=False, unproven=True)
-    place.learn(unproven, bound=False)
-    assert not place.health.resting() and place.health.silent_age() < 1.0
-    place.learn(unproven, bound=False)
-    assert place.health.resting()
+    replica_state.record_outcome(unproven, bound=False)
+    assert not replica_state.health.is_ejected() and replica_state.health.silent_age() < 1.0
+    replica_state.record_outcome(unproven, bound=False)
+    assert replica_state.health.is_ejected()
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -14,12 +14,12 @@
 from headcross_gateway.directory import Directory
 from headcross_gateway.health import Health
 from headcross_gateway.overload import COME_BACK_LATER_SECONDS, Overload
-from headcross_gateway.picking import Picker, Wish
+from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.replicastate import (
-    PLACED_TOGETHER,
-    TOLD_SECONDS,
+    MAX_PLACED_BETWEEN_REPORTS,
+    REPORT_VALID_SECONDS,
+    LoadReport,
     ReplicaState,
-    Told,
 )
 from headcross_gateway.weightsrules import WeightsRules
 from headcross_ports.configuration import CallerLimits, Configuration, Service, WeightsLayout
@@ -29,18 +29,18 @@
 from tests.test_gateway_rules import rules
 
 
-def model_place(name: str, version: int, busy: int) -> ReplicaState:
+def model_replica_state(name: str, version: int, busy: int) -> ReplicaState:
     """Return a replica of a model whose daemon told its load a moment ago."""
     address = Address("127.0.0.1", 1 + len(name))
     replica = Replica(name, "lm", address, "z", 8, False, (LoadedModel("m", version),))
     load = ReplicaLoad(str(address), 1, True, False, {"m": version}, busy, 0, 0.0, 1.0, 5)
-    told = Told(msgspec.structs.replace(load, subscribed_ms=now_ms()), monotonic(), 0)
-    return ReplicaState(replica, told=told, own_share=1 / load.listeners)
+    last_report = LoadReport(msgspec.structs.replace(load, subscribed_ms=now_ms()), monotonic(), 0)
+    return ReplicaState(replica, last_report=last_report, own_share=1 / load.listeners)
 
 
-def hear_now(directory: Directory, load: ReplicaLoad, now: float) -> None:
+def report_now(directory: Directory, load: ReplicaLoad, now: float) -> None:
     """Have a replica's load told; what the entry subscribed with came through just before."""
-    directory.hear(msgspec.structs.replace(load, subscribed_ms=int(now * 1000)))
+    directory.record_report(msgspec.structs.replace(load, subscribed_ms=int(now * 1000)))
 
 
 @pytest.mark.parametrize(
@@ -66,7 +66,7 @@
     age: float, busy: int, exact: int | None, taken: bool
 ) -> None:
     """A request that waited at its replica started on an old version after the bound (VERSION)."""
-    state = model_place("old", 1, busy)
+    state = model_replica_state("old", 1, busy)
     weights_rules = rules([VersionNotice(2, monotonic() - age, False)])
     directory = Directory(weights_rules.facts)
     weights = Service("lm", 100, WeightsLayout(("m",), 1, 1))
@@ -74,10 +74,10 @@
     configuration = Configuration(1, (), {"lm": weights}, (), limits)
     weights_rules.facts.replicas["old"] = state.replica
     directory.update()
-    assert state.told is not None
-    directory.hear(state.told.load)
+    assert state.last_report is not None
+    directory.record_report(state.last_report.load)
     picker = Picker("z", directory, weights_rules)
-    picked = picker.pick(Wish("lm", "m", exact, (), True), configuration)
+    picked = picker.pick(Requirements("lm", "m", exact, (), True), configuration)
     assert (picked is not None) == taken
 
 
@@ -89,7 +89,7 @@
     now = start
     for module in ("health", "directory", "replicastate", "weightsrules"):
         monkeypatch.setattr(f"headcross_gateway.{module}.monotonic", lambda: now)
-    state = model_place("old", 1, 0)
+    state = model_replica_state("old", 1, 0)
     weights_rules = rules([VersionNotice(2, start - 1.0, False)])
     directory = Directory(weights_rules.facts)
     weights = Service("lm", 100, WeightsLayout(("m",), 1, 1))
@@ -101,16 +101,16 @@
     taken = {}
     for moment, silent_at in ((3.9, 2.0), (4.1, 2.0), (4.9, 2.0), (4.9, 1.8)):
         now = start + silent_at
-        place = directory.serving("lm")[0]
-        place.health.was_silent()
-        place.health.failed(certain=False)
-        place.health.succeeded()  # one that came through proves nothing
+        replica_state = directory.serving("lm")[0]
+        replica_state.health.note_silence()
+        replica_state.health.note_failure(certain=False)
+        replica_state.health.note_success()  # one that came through proves nothing
         now = start + moment
-        assert state.told is not None
-        hear_now(directory, state.told.load, now)
-        wish = Wish("lm", "m", None, (), True)
-        taken[moment, silent_at] = picker.pick(wish, configuration) is not None
-        place.health = Health()
+        assert state.last_report is not None
+        report_now(directory, state.last_report.load, now)
+        requirements = Requirements("lm", "m", None, (), True)
+        taken[moment, silent_at] = picker.pick(requirements, configuration) is not None
+        replica_state.health = Health()
     # The bound is 7 s after the start here; 3 s before it begins the time that counts.
     assert taken == {(3.9, 2.0): True, (4.1, 2.0): False, (4.9, 2.0): False, (4.9, 1.8): True}
 
@@ -130,13 +130,13 @@
     directory = Directory(weights_rules.facts)
     weights = Service("lm", 100, WeightsLayout(("m",), 1, 1))
     configuration = Configuration(1, (), {"lm": weights}, (), CallerLimits(1, 1, 1.0, 1.0))
-    state = model_place("old", 1, 0)
+    state = model_replica_state("old", 1, 0)
     weights_rules.facts.replicas["old"] = state.replica
     directory.update()
-    assert state.told is not None
-    hear_now(directory, state.told.load, monotonic() - subscribed_ago)
+    assert state.last_report is not None
+    report_now(directory, state.last_report.load, monotonic() - subscribed_ago)
     picked = Picker("z", directory, weights_rules).pick(
-        Wish("lm", "m", None, (), True), configuration
+        Requirements("lm", "m", None, (), True), configuration
     )
     assert (picked is not None) == taken
 
@@ -156,20 +156,20 @@
     directory = Directory(weights_rules.facts)
     weights = Service("lm", 100, WeightsLayout(("m",), 1, 1))
     configuration = Configuration(1, (), {"lm": weights}, (), CallerLimits(1, 1, 1.0, 1.0))
-    weights_rules.facts.replicas["old"] = model_place("old", 1, 0).replica
+    weights_rules.facts.replicas["old"] = model_replica_state("old", 1, 0).replica
     directory.update()
-    place = directory.serving("lm")[0]
+    replica_state = directory.serving("lm")[0]
     start = now
-    with place.waits.waiting():
+    with replica_state.waits.waiting():
         now = start + waited / 2
-        assert place.waits.expected() == pytest.approx(waited / 2)
+        assert replica_state.waits.expected() == pytest.approx(waited / 2)
         now = start + waited
     weights_rules.facts.versions["m"] = [VersionNotice(2, now - age, False)]
-    told = model_place("old", 1, 0).told
-    assert told is not None
-    hear_now(directory, told.load, now)
+    last_report = model_replica_state("old", 1, 0).last_report
+    assert last_report is not None
+    report_now(directory, last_report.load, now)
     picked = Picker("z", directory, weights_rules).pick(
-        Wish("lm", "m", None, (), True), configuration
+        Requirements("lm", "m", None, (), True), configuration
     )
     assert (picked is not None) == taken
 
@@ -179,7 +179,7 @@
     exact: int | None,
 ) -> None:
     """Broken streams went back to replicas that were loading, and spent the retries there."""
-    state = model_place("old", 1, 0)
+    state = model_replica_state("old", 1, 0)
     weights_rules = rules([VersionNotice(2, monotonic() - 5.6, False)])
     weights_rules.facts.replicas["old"] = state.replica
     directory = Directory(weights_rules.facts)
@@ -188,25 +188,25 @@
     weights = Service("lm", 100, WeightsLayout(("m",), 1, 1))
     configuration = Configuration(1, (), {"lm": weights}, (), limits)
     picker = Picker("z", directory, weights_rules)
-    assert state.told is not None
-    directory.hear(state.told.load)
-    assert picker.pick(Wish("lm", "m", exact, (), True), configuration) is not None
-    directory.hear(msgspec.structs.replace(state.told.load, leaving=True))
-    assert picker.pick(Wish("lm", "m", exact, (), True), configuration) is None
+    assert state.last_report is not None
+    directory.record_report(state.last_report.load)
+    assert picker.pick(Requirements("lm", "m", exact, (), True), configuration) is not None
+    directory.record_report(msgspec.structs.replace(state.last_report.load, leaving=True))
+    assert picker.pick(Requirements("lm", "m", exact, (), True), configuration) is None
 
 
 def test_entries_do_not_rush_to_a_replica_that_has_become_free() -> None:
     """Requests rushed to a replica that had just loaded and began 1.5 s later (VERSION)."""
-    entries = [model_place("fresh", 2, 0) for _ in range(5)]
+    entries = [model_replica_state("fresh", 2, 0) for _ in range(5)]
     placed = 0
     for state in entries:
         while state.has_room():
-            state.take_place()
+            state.reserve_slot()
             placed += 1
-    assert placed <= PLACED_TOGETHER
+    assert placed <= MAX_PLACED_BETWEEN_REPORTS
     for state in entries:
-        assert state.told is not None
-        state.told = Told(state.told.load, monotonic(), state.in_flight)
+        assert state.last_report is not None
+        state.last_report = LoadReport(state.last_report.load, monotonic(), state.in_flight)
         assert state.has_room()
 
 
@@ -224,25 +224,29 @@
     configuration = Configuration(1, (), {"api": Service("api", 1)}, (), limits)
     order: list[str] = []
 
-    async def wait(name: str, priority: int, deadline: float, wish: Wish, until: float) -> None:
+    async def wait(
+        name: str, priority: int, deadline: float, requirements: Requirements, until: float
+    ) -> None:
         queue_order = QueueOrder(priority, False, deadline)
-        place = await admission.take_place(wish, configuration, queue_order, until)
-        order.append(name if place is not None else f"{name} refused")
-        if place is not None:
+        replica_state = await admission.acquire_slot(
+            requirements, configuration, queue_order, until
+        )
+        order.append(name if replica_state is not None else f"{name} refused")
+        if replica_state is not None:
             await trio.sleep(0.01)
-            admission.give_back(place)
+            admission.release_slot(replica_state)
 
-    any_wish = Wish("api", None, None, (), True)
+    any_wish = Requirements("api", None, None, (), True)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(wait, "first", 1, 9.0, any_wish, 5.0)
         await trio.testing.wait_all_tasks_blocked()
-        for name, priority, deadline, wish in [
+        for name, priority, deadline, requirements in [
             ("fresh", 1, 8.0, any_wish),
             ("returned", 1, 7.0, any_wish),
             ("urgent", 0, 9.0, any_wish),
             ("tried there", 0, 1.0, replace(any_wish, tried=("r",))),
         ]:
-            nursery.start_soon(wait, name, priority, deadline, wish, 5.0)
+            nursery.start_soon(wait, name, priority, deadline, requirements, 5.0)
     assert order == ["first", "urgent", "returned", "fresh", "tried there refused"]
     assert admission.waiting("api") == 0
     assert next(iter(directory.states())).in_flight == 0
@@ -265,20 +269,20 @@
 
 def test_an_entry_that_hears_nothing_keeps_to_its_part_of_the_places() -> None:
     """After a restart each entry had filled every replica by itself: requests queued for 2 s."""
-    told = model_place("r", 1, 0).told
-    assert told is not None
-    old = replace(told, at=monotonic() - 2 * TOLD_SECONDS)
+    last_report = model_replica_state("r", 1, 0).last_report
+    assert last_report is not None
+    old = replace(last_report, at=monotonic() - 2 * REPORT_VALID_SECONDS)
     for heard in (None, old):
         for share, places in ((0.0, 1), (0.5, 4), (1.0, 8)):  # of 8 places
-            state = model_place("r", 1, 0)
-            state.told, state.own_share = heard, share
+            state = model_replica_state("r", 1, 0)
+            state.last_report, state.own_share = heard, share
             assert places_taken(state) == places
 
 
 def places_taken(state: ReplicaState) -> int:
     """Return how many requests one entry places there without hearing anything more."""
     while state.has_room():
-        state.take_place()
+        state.reserve_slot()
     return state.in_flight
 
 
@@ -304,10 +308,10 @@
 
 
 def test_requests_that_ended_do_not_use_up_what_may_be_placed_until_the_next_word() -> None:
-    state = model_place("idle", 1, 0)
-    assert state.told is not None
+    state = model_replica_state("idle", 1, 0)
+    assert state.last_report is not None
     for _ in range(3):
         assert state.has_room()
-        state.take_place()
+        state.reserve_slot()
         assert not state.has_room()
         state.in_flight -= 1
--- a/tests/test_gateway_rules.py
+++ b/tests/test_gateway_rules.py
@@ -8,8 +8,8 @@
 from headcross_facts.facts import Facts, VersionNotice
 from headcross_gateway.directory import Directory
 from headcross_gateway.health import Health
-from headcross_gateway.picking import Picker, Wish
-from headcross_gateway.replicastate import DELIVERED_SECONDS
+from headcross_gateway.picking import Picker, Requirements
+from headcross_gateway.replicastate import LINK_DELIVERY_SECONDS
 from headcross_gateway.weightsrules import ENDING_SECONDS, WeightsRules
 from headcross_platform.store import MetadataStore
 from headcross_ports.configuration import CallerLimits, Configuration, Service, WeightsLayout
@@ -49,16 +49,16 @@
     clock: Callable[[], float] = lambda: 10.0  # noqa: E731
     monkeypatch.setattr("headcross_gateway.health.monotonic", lambda: clock())
     health = Health()
-    health.failed(certain=False)
-    assert not health.resting()
-    health.failed(certain=False)
-    assert health.resting()
-    first = health.resting_until
+    health.note_failure(certain=False)
+    assert not health.is_ejected()
+    health.note_failure(certain=False)
+    assert health.is_ejected()
+    first = health.ejected_until
     clock = lambda: first + 0.1  # noqa: E731
-    assert not health.resting() and health.needs_trial()
-    health.failed(certain=False)
-    assert health.resting_until - clock() > first - 10.0
-    health.succeeded()
+    assert not health.is_ejected() and health.needs_trial()
+    health.note_failure(certain=False)
+    assert health.ejected_until - clock() > first - 10.0
+    health.note_success()
     assert not health.needs_trial()
 
 
@@ -83,16 +83,16 @@
     directory = Directory(facts, zone="z")
     directory.update()
     picker = Picker("z", directory, weights)
-    wish = Wish("lm", "m", exact, (), True)
+    requirements = Requirements("lm", "m", exact, (), True)
 
     def hear(subscribed_seconds_ago: float) -> None:
         sent_ms = int((monotonic() - subscribed_seconds_ago) * 1000)
         word = ReplicaLoad(
             str(address), 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1, subscribed_ms=sent_ms
         )
-        directory.hear(word)
+        directory.record_report(word)
 
-    hear(DELIVERED_SECONDS + 1.0)
-    assert picker.pick(wish, configuration) is None
+    hear(LINK_DELIVERY_SECONDS + 1.0)
+    assert picker.pick(requirements, configuration) is None
     hear(0.1)
-    assert picker.pick(wish, configuration) is not None
+    assert picker.pick(requirements, configuration) is not None
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -5,7 +5,7 @@
 import trio.testing
 from headcross_base.addresses import Address
 from headcross_gateway import attempts as attempts_module
-from headcross_gateway.attempts import Attempts, Patience
+from headcross_gateway.attempts import Attempts, AttemptTimeouts
 from headcross_gateway.eventstream import EventSplitter
 from headcross_gateway.linkproofs import LinkProofs
 from headcross_gateway.outcomes import MayRun, Streamed
@@ -85,7 +85,7 @@
         """Close."""
 
 
-def place() -> ReplicaState:
+def make_replica_state() -> ReplicaState:
     """Return a replica."""
     return ReplicaState(Replica("i", "s", Address("127.0.0.1", 1), "z", 8, draining=False))
 
@@ -109,9 +109,9 @@
     outcome = await attempts.make(
         Request("POST", "/", [], b""),
         RequestFacts("r", None, None, None, None),
-        place(),
+        make_replica_state(),
         HandOver("i", 5.0, None, None, None, None),
-        Patience(1.6, 1.1),
+        AttemptTimeouts(1.6, 1.1),
         relay,
         fresh=False,
     )
@@ -136,9 +136,9 @@
     await attempts.make(
         Request("POST", "/", [], b""),
         RequestFacts("r", None, None, None, None),
-        place(),
+        make_replica_state(),
         HandOver("i", 5.0, None, None, None, None),
-        Patience(1.6, 1.1),
+        AttemptTimeouts(1.6, 1.1),
         None,
         fresh=True,
     )
--- a/tests/test_gateway_subsetting.py
+++ b/tests/test_gateway_subsetting.py
@@ -6,9 +6,14 @@
 import pytest
 from headcross_base.addresses import Address
 from headcross_base.clocks import monotonic
-from headcross_gateway.directory import LEFT_OUT_SECONDS, Directory
-from headcross_gateway.picking import Picker, Wish
-from headcross_gateway.replicastate import LATE_SECONDS, PLACED_TOGETHER, Told, draw_allowance
+from headcross_gateway.directory import SUBSET_EXCLUSION_SECONDS, Directory
+from headcross_gateway.picking import Picker, Requirements
+from headcross_gateway.replicastate import (
+    MAX_PLACED_BETWEEN_REPORTS,
+    REPORT_LATE_SECONDS,
+    LoadReport,
+    draw_allowance,
+)
 from headcross_gateway.subsetting import (
     OWN_ZONE_SIZE,
     SUBSET_SIZE,
@@ -26,7 +31,7 @@
 
 WEIGHTS = Service("lm", 100, WeightsLayout(("m",), 1, 1))
 CONFIGURATION = Configuration(1, (), {"lm": WEIGHTS}, (), CallerLimits(1, 1, 1.0, 1.0))
-WISH = Wish("lm", "m", None, (), True)
+WISH = Requirements("lm", "m", None, (), True)
 
 
 def fleet(zones: int, in_each: int) -> list[Replica]:
@@ -103,15 +108,15 @@
     directory = directory_of(fleet(5, 12))
     state = next(s for s in directory.states() if s.in_subset)
     load = ReplicaLoad(str(state.replica.address), 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 5)
-    directory.hear(load)
+    directory.record_report(load)
     directory.choose_subset()
     assert state.in_subset
-    now += LATE_SECONDS + 0.1
+    now += REPORT_LATE_SECONDS + 0.1
     directory.choose_subset()
     assert not state.in_subset
     assert len(directory.subset_daemons()) == SUBSET_SIZE
-    state.told = None  # it is not listened to any more
-    now += LEFT_OUT_SECONDS + 0.1
+    state.last_report = None  # it is not listened to any more
+    now += SUBSET_EXCLUSION_SECONDS + 0.1
     directory.choose_subset()
     assert state.in_subset
 
@@ -125,11 +130,11 @@
         busy = state.replica.slots - 1
         address = str(state.replica.address)
         load = ReplicaLoad(address, 1, True, False, {"m": 1}, busy, 0, 0.0, 1.0, 1)
-        directory.hear(load)
+        directory.record_report(load)
     for _ in inside:
         picked = picker.pick(WISH, CONFIGURATION)
         assert picked is not None and picked.in_subset
-        picked.take_place()
+        picked.reserve_slot()
     picked = picker.pick(WISH, CONFIGURATION)
     assert picked is not None and not picked.in_subset
 
@@ -150,8 +155,11 @@
     for replica in replicas:
         count = listeners[replica.id]
         load = (str(replica.address), 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, count)
-        directory.hear(ReplicaLoad(*load))
-        if sum(state.told is not None and state.in_subset for state in directory.states()) >= 12:
+        directory.record_report(ReplicaLoad(*load))
+        if (
+            sum(state.last_report is not None and state.in_subset for state in directory.states())
+            >= 12
+        ):
             estimate = directory.estimate_entries()
             assert estimate is not None and entries * 0.8 <= estimate <= entries * 1.25
     estimate = directory.estimate_entries()
@@ -161,11 +169,11 @@
 def test_many_entries_together_place_no_more_than_a_few_between_two_words() -> None:
     """Each of 35 entries placed one request at every replica that seemed free."""
     placed = sum(draw_allowance(35) for _ in range(35 * 1000)) / 1000
-    assert 0.9 * PLACED_TOGETHER < placed < 1.1 * PLACED_TOGETHER
+    assert 0.9 * MAX_PLACED_BETWEEN_REPORTS < placed < 1.1 * MAX_PLACED_BETWEEN_REPORTS
     state = next(iter(directory_of(fleet(1, 1)).states()))
     address = str(state.replica.address)
     load = ReplicaLoad(address, 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 35)
-    state.told = Told(load, monotonic(), 0, allowance=0)
+    state.last_report = LoadReport(load, monotonic(), 0, allowance=0)
     assert not state.has_room()
 
 
@@ -181,10 +189,10 @@
 
 
 def test_an_entry_hears_most_daemons_once_half_of_its_subset_has_spoken() -> None:
-    assert directory_of([]).hears_most_daemons()  # there are none
+    assert directory_of([]).has_most_reports()  # there are none
     replicas = fleet(zones=1, in_each=4)
     directory = directory_of(replicas)
     for replica, expected in zip(replicas, (False, True, True, True), strict=True):
         word = ReplicaLoad(str(replica.address), 1, True, False, {}, 0, 0, 0.0, 1.0, 1)
-        directory.hear(word)
-        assert directory.hears_most_daemons() is expected
+        directory.record_report(word)
+        assert directory.has_most_reports() is expected
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -8,12 +8,12 @@
 from headcross_base.addresses import Address
 from headcross_base.clocks import monotonic
 from headcross_facts.facts import VersionNotice
-from headcross_gateway.attempts import Attempts, Patience
+from headcross_gateway.attempts import Attempts, AttemptTimeouts
 from headcross_gateway.linkproofs import LinkProofs
 from headcross_gateway.outcomes import DidNotRun, Outcome
-from headcross_gateway.replicastate import ReplicaState, Told
+from headcross_gateway.replicastate import LoadReport, ReplicaState
 from headcross_gateway.unbegun import UnbegunAttempts
-from headcross_gateway.weightsrules import MARGIN_SECONDS, WITHDRAWAL_SECONDS
+from headcross_gateway.weightsrules import SEND_MARGIN_SECONDS, WITHDRAWAL_MARGIN_SECONDS
 from headcross_platform.dialect import PlatformDialect
 from headcross_ports.published import LoadedModel, Replica
 from headcross_ports.requests import HandOver, RequestFacts
@@ -55,8 +55,8 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
         seconds = await seconds_until_withdrawn(unbegun, place(1))
-        assert seconds == pytest.approx(BOUND_SECONDS - WITHDRAWAL_SECONDS, abs=0.01)
-        assert MARGIN_SECONDS > WITHDRAWAL_SECONDS
+        assert seconds == pytest.approx(BOUND_SECONDS - WITHDRAWAL_MARGIN_SECONDS, abs=0.01)
+        assert SEND_MARGIN_SECONDS > WITHDRAWAL_MARGIN_SECONDS
         # One that is placed later still, on old news, is withdrawn at once.
         assert await seconds_until_withdrawn(unbegun, place(1)) < 0.01
         assert await seconds_until_withdrawn(unbegun, place(2)) == pytest.approx(100)
@@ -81,7 +81,7 @@
             for version in (1, 2, 3):
                 waiting.start_soon(wait, version)
         nursery.cancel_scope.cancel()
-    first = BOUND_SECONDS - WITHDRAWAL_SECONDS
+    first = BOUND_SECONDS - WITHDRAWAL_MARGIN_SECONDS
     assert [found[version] for version in (1, 2, 3)] == pytest.approx(
         [first, first + 2, 100], abs=0.01
     )
@@ -113,7 +113,7 @@
         nursery.start_soon(unbegun.run)
         await trio.sleep(5)
         seconds = await seconds_until_withdrawn(unbegun, place(1))
-        assert seconds == pytest.approx(BOUND_SECONDS - WITHDRAWAL_SECONDS - 5, abs=0.01)
+        assert seconds == pytest.approx(BOUND_SECONDS - WITHDRAWAL_MARGIN_SECONDS - 5, abs=0.01)
         nursery.cancel_scope.cancel()
 
 
@@ -124,7 +124,7 @@
     unbegun = UnbegunAttempts(rules([VersionNotice(2, trio.current_time(), False)]))
     replica = place(1)
     load = ReplicaLoad("127.0.0.1:1", 1, True, False, {"m": 2}, 0, 0, 0.0, 1.0, 1)
-    replica.told = Told(load, trio.current_time(), 0)
+    replica.last_report = LoadReport(load, trio.current_time(), 0)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
         seconds = await seconds_until_withdrawn(unbegun, replica)
@@ -158,8 +158,8 @@
     outcome, connection = await make_one(unbegun, replica, float("inf"), monkeypatch)
     assert isinstance(outcome, DidNotRun) and not outcome.arrived
     assert not connection.sent
-    replica.learn(outcome, bound=False)
-    assert not replica.health.failures and not replica.health.resting()
+    replica.record_outcome(outcome, bound=False)
+    assert not replica.health.failures and not replica.health.is_ejected()
 
 
 async def test_an_attempt_withdrawn_with_its_connection_open_and_nothing_sent_did_not_run(
@@ -233,7 +233,7 @@
             RequestFacts("r", None, None, None, "m"),
             replica,
             HandOver("i", 20.0, None, None, None, None),
-            Patience(1.6, 1.1),
+            AttemptTimeouts(1.6, 1.1),
             None,
             fresh=True,
         )
--- a/tests/test_held_links.py
+++ b/tests/test_held_links.py
@@ -8,7 +8,7 @@
 import pytest
 import trio
 from headcross_base.addresses import Address
-from headcross_gateway.weightsrules import CLOSING_SECONDS, MARGIN_SECONDS
+from headcross_gateway.weightsrules import CLOSING_WINDOW_SECONDS, SEND_MARGIN_SECONDS
 
 from testing.heldlink import HeldLink
 from testing.machinecaller import Reply, ask
@@ -19,7 +19,7 @@
 
 BOUND_SECONDS = 6.0
 
-LAST_SENDING_SECONDS = BOUND_SECONDS - MARGIN_SECONDS
+LAST_SENDING_SECONDS = BOUND_SECONDS - SEND_MARGIN_SECONDS
 # Links begin to hold from so long before the last sending until so long after it.
 BEFORE_SECONDS = 3.0
 AFTER_SECONDS = 0.5
@@ -150,7 +150,7 @@
         await put_links(site, daemons=daemons is not Daemons.NONE)
         named_at = trio.current_time()
         name_version_without_weights(site, 2)
-        replies = await call_until(site, named_at + LAST_SENDING_SECONDS - CLOSING_SECONDS)
+        replies = await call_until(site, named_at + LAST_SENDING_SECONDS - CLOSING_WINDOW_SECONDS)
         assert len(replies) > LAST_SENDING_SECONDS
         assert all(reply.whole and reply.status == 200 for reply in replies), replies
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -73,17 +73,17 @@
 
 def test_nothing_that_was_known_of_the_earlier_life_holds_for_the_later_one() -> None:
     facts, directory = known(FIRST)
-    directory.hear(load_of(FIRST, m=3))
+    directory.record_report(load_of(FIRST, m=3))
     before = state_in(directory)
-    before.learn(DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), bound=False)
-    before.take_place()
-    before.health.failed(certain=True)
+    before.record_outcome(DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), bound=False)
+    before.reserve_slot()
+    before.health.note_failure(certain=True)
     before.waits._note(9.0)
     facts.replicas[FIRST.id] = SECOND
     assert directory.update() == [FIRST.address]
     after = state_in(directory)
     assert before.gone and not after.gone
-    assert (after.in_flight, after.told, after.health.failures) == (0, None, 0)
+    assert (after.in_flight, after.last_report, after.health.failures) == (0, None, 0)
     assert after.waits.expected() == 0 and after.version_of("m") is None
     assert directory.update() == []
 
@@ -101,19 +101,19 @@
 ) -> None:
     """The list said that version 3 is loaded, while the later life had nothing."""
     facts, directory = known(FIRST)
-    directory.hear(load_of(FIRST, m=3))
-    assert not state_in(directory).takes_nothing()
+    directory.record_report(load_of(FIRST, m=3))
+    assert not state_in(directory).is_unavailable()
     if daemon_first:
-        directory.hear(load_of(SECOND))
+        directory.record_report(load_of(SECOND))
     else:
         facts.replicas[FIRST.id] = replace(SECOND, loaded=FIRST.loaded)
         directory.update()
-        directory.hear(load_of(FIRST, m=3))  # on its way since before
-    assert state_in(directory).takes_nothing()
+        directory.record_report(load_of(FIRST, m=3))  # on its way since before
+    assert state_in(directory).is_unavailable()
     facts.replicas[FIRST.id] = replace(SECOND, loaded=FIRST.loaded)
     directory.update()
-    directory.hear(load_of(SECOND, m=3))
-    assert not state_in(directory).takes_nothing()
+    directory.record_report(load_of(SECOND, m=3))
+    assert not state_in(directory).is_unavailable()
 
 
 def test_an_earlier_life_that_was_leaving_does_not_keep_the_later_one_out() -> None:
--- a/tests/test_loss_watch.py
+++ b/tests/test_loss_watch.py
@@ -57,7 +57,7 @@
         """Have the replica's daemon speak."""
         versions = {"m": 1} if holds and reachable else {}
         load = ReplicaLoad("10.0.0.1:7004", 1, reachable, False, versions, 0, 0, 0.0, 1.0, 1)
-        self.place.hear(load, 1)
+        self.place.record_report(load, 1)
 
     def pass_time(self, seconds: float) -> None:
         """Let time pass, and look."""
--- a/tests/test_old_weights.py
+++ b/tests/test_old_weights.py
@@ -13,7 +13,7 @@
 import pytest
 import trio
 from headcross_base.addresses import Address
-from headcross_gateway.weightsrules import WITHDRAWAL_SECONDS
+from headcross_gateway.weightsrules import WITHDRAWAL_MARGIN_SECONDS
 from headcross_platform import names
 
 from testing.heldlink import HeldLink
@@ -80,7 +80,7 @@
         assert {reply.status for reply in replies if reply.id in dropped} == {502}
         if path == STRICT:
             moments = [ended[name] for name in dropped]
-            assert min(moments) > BOUND_SECONDS - WITHDRAWAL_SECONDS - 0.1, moments
+            assert min(moments) > BOUND_SECONDS - WITHDRAWAL_MARGIN_SECONDS - 0.1, moments
             assert max(moments) < BOUND_SECONDS, moments
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -13,7 +13,7 @@
 from headcross_gateway.admission import Admission, QueueOrder
 from headcross_gateway.directory import Directory
 from headcross_gateway.overload import Overload, OverloadSettings
-from headcross_gateway.picking import Picker, Wish
+from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.refusedrequests import (
     MAX_REMEMBERED,
     REMEMBERED_SECONDS,
@@ -40,7 +40,7 @@
 )
 
 
-WISH = Wish("api", None, None, (), True)
+WISH = Requirements("api", None, None, (), True)
 CONFIGURATION = Configuration(1, (), {"api": Service("api", 1)}, (), CallerLimits(1, 1, 1.0, 1.0))
 
 
@@ -193,13 +193,13 @@
 
     async def wait(name: str, priority: int, returning: bool, until: float) -> None:
         queue_order = QueueOrder(priority, returning, 9.0)
-        place = await admission.take_place(
+        place = await admission.acquire_slot(
             WISH, CONFIGURATION, queue_order, until, returning=returning
         )
         order.append(name if place is not None else f"{name} refused")
         if place is not None:
             await trio.sleep(0.1)
-            admission.give_back(place)
+            admission.release_slot(place)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(wait, "first", 1, False, 5.0)
@@ -227,18 +227,18 @@
     looks = 0
     pick = picker.pick
 
-    def count(wish: Wish, configuration: Configuration, reserved: float = 0.0) -> object:
+    def count(wish: Requirements, configuration: Configuration, reserved: float = 0.0) -> object:
         nonlocal looks
         looks += 1
         return pick(wish, configuration, reserved)
 
     monkeypatch.setattr(picker, "pick", count)
-    first = await admission.take_place(WISH, CONFIGURATION, QueueOrder(1, False, 9.0), 1.0)
+    first = await admission.acquire_slot(WISH, CONFIGURATION, QueueOrder(1, False, 9.0), 1.0)
     assert first is not None
 
     async def wait() -> None:
         order = QueueOrder(1, True, 9.0)
-        await admission.take_place(WISH, CONFIGURATION, order, 5.0, returning=True)
+        await admission.acquire_slot(WISH, CONFIGURATION, order, 5.0, returning=True)
 
     async with trio.open_nursery() as nursery:
         for _ in range(100):
@@ -249,7 +249,7 @@
             admission.notify("api")
         assert looks == 10 and admission.waiting("api") == 100
         # One that comes for the first time is not held up by them.
-        fresh = await admission.take_place(WISH, CONFIGURATION, QueueOrder(2, False, 9.0), 1.0)
+        fresh = await admission.acquire_slot(WISH, CONFIGURATION, QueueOrder(2, False, 9.0), 1.0)
         assert fresh is not None
         nursery.cancel_scope.cancel()
 
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -11,7 +11,7 @@
 from headcross_gateway.containment import Containment
 from headcross_gateway.directory import Directory
 from headcross_gateway.outcomes import Streamed
-from headcross_gateway.picking import Picker, Wish
+from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.retries import Retries
 from headcross_gateway.weightsrules import WeightsRules
 from headcross_ports.configuration import CallerLimits, Configuration, Repetition, Service
@@ -78,7 +78,7 @@
     limits = CallerLimits(1, 1, 1.0, 1.0)
     configuration = Configuration(1, (), {"api": Service("api", 1)}, (), limits)
     *_, lively = directory.states()
-    lively.learn(Streamed(), bound=False)
-    second = Wish("api", None, None, ("r0",), True)
+    lively.record_outcome(Streamed(), bound=False)
+    second = Requirements("api", None, None, ("r0",), True)
     for _ in range(20):
         assert picker.pick(second, configuration) is lively
