--- a/libs/gateway/src/headcross_gateway/__init__.py
+++ b/libs/gateway/src/headcross_gateway/__init__.py
@@ -1,1 +1,1 @@
-"""An entry that calls replicas directly: routes, places, attempts, streams, answers."""
+"""Gateway: admits callers' requests and sends them to replicas directly."""
--- a/libs/gateway/src/headcross_gateway/admission.py
+++ b/libs/gateway/src/headcross_gateway/admission.py
@@ -1,10 +1,9 @@
-"""Places at replicas, and the queue for them.
+"""Assigns the slots of replicas to requests, and queues requests that find none.
 
-A request that finds a replica with room goes there at once. Otherwise it waits for a moment, in
-order of priority, and is refused while its caller still has time to come back. Callers that were
-refused before and come back go behind fresh ones of their priority, and find room only where
-enough is left for these (see `overload`). Among equals the one with the earliest deadline goes
-first.
+A request that finds a replica with room gets a slot at once. Otherwise it waits briefly, in order
+of priority, and is refused while its caller still has time to retry. Requests of callers that were
+refused before may queue behind first tries of the same priority, and get a slot only where enough
+are left for first tries (see `overload`). Among equals the earliest deadline goes first.
 """
 
 import bisect
@@ -20,16 +19,16 @@
 from headcross_gateway.picking import Picker, Requirements
 from headcross_gateway.replicastate import ReplicaState
 
-# Waiting requests of one service at one entry; beyond that a refusal comes at once.
+# Maximum number of waiting requests per service at one entry; further ones are refused at once.
 MAX_WAITING: Final = 256
 
 
 @dataclass(order=True, frozen=True, slots=True)
 class QueueOrder:
-    """A request's place in the queue: the least goes first."""
+    """The position of a request in the queue: the smallest goes first."""
 
     priority: int
-    last: bool  # it goes behind all others of its priority
+    last: bool  # queues behind all others of its priority
     deadline: float  # trio's clock
 
 
@@ -48,27 +47,27 @@
 
 
 class Admission:
-    """The places of all services, as one entry hands them out."""
+    """Assigns the slots of all services on behalf of one entry."""
 
     def __init__(
         self, picker: Picker, reserved_share: Callable[[str], float] = lambda service: 0.0
     ) -> None:
-        """`reserved_share` tells the part of a replica's places that returning callers leave."""
+        """`reserved_share` gives the share of slots, by service, reserved for first tries."""
         self._picker = picker
         self._reserved_share = reserved_share
         self._queues: dict[str, list[_Waiter]] = {}
         self._numbers = itertools.count()
 
     def waiting(self, service: str) -> int:
-        """Return how many requests wait for a place."""
+        """Return how many requests wait for a slot."""
         return sum(not waiter.done for waiter in self._queues.get(service, []))
 
     def seconds_to_opening(
         self, requirements: Requirements, configuration: Configuration
     ) -> float:
-        """Return after how many seconds a replica may take a request, if it has room then.
+        """Return the seconds until a replica accepts a request, room permitting.
 
-        Infinite if none may.
+        Infinite if none may serve it.
         """
         return self._picker.seconds_to_opening(requirements, configuration)
 
@@ -81,11 +80,11 @@
         *,
         returning: bool = False,
     ) -> ReplicaState | None:
-        """Return a replica with a place reserved on it, None if there is none by `until`.
+        """Return a replica with a slot reserved on it, None if there is none by `until`.
 
-        It is None at once where no replica may take the request until then. `until` is on trio's
-        clock; `returning` tells that the caller was refused before. The place must be given back
-        with `give_back`.
+        Returns None at once if no replica accepts the request until then. `until` is on trio's
+        clock; `returning` tells that the caller was refused before. The slot must be released with
+        `release_slot`.
         """
         queue = self._queues.setdefault(requirements.service, [])
         if not queue:
@@ -114,7 +113,7 @@
         return waiter.replica_state
 
     async def _wait(self, waiter: _Waiter, until: float) -> None:
-        """Wait for a place until a moment; look anew when a limit allows the next one."""
+        """Wait for a slot until `until`; pick again when a rate limit allows the next request."""
         while waiter.replica_state is None and trio.current_time() < until:
             seconds = self.seconds_to_opening(waiter.requirements, waiter.configuration)
             opening = trio.current_time() + seconds if seconds > 0 else until
@@ -124,15 +123,15 @@
                 self.notify(waiter.requirements.service)
 
     def release_slot(self, replica_state: ReplicaState) -> None:
-        """Free a place."""
+        """Release the slot of a request and assign it to the next one that waits."""
         replica_state.release_slot()
         self.notify(replica_state.replica.service)
 
     def notify(self, service: str) -> None:
-        """Hand places to those who wait, now that something about the service has changed.
+        """Assign slots to waiting requests after a change of the service's replicas.
 
-        This happens with each load that is told, 160 times a second, and callers that come back
-        may wait in their hundreds: where one of them finds no room, none of them is looked at.
+        Called for each load report, 160 times a second, while hundreds of returning requests may
+        wait: once one of them finds no room, the others are skipped.
         """
         returning_blocked = False
         for waiter in list(self._queues.get(service, [])):
--- a/libs/gateway/src/headcross_gateway/admitted.py
+++ b/libs/gateway/src/headcross_gateway/admitted.py
@@ -1,4 +1,4 @@
-"""A request that an entry has taken in, and one that it has not."""
+"""The state of a request at an entry, and the result for one that is not admitted."""
 
 from dataclasses import dataclass, field
 
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class NotAdmitted:
-    """A request that is refused before anything was tried for it."""
+    """A request that is refused before any attempt."""
 
     refusal: NotRun
     request_id: str | None  # None if the request gives none
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class Admitted:
-    """A request that has a route, with what was done for it so far."""
+    """A request that has a route, with the state of its attempts."""
 
     exchange: Exchange
     facts: RequestFacts
@@ -34,29 +34,30 @@
     arrived_at: float  # trio's clock, like the next one
     deadline: float
     relay: StreamRelay | None
-    # What tells it from other requests, None if it does not say enough.
+    # Identifies retries of the same request; None if the request does not state its prompt.
     fingerprint: int | None = None
     returning: bool = False  # it was refused before
-    tried: set[str] = field(default_factory=set)
+    tried: set[str] = field(default_factory=set)  # ids of replicas not to try again
     runs: int = 0  # replicas that may have run it
-    refusals: int = 0  # replicas that saw it and did not run it
-    unreached: int = 0  # replicas that it did not come to
-    retry_paid: bool = False  # a silent replica was left, and the next attempt is paid for
-    # A replica's own failure, passed on if nothing better comes.
+    refusals: int = 0  # replicas that received it and did not run it
+    unreached: int = 0  # replicas that it did not reach
+    # An attempt at a silent replica was abandoned, and its retry was taken from the budget.
+    retry_paid: bool = False
+    # A replica's own error answer, passed on if no later attempt succeeds.
     failed_answer: CompleteAnswer | None = None
     _identity: RequestIdentity | None = None
     _group: bytes | None = None
 
     @property
     def group(self) -> bytes:
-        """What it has in common with other requests of its team and route."""
+        """The key shared by all requests of its team and route."""
         if self._group is None:
             self._group = group_of(self.team.name if self.team else None, self.route.name)
         return self._group
 
     @property
     def identity(self) -> RequestIdentity:
-        """What it has in common with other tries of it; the first call digests its body."""
+        """The key shared by all tries of the same request; the first call digests its body."""
         if self._identity is None:
             self._identity = identity_of(self.exchange.request, self.facts.key, self.group)
         return self._identity
@@ -70,11 +71,11 @@
 
     @property
     def remaining(self) -> float:
-        """Return the seconds that are left."""
+        """Return the seconds left until the deadline."""
         return self.deadline - trio.current_time()
 
     @property
     def bound_version(self) -> int | None:
-        """Return the version that a stream must go on with, None before its first event."""
+        """Return the version that a stream must resume on, None before its first event."""
         started = self.relay is not None and self.relay.started
         return self.relay.weights_version if self.relay is not None and started else None
--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -1,13 +1,13 @@
-"""One attempt at one replica, and what is known of it afterwards.
+"""Makes one attempt of a request at one replica and determines its outcome.
 
-Straight down: a connection; where old weights are about to end, a proof that it delivers; the
-request; the head of the answer and the first piece of its body;
-the rest of it, whole or event by event. Up to that first piece the attempt may be withdrawn, since
-its weights end. How far it got decides what is known:
+The steps in order: take a connection; if the bound on old weights is near, prove that the
+connection delivers; send the request; receive the head of the answer and the first piece of its
+body; receive the rest, whole or event by event. Up to that first piece the attempt may be
+withdrawn, because its weights may reach their bound. The outcome depends on how far it got:
 
-* no connection: not run, and the replica never heard of it;
+* no connection: not run, and the request did not reach the replica;
 * the replica states that it did not run the request: not run;
-* an answer that is whole, sealed and to this request: that is the outcome, whatever its status;
+* an answer that is complete, sealed and to this request: that answer, whatever its status;
 * anything else after the first byte was sent: it may have run.
 """
 
@@ -41,8 +41,8 @@
 from headcross_gateway.unbegun import UnbegunAttempts
 
 MAX_BODY_BYTES: Final = 16 * 1024 * 1024
-# A replica that is silent for too long is left as soon as another could take the request; that is
-# looked at this often.
+# After its time-out an attempt is abandoned as soon as another replica could take the request,
+# which is checked at this interval.
 ABANDON_CHECK_SECONDS: Final = 0.2
 T = TypeVar("T")
 
@@ -55,35 +55,35 @@
 
 
 class ReplicaTimeoutError(LinkLostError):
-    """The replica gave no sign of life in time."""
+    """The replica sent nothing within the time limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class AttemptTimeouts:
-    """How long an attempt waits for signs of life before another replica may do better."""
+    """How long an attempt waits for data before the request may go to another replica."""
 
     first_seconds: float  # for the head of the answer, or the first event
     pause_seconds: float  # between two pieces
-    # Called when that time is over, and again every moment while it returns False: whether the
-    # request leaves the replica. It is called no more once it returned True.
+    # Called when the time limit has passed, and then every ABANDON_CHECK_SECONDS while it returns
+    # False: whether the request leaves the replica. It is not called again after returning True.
     should_abandon: Callable[[], bool] = lambda: True
 
 
 @dataclass(slots=True)
 class AttemptTimes:
-    """When an attempt came how far, on trio's clock; None where it did not."""
+    """When an attempt reached each step (trio's clock); None for steps it did not reach."""
 
-    # How long the proof took that its connection delivers, in seconds; None where none came.
+    # Duration of the proof that its connection delivers, in seconds; None if there was none.
     proof_seconds: float | None = None
     sending_at: float | None = None  # the first byte was about to be written
     sent_at: float | None = None  # the whole request had been written
-    began_at: float | None = None  # the first piece of the answer's body was here
-    # Set while the attempt may be withdrawn.
+    began_at: float | None = None  # the first piece of the answer's body had been received
+    # Cancels the attempt; set while it may be withdrawn.
     unbegun: trio.CancelScope | None = None
-    ends_replicas: bool = False  # it was withdrawn since its request ends replicas
+    ends_replicas: bool = False  # it was withdrawn because its request ends replicas
 
     def withdraw(self) -> None:
-        """Take the attempt back if its replica has not begun it."""
+        """Cancel the attempt if its answer has not begun."""
         if self.unbegun is not None:
             self.ends_replicas = True
             self.unbegun.cancel()
@@ -91,18 +91,18 @@
 
 @dataclass(frozen=True, slots=True)
 class _Begun:
-    """An answer whose first piece has come."""
+    """An answer of which the first piece has been received."""
 
     answer: Answer
     facts: AnswerFacts
     piece: bytes | None  # None if the body is empty
-    until: float  # trio's clock: when the replica's time for the first event is over
+    until: float  # time limit for the first event (trio's clock)
 
 
 class Attempts:
     """Makes the attempts of one entry."""
 
-    # Attempts made so far.
+    # Number of attempts made so far.
     made: int
     connections: ReplicaConnections
     proofs: LinkProofs
@@ -128,7 +128,7 @@
         fresh: bool,
         times: AttemptTimes | None = None,
     ) -> Outcome:
-        """Send a request to a replica and take its answer; note in `times` how far it came."""
+        """Send a request to a replica and receive its answer; note in `times` how far it got."""
         self.made += 1
         times = times or AttemptTimes()
         connection: HttpConnection | None = None
@@ -141,7 +141,7 @@
                     replica_state.replica.address, fresh=fresh
                 )
                 await self._prove(connection, facts, replica_state, times)
-                # Both take a while, so what was decided before is looked at again.
+                # Connecting and proving take time, so the replica's state is checked again.
                 if replica_state.is_unavailable() or replica_state.backpressure.is_resting(
                     monotonic()
                 ):
@@ -193,7 +193,7 @@
         replica_state: ReplicaState,
         times: AttemptTimes,
     ) -> None:
-        """Have a connection prove that it delivers, where the request could come too late."""
+        """Prove that a connection delivers, if a late request could begin past the bound."""
         if not self.proofs.is_needed(facts.model, replica_state):
             return
         began_at = trio.current_time()
@@ -210,7 +210,7 @@
         timeouts: AttemptTimeouts,
         times: AttemptTimes,
     ) -> _Begun | MayRun:
-        """Send a request and wait until its answer has begun."""
+        """Send a request and wait for the first piece of its answer."""
         until = trio.current_time() + timeouts.first_seconds
         headers = self._dialect.upstream_headers(end_to_end_headers(request.headers), hand_over)
         sending = partial(connection.send, request.method, request.target, headers, request.body)
@@ -237,7 +237,7 @@
         relay: StreamRelay | None,
         timeouts: AttemptTimeouts,
     ) -> Outcome:
-        """Take the rest of an answer."""
+        """Receive the rest of an answer and pass on a stream."""
         answer, facts = begun.answer, begun.facts
         if relay is not None and answer.status in SUCCESS:
             relay.begin(answer, facts.weights_version)
@@ -268,12 +268,12 @@
 
 
 def _with_elapsed_time(hand_over: HandOver, seconds: float) -> HandOver:
-    """Return what a replica is told once some of the time has passed."""
+    """Return the hand-over with the remaining time reduced by `seconds`."""
     return replace(hand_over, remaining_seconds=hand_over.remaining_seconds - seconds)
 
 
 def _withdrawn_outcome(times: AttemptTimes) -> DidNotRun | MayRun:
-    """Return the outcome of an attempt that was taken back before its answer began."""
+    """Return the outcome of an attempt that was withdrawn before its answer began."""
     if times.ends_replicas:
         detail = "withdrawn: replicas ended under the same request"
         if times.sending_at is None:
@@ -290,22 +290,22 @@
     act: Callable[[], Awaitable[T]],
     should_abandon: Callable[[], bool] = lambda: True,
 ) -> T:
-    """Wait for a replica until a moment on trio's clock; raise SilentError after that.
+    """Wait for a replica until `until` (trio's clock); raise ReplicaTimeoutError after that.
 
-    Only waiting for the replica is bounded so. Sending to the caller must not be: an event whose
-    sending was cut short could neither be sent again nor left out. The waiting goes on
-    while `leave` returns False; `act` must then be one that may be cancelled and made again.
+    Only waiting for the replica may be bounded by this. Sending to the caller must not be: an
+    event whose sending was cut short could neither be sent again nor left out. Waiting continues
+    while `should_abandon` returns False, so `act` must be safe to cancel and call again.
     """
     while True:
         with trio.move_on_at(until):
             return await act()
         if should_abandon():
-            raise ReplicaTimeoutError("silent for too long")
+            raise ReplicaTimeoutError("the replica sent nothing within the time limit")
         until = trio.current_time() + ABANDON_CHECK_SECONDS
 
 
 def _response_problem(answer: Answer, facts: AnswerFacts, request_id: str) -> str:
-    """Return why an answer cannot be the one to this request, empty if it can."""
+    """Return why an answer is not a valid one to this request, empty if it is."""
     if facts.id != request_id and not (facts.id is None and facts.not_run):
         return f"an answer to {facts.id!r}"
     if answer.status not in SUCCESS:
@@ -318,12 +318,12 @@
 async def _read_body(
     connection: HttpConnection, begun: _Begun, should_abandon: Callable[[], bool]
 ) -> bytes:
-    """Return the whole body of an answer."""
+    """Return the whole body of an answer; raise LinkLostError if it is too long."""
     body = bytearray()
     piece = begun.piece
     while piece is not None:
         body += piece
         if len(body) > MAX_BODY_BYTES:
-            raise LinkLostError(f"an answer over {MAX_BODY_BYTES} bytes")
+            raise LinkLostError(f"the answer is longer than {MAX_BODY_BYTES} bytes")
         piece = await _wait_until(begun.until, connection.receive_piece, should_abandon)
     return bytes(body)
--- a/libs/gateway/src/headcross_gateway/confirmedloads.py
+++ b/libs/gateway/src/headcross_gateway/confirmedloads.py
@@ -1,9 +1,9 @@
-"""Which versions of one replica may take requests, by whether their loads are known to be whole.
+"""Decides which versions of one replica may take requests, by whether their load is confirmed.
 
-The list and a replica's own report say which version it holds, and neither knows whether that was
-whole as it was loaded. The daemon beside it does. So a version that came to a replica while this
-entry knew it takes requests only once its daemon has confirmed the load, and one that the daemon
-found not to be whole takes none.
+The list and a replica's own report say which version it holds, but not whether the weights were
+complete and correct when they were loaded. The daemon on the replica's host checks that. So a
+version that a replica loaded after this entry first knew it takes requests only once its daemon
+has confirmed the load, and a version whose load the daemon found to be bad takes none.
 """
 
 from collections.abc import Iterable
@@ -13,7 +13,7 @@
 
 
 class ConfirmedLoads:
-    """The loads of one life of a replica, as one entry knows of them.
+    """The loads of one incarnation of a replica, as known to one entry.
 
     >>> loads = ConfirmedLoads([LoadedModel("m", 1)])
     >>> load = ReplicaLoad("10.0.0.1:80", 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1)
@@ -23,11 +23,11 @@
     (True, False)
     """
 
-    # When versions came to it that it did not hold at first, as far as this entry saw (monotonic).
+    # When this entry first saw each version that was not among the first ones (monotonic).
     came_at: dict[LoadedModel, float]
 
     def __init__(self, held: Iterable[LoadedModel]) -> None:
-        """Begin with the versions that the replica held when this entry first learned of it."""
+        """`held` are the versions that the replica held when this entry first learned of it."""
         self.came_at = {}
         self._held_at_first = set(held)
         self._confirmed: set[LoadedModel] = set()
@@ -35,10 +35,10 @@
         self._hears_daemon = False
 
     def record_report(self, load: ReplicaLoad, now: float) -> bool:
-        """Take the word of the daemon about this life; return whether a load was judged anew.
+        """Record a daemon's report on this incarnation; return whether any load's status changed.
 
-        A load stays suspect until the same version is confirmed: another process of the daemon
-        does not know what the one before it found.
+        A load stays suspect until the same version is confirmed, because a daemon that was
+        restarted does not know what the previous process found.
         """
         before = (self._confirmed, self._suspect)
         self.note_held(_loads(load.versions), now)
@@ -49,13 +49,13 @@
         return before != (self._confirmed, self._suspect)
 
     def note_held(self, held: Iterable[LoadedModel], now: float) -> None:
-        """Take the list's word, or its daemon's, for what the replica holds."""
+        """Note the versions that the replica holds, by the list or by its daemon's report."""
         for load in held:
             if load not in self._held_at_first:
                 self.came_at.setdefault(load, now)
 
     def stop_hearing(self) -> None:
-        """Go by the list alone from now on, since this entry does not ask the daemon any more."""
+        """Rely on the list alone, because this entry no longer subscribes to the daemon."""
         self._hears_daemon = False
 
     def may_serve(self, model: str, version: int) -> bool:
@@ -66,7 +66,7 @@
         return not self._hears_daemon or load in self._confirmed | self._held_at_first
 
     def dump(self) -> dict[str, object]:
-        """Return the state."""
+        """Return the state for the administration page and the log."""
         return {
             "hears_daemon": self._hears_daemon,
             "held_at_first": _names(self._held_at_first),
--- a/libs/gateway/src/headcross_gateway/connections.py
+++ b/libs/gateway/src/headcross_gateway/connections.py
@@ -1,4 +1,4 @@
-"""Connections to replicas: kept between requests, opened anew where a dead one would do harm."""
+"""Pools connections to replicas; opens a new one where a dead connection would do harm."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -8,9 +8,9 @@
 from headcross_wire.httpclient import Answer, HttpConnection, connect
 
 CONNECT_SECONDS: Final = 0.6
-# A connection that was idle for longer is not used again, unless the replica allows less.
+# Maximum idle time of a connection, unless the replica's own limit is shorter.
 IDLE_SECONDS: Final = 4.0
-# A connection is given up so long before the replica's own limit.
+# A connection is closed this long before the replica's own limit.
 IDLE_MARGIN_SECONDS: Final = 1.0
 MAX_IDLE_PER_REPLICA: Final = 24
 
@@ -22,9 +22,9 @@
 
 
 class ReplicaConnections:
-    """Idle connections of one entry."""
+    """The pool of idle connections of one entry."""
 
-    # Connections opened so far; each has a price.
+    # Number of connections opened so far, each of which has a cost.
     opened: int
 
     def __init__(self) -> None:
@@ -35,7 +35,7 @@
     async def take(self, address: Address, *, fresh: bool) -> HttpConnection:
         """Return a connection; with `fresh`, one that has never carried a request.
 
-        Raises ConnectError when none can be opened in time.
+        Raises ConnectError if none can be opened within CONNECT_SECONDS.
         """
         if not fresh:
             kept = await self._take_idle(address)
@@ -45,7 +45,7 @@
         return await connect(address, CONNECT_SECONDS)
 
     async def give(self, connection: HttpConnection, answer: Answer) -> None:
-        """Keep a connection for the next request, or close it if that is not safe."""
+        """Keep a connection for the next request, or close it if reuse is not safe."""
         seconds = _idle_seconds(answer)
         idle = self._idle.setdefault(connection.address, [])
         if seconds <= 0 or len(idle) >= MAX_IDLE_PER_REPLICA or not connection.reusable():
@@ -54,14 +54,14 @@
         idle.append(_Idle(connection, trio.current_time() + seconds))
 
     def forget(self, address: Address) -> None:
-        """Use no idle connection to an address any more: what was at their other end has ended.
+        """Drop the idle connections to an address whose replica has ended.
 
-        Where that machine lost its power no end of the connection ever comes.
+        If the machine lost power, the connections are never closed from the other side.
         """
         self._forgotten += self._idle.pop(address, [])
 
     async def close_expired(self) -> None:
-        """Close what has been idle for too long, or is of no use, and forget idle addresses."""
+        """Close connections that were dropped or idle for too long; remove empty addresses."""
         while self._forgotten:
             await self._forgotten.pop().connection.close()
         now = trio.current_time()
@@ -84,7 +84,7 @@
 
 
 def _idle_seconds(answer: Answer) -> float:
-    """Return how long a connection may be kept after this answer.
+    """Return how long a connection may be kept idle after this answer, in seconds.
 
     >>> _idle_seconds(Answer(200, [("keep-alive", "timeout=2")]))
     1.0
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -1,4 +1,4 @@
-"""The replicas an entry may call: the list, which lags, and what is known of each in it."""
+"""Keeps the state of every listed replica at one entry, and the entry's subset of them."""
 
 import logging
 import math
@@ -16,19 +16,19 @@
 from headcross_gateway.replicastate import ReplicaState, draw_allowance
 from headcross_gateway.subsetting import choose_subset
 
-# Replicas whose entries lapsed while the store was away are used on for this part of the bound
-# on leaving ones: one that left meanwhile may get requests for as long as that.
+# Replicas whose list entries lapsed during an outage of the store stay in use for this share of
+# the bound on leaving replicas; one that left meanwhile may get requests for that long.
 LAPSED_USE_SHARE: Final = 0.6
-# A replica that did not answer, or whose daemon did not, is left out of the subset for so long.
+# How long a replica is excluded from the subset after it or its daemon did not answer.
 SUBSET_EXCLUSION_SECONDS: Final = 5.0
 
 logger = logging.getLogger(__name__)
 
 
 class Directory:
-    """All replicas in the list."""
+    """The replicas in the list, with the state that this entry keeps of each."""
 
-    # How many entries there are, this one among them, as far as this one knows.
+    # Estimated number of entries, including this one.
     entries: int
 
     def __init__(
@@ -44,20 +44,20 @@
         self._facts = facts
         self._host = host
         self._zone = zone
-        # The part of the replicas with daemons that is in the subset.
+        # The share of the replicas with daemons that is in the subset.
         self._subset_share = 1.0
         self._states: dict[str, ReplicaState] = {}
         self._by_service: dict[str, list[ReplicaState]] = {}
         self._by_address: dict[str, ReplicaState] = {}
         self._by_ip: dict[str, ReplicaState] = {}
-        # When a daemon was first heard at each IP number of the list (monotonic).
+        # When the first report of a daemon came from each listed IP address (monotonic).
         self._first_heard_at: dict[str, float] = {}
 
     def update(self) -> list[Address]:
-        """Take the list of replicas as it is now; return where another incarnation has begun.
+        """Apply the current list of replicas; return addresses with a new incarnation.
 
-        Nothing that is known of an earlier incarnation holds for a later one, and what waits to be
-        sent to the earlier one is not sent any more.
+        A new incarnation gets a new state, since nothing known of the earlier one holds for it.
+        Requests that wait to be sent to the earlier one are not sent.
         """
         listed = self._facts.replicas
         for replica_id in set(self._states) - set(listed):
@@ -83,14 +83,14 @@
         return begun
 
     def _drop(self, replica_id: str) -> None:
-        """Give up a replica that is not listed any more."""
+        """Remove a replica that is no longer listed."""
         state = self._states.pop(replica_id)
         state.gone = True
         fields = {"draining": state.is_leaving(), "in_flight": state.in_flight}
         logger.info("replica not listed", extra={"replica": replica_id, **fields})
 
     def _keep_lapsed(self, state: ReplicaState) -> bool:
-        """Tell whether a replica that is not listed any more is kept for a moment."""
+        """Tell whether a replica stays in use for now though its list entry has lapsed."""
         lapsed_at = self._facts.lapsed_at.get(state.replica.id)
         if lapsed_at is None:
             return False
@@ -108,15 +108,15 @@
         return self._by_service.get(service, [])
 
     def find(self, replica_id: str) -> ReplicaState | None:
-        """Return the replica of an id, None if it is not listed."""
+        """Return the replica with an id, None if it is not known."""
         return self._states.get(replica_id)
 
     def states(self) -> Iterable[ReplicaState]:
-        """Return every replica."""
+        """Return all known replicas."""
         return self._states.values()
 
     def record_report(self, load: ReplicaLoad) -> ReplicaState | None:
-        """Take the word of the daemon beside a replica; return the replica if it is known."""
+        """Record a load report of a replica's daemon; return the replica if it is known."""
         state = self._by_address.get(load.address)
         if state is not None:
             state.record_report(load, draw_allowance(load.listeners))
@@ -124,7 +124,7 @@
         return state
 
     def recently_loaded(self, ip: str, seconds: float) -> list[LoadedVersionNews]:
-        """Return what the replica at an IP number came to hold in the last seconds."""
+        """Return the versions that the replica at an IP address loaded in the last `seconds`."""
         now = monotonic()
         state = self._by_ip.get(ip)
         came_at = state.loads.came_at if state is not None else {}
@@ -135,17 +135,17 @@
         ]
 
     def first_heard_age(self, ip: str) -> float | None:
-        """Return the seconds since a daemon was first heard at an IP number, None if never."""
+        """Return the seconds since the first report from an IP address, None if there is none."""
         heard_at = self._first_heard_at.get(ip)
         return round(monotonic() - heard_at, 3) if heard_at is not None else None
 
     def has_most_reports(self) -> bool:
-        """Tell whether at least half of the subset's daemons were heard, or there are none."""
+        """Tell whether at least half of the subset's daemons have reported; true if none exist."""
         states = [state for state in self._with_daemons() if state.in_subset]
         return 2 * sum(state.last_report is not None for state in states) >= len(states)
 
     def choose_subset(self) -> None:
-        """Choose anew which replicas to keep informed of, from what is known now."""
+        """Choose the subset of replicas whose load reports this entry receives."""
         states = self._with_daemons()
         now = monotonic()
         for state in states:
@@ -161,11 +161,11 @@
         self._subset_share = len(chosen) / len(states) if states else 1.0
 
     def subset_daemons(self) -> list[Address]:
-        """Return the addresses of the subset's replicas, beside each of which a daemon stands."""
+        """Return the addresses of the replicas in the subset that have daemons."""
         return [state.replica.address for state in self._with_daemons() if state.in_subset]
 
     def other_daemons(self) -> list[Address]:
-        """Return the addresses of the replicas outside of the subset that have daemons."""
+        """Return the addresses of the replicas outside the subset that have daemons."""
         return [state.replica.address for state in self._with_daemons() if not state.in_subset]
 
     def replicas_with_daemons(self) -> list[Replica]:
@@ -173,13 +173,13 @@
         return [state.replica for state in self._with_daemons()]
 
     def estimate_entries(self) -> int | None:
-        """Return how many entries there are, from how many each daemon heard tells its load to.
+        """Estimate the number of entries from the listener counts that daemons report.
 
-        None while no daemon was heard lately.
+        None if there is no recent report.
 
-        Where every entry is informed of every replica these are all; otherwise each daemon has its
-        part of them. The mean over the daemons counts, rounded up: by the daemon heard last, 11
-        entries seemed to be 8 in one second and 12 in the next.
+        Without subsetting each daemon reports to every entry; otherwise to a share of them. The
+        estimate is the mean over the daemons, rounded up: by the last report alone, 11 entries
+        were estimated as 8 in one second and 12 in the next.
         """
         loads = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
         listeners = [load.listeners for load in loads if load is not None]
@@ -188,7 +188,7 @@
         return max(1, math.ceil(statistics.mean(listeners) / self._subset_share))
 
     def _with_daemons(self) -> list[ReplicaState]:
-        """Return the replicas that a daemon of this system stands beside."""
+        """Return the replicas of services with weights; these have a daemon on their host."""
         configuration = self._facts.configuration
         if configuration is None:
             return []
--- a/libs/gateway/src/headcross_gateway/eventstream.py
+++ b/libs/gateway/src/headcross_gateway/eventstream.py
@@ -1,15 +1,15 @@
-"""Server-sent events, as far as passing them on whole and resuming a stream needs it."""
+"""Splits server-sent event streams into whole events, for forwarding and resuming them."""
 
 from dataclasses import dataclass
 from typing import Final
 
 EVENT_END: Final = b"\n\n"
-# An event that grows beyond this without an end breaks the protocol.
+# An event that exceeds this size without an end is a protocol error.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
 class EventTooLongError(Exception):
-    """The replica sent an event without an end."""
+    """The replica sent more than MAX_EVENT_BYTES without the end of an event."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -17,22 +17,24 @@
     """One whole event."""
 
     id: str | None
-    data: bytes  # as it was sent, with its end
+    data: bytes  # as it was sent, including the end marker
 
 
 class EventSplitter:
-    """Cuts a stream of bytes into whole events."""
+    """Splits a stream of bytes into whole events."""
 
     def __init__(self) -> None:
         self._rest = b""
 
     @property
     def within_event(self) -> bool:
-        """Whether an event has begun that has not ended."""
+        """Whether the last event received is incomplete."""
         return bool(self._rest)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events that are whole now; the beginning of the next one is kept.
+        """Return the events completed by `data`; keep the beginning of the next one.
+
+        Raises EventTooLongError if that exceeds MAX_EVENT_BYTES.
 
         >>> splitter = EventSplitter()
         >>> [event.id for event in splitter.feed(b"id: 0\\ndata: a\\n\\nid: 1\\n")]
--- a/libs/gateway/src/headcross_gateway/health.py
+++ b/libs/gateway/src/headcross_gateway/health.py
@@ -1,7 +1,8 @@
-"""What an entry thinks of a replica from its own requests.
+"""Outlier ejection: tracks the health of a replica by the outcomes of an entry's requests.
 
-One failure is no verdict. After several in a row, or a connection that could not be opened, the
-replica rests for a while that doubles; then a request that may be repeated tries it again.
+A single failure does not eject a replica. Several in a row, or a connection that could not be
+opened, eject it for a time that doubles with each ejection; then a trial with a request that may
+be repeated decides whether it is used again.
 """
 
 from dataclasses import dataclass
@@ -16,39 +17,39 @@
 
 @dataclass(slots=True)
 class Health:
-    """One replica, as one entry experiences it."""
+    """The health of one replica as observed by one entry."""
 
-    failures: int = 0  # in a row
-    ejections: int = 0  # in a row
+    failures: int = 0  # consecutive
+    ejections: int = 0  # consecutive
     ejected_until: float = 0.0  # monotonic
-    # When a request was last held back there, also if others came through since (monotonic).
+    # When a request last got no data in time, even if others succeeded since (monotonic).
     silent_at: float = float("-inf")
     # When it last answered a request (monotonic).
     answered_at: float = float("-inf")
-    on_trial: bool = False  # one request is trying it after a rest
+    on_trial: bool = False  # a trial request is in flight after an ejection
 
     def is_ejected(self) -> bool:
-        """Tell whether it should be left alone."""
+        """Tell whether it is ejected now."""
         return monotonic() < self.ejected_until
 
     def needs_trial(self) -> bool:
-        """Tell whether it came out of a rest and nothing has succeeded since."""
+        """Tell whether its ejection is over and no request has succeeded since."""
         return self.ejections > 0 and not self.is_ejected()
 
     def note_silence(self) -> None:
-        """Note that a request, or a connection, got no sign of life in time."""
+        """Note that a request, or the opening of a connection, got no response in time."""
         self.silent_at = monotonic()
 
     def silent_age(self) -> float:
-        """Return how long ago it was last silent, in seconds; infinite if it never was."""
+        """Return the seconds since a request last got no data, infinite if none ever did."""
         return monotonic() - self.silent_at
 
     def answered_within(self, seconds: float) -> bool:
-        """Tell whether it answered so lately, and nothing has failed there since."""
+        """Tell whether it answered in the last `seconds`, and nothing has failed there since."""
         return not self.failures and monotonic() - self.answered_at < seconds
 
     def answered_age(self) -> float:
-        """Return how long ago it last answered, in seconds; infinite if it never did."""
+        """Return the seconds since it last answered, infinite if it never did."""
         return monotonic() - self.answered_at
 
     def note_success(self) -> None:
--- a/libs/gateway/src/headcross_gateway/linkproofs.py
+++ b/libs/gateway/src/headcross_gateway/linkproofs.py
@@ -1,11 +1,11 @@
-"""Proof that a link delivers, taken on a request's own connection just before it is sent.
+"""Proves that a link delivers, by a call on a request's own connection just before it is sent.
 
-A link that is too narrow, or is cut one way, holds a request and delivers it after the reset of
-its connection. The replica then begins it on weights whose bound has passed. So a request to old
-weights goes only over a connection on which a call was answered a moment before. A link that
-begins to hold within that round trip goes unnoticed: no sender can know of it.
+A link that has too little bandwidth, or is cut in one direction, can delay a request and deliver
+it after the reset of its connection. The replica then begins it on weights whose bound has passed.
+So a request to old weights is sent only over a connection on which a call was answered just
+before. A link that starts to delay within that round trip goes unnoticed: no sender can detect it.
 
-What a daemon tells of a link is no proof: its messages may take another one.
+A daemon's load reports are no proof, because they may take another link.
 """
 
 from typing import Final
@@ -17,25 +17,26 @@
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.weightsrules import WeightsRules
 
-# Callers wait no longer for a proof before another replica is tried. A round trip through a link
+# Time limit of a proof, after which another replica is tried. A round trip through a link that is
 # full of chunks takes most of it.
 PROOF_SECONDS: Final = 0.4
 MAX_ANSWER_BYTES: Final = 64 * 1024
 
 
 class LinkUnprovenError(Exception):
-    """A connection is not fit for a request to old weights; nothing of the request was sent."""
+    """A connection did not pass its proof; nothing of the request was sent."""
 
     def __init__(self, detail: str, *, silent: bool) -> None:
         super().__init__(detail)
-        # Whether its link may be holding what was sent; else the connection has just ended.
+        # Whether the call timed out, so that the link may be delaying it; otherwise the connection
+        # was closed.
         self.silent = silent
 
 
 class LinkProofs:
-    """The proofs that one entry takes."""
+    """Takes the proofs of one entry."""
 
-    # Proofs asked for so far, and those that did not come.
+    # Number of proofs asked for so far, and of those that timed out.
     asked: int
     missed: int
 
@@ -46,17 +47,17 @@
         self._target = dialect.immediate_target()
 
     def is_needed(self, model: str | None, replica_state: ReplicaState) -> bool:
-        """Tell whether a request that its link holds might begin on weights past their bound."""
+        """Tell whether a request that its link delays could begin on weights past their bound."""
         version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
             return False
         return self._rules.may_arrive_past_bound(model, version)
 
     async def take(self, connection: HttpConnection) -> None:
-        """Have a call answered on a connection, which may carry a request after it.
+        """Make a call on a connection, which may carry a request after the answer.
 
         Raises LinkUnprovenError if there is no answer within PROOF_SECONDS, or if the connection
-        ends before or with it.
+        is closed before or with the answer.
         """
         self.asked += 1
         try:
@@ -67,6 +68,10 @@
             detail = f"the link did not show within {PROOF_SECONDS} s that it delivers"
             raise LinkUnprovenError(detail, silent=True) from None
         except LinkLostError as error:
-            raise LinkUnprovenError(f"lost before its proof: {error}", silent=False) from None
+            raise LinkUnprovenError(
+                f"connection lost before its proof: {error}", silent=False
+            ) from None
         if not connection.reusable():
-            raise LinkUnprovenError("closed by the replica with its proof", silent=False)
+            raise LinkUnprovenError(
+                "the replica closed the connection with its answer to the proof", silent=False
+            )
--- a/libs/gateway/src/headcross_gateway/outcomes.py
+++ b/libs/gateway/src/headcross_gateway/outcomes.py
@@ -1,4 +1,4 @@
-"""What is known after one attempt at one replica."""
+"""The possible outcomes of one attempt at one replica."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -11,20 +11,20 @@
 
 @dataclass(frozen=True, slots=True)
 class CompleteAnswer:
-    """The replica's whole answer."""
+    """The replica's answer was received completely."""
 
     answer: Answer
     body: bytes
 
     @property
     def failed(self) -> bool:
-        """Whether the replica itself failed to serve the request."""
+        """Whether the replica answered with a server error."""
         return self.answer.status in SERVER_ERRORS
 
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """The stream ended whole and was passed on."""
+    """The stream was received and passed on completely."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,21 +33,21 @@
 
     reason: ErrorCode
     detail: str
-    arrived: bool  # the replica has seen the request
+    arrived: bool  # the replica received the request
     elsewhere: bool = False  # another incarnation, or other weights, are at that address
-    withdrawn: bool = False  # this entry took it back; that tells nothing of the replica
-    unproven: bool = False  # not sent, since the link was not shown to deliver
+    withdrawn: bool = False  # this entry withdrew it, which says nothing about the replica
+    unproven: bool = False  # not sent, because the proof of its link timed out
 
 
 @dataclass(frozen=True, slots=True)
 class MayRun:
-    """The request may have run there, or still run."""
+    """The request may have run there, or may still be running."""
 
     reason: ErrorCode
     detail: str
-    silent: bool = False  # the replica gave no sign of life in time
-    withdrawn: bool = False  # this entry took it back; that tells nothing of the replica
-    broken: bool = False  # the connection broke, and not at this end
+    silent: bool = False  # the replica sent nothing within the time limit
+    withdrawn: bool = False  # this entry withdrew it, which says nothing about the replica
+    broken: bool = False  # the connection broke, but was not closed by this entry
 
 
 Outcome = CompleteAnswer | Streamed | DidNotRun | MayRun
--- a/libs/gateway/src/headcross_gateway/picking.py
+++ b/libs/gateway/src/headcross_gateway/picking.py
@@ -1,8 +1,8 @@
-"""Which replica a request goes to.
+"""Picks the replica for a request.
 
-Among those that may serve it at all, the one with the fewest requests for its size; another zone
-costs as much as a few requests. The known load is some hundred milliseconds old and several
-entries choose at once, so a little chance keeps them from choosing alike.
+Of the replicas that may serve it, the one with the lowest load per slot is picked; a replica in
+another zone costs as much as a few requests. Known loads are some hundred milliseconds old and
+several entries pick at once, so a small random cost keeps them from picking the same replica.
 """
 
 import math
@@ -18,41 +18,43 @@
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.weightsrules import WeightsRules
 
-# A replica of another zone is taken when it has this share of its places freer.
+# A replica in another zone is picked if its load per slot is lower by at least this share.
 OTHER_ZONE_SHARE: Final = 0.22
 JITTER_SHARE: Final = 0.04
-# A replica whose daemon was heard before and is late now may be behind a slow or broken link.
+# Cost of a replica whose daemon's report is late; its link may be slow or broken.
 LATE_REPORT_SHARE: Final = 0.5
-# A request that has run without an answer is not to meet a second replica that has ended unseen:
-# where no daemon speaks for a replica, the time since its last answer counts, up to so much.
+# A request that may have run already should not reach a second replica that has ended unnoticed.
+# For a replica without a recent report, the cost of that risk grows with the time since its last
+# answer, up to this time.
 UNSEEN_END_SECONDS: Final = 1.6
 UNSEEN_END_SHARE: Final = 0.5
-# Shortly before the bound on its version, a replica must have been heard of so lately.
+# Shortly before the bound on its version, a replica needs a load report at most this old.
 CLOSING_REPORT_SECONDS: Final = 0.5
-# A while before the bound, it must not have been silent to a request for so long. A link that is
-# too narrow holds requests back for 2 to 3 s, and delivers them although they were given up; in
-# between it lets some through, and its daemon's words go the other way.
+# Near the bound, a replica must not have left a request without data for at least this long. A
+# link with too little bandwidth delays requests by 2 to 3 s and delivers them although they were
+# withdrawn. Some requests pass it in between, and load reports travel in the other direction, so
+# neither shows that the link delivers in time.
 LINK_TRUST_SECONDS: Final = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class Requirements:
-    """What a request needs of a replica."""
+    """What a request requires of a replica."""
 
     service: str
     model: str | None
-    exact_version: int | None  # set when a stream goes on that began with this version
-    tried: Collection[str]  # replicas that had their chance
+    exact_version: int | None  # set to resume a stream that began on this version
+    tried: Collection[str]  # ids of replicas not to try again
     may_run_again: bool
 
     @property
     def is_particular(self) -> bool:
-        """Whether other requests may find a place where this one finds none."""
+        """Whether other requests of the service may get a slot where this one gets none."""
         return self.exact_version is not None or bool(self.tried)
 
 
 class Picker:
-    """Chooses replicas for one entry."""
+    """Picks replicas for one entry."""
 
     def __init__(self, zone: str, directory: Directory, rules: WeightsRules) -> None:
         self._zone = zone
@@ -62,14 +64,14 @@
     def pick(
         self, requirements: Requirements, configuration: Configuration, reserved: float = 0.0
     ) -> ReplicaState | None:
-        """Return the best replica that has room, or None.
+        """Return the cheapest replica that has room, or None.
 
-        `reserved` is the part of each replica's places that must be free for others.
+        `reserved` is the share of each replica's slots that must stay free for others.
         """
         everyone = self._directory.serving(requirements.service)
         informed = [state for state in everyone if state.in_subset]
         if len(informed) < len(everyone):
-            # Of a replica outside of the subset nothing is known but the list: it comes last.
+            # Only the list is known of replicas outside the subset, so they are the last resort.
             fitting = self._fitting(informed, requirements, configuration)
             sound = [
                 s for s in fitting if s.reported_reachable() and self._is_healthy(s, requirements)
@@ -84,7 +86,7 @@
     def candidates(
         self, requirements: Requirements, configuration: Configuration
     ) -> list[ReplicaState]:
-        """Return the replicas that could serve a request, full ones too."""
+        """Return the replicas that could serve a request, including full ones."""
         everyone = self._directory.serving(requirements.service)
         fitting = self._fitting(everyone, requirements, configuration)
         reachable = [state for state in fitting if state.reported_reachable()] or fitting
@@ -93,9 +95,9 @@
     def seconds_to_opening(
         self, requirements: Requirements, configuration: Configuration
     ) -> float:
-        """Return after how many seconds a replica wants a request, infinite if none may serve it.
+        """Return the seconds until a replica accepts a request, infinite if none may serve it.
 
-        It is 0 where only a lack of room keeps it away: a place may come free at any moment.
+        0 if the replica is only full: a slot may be released at any time.
         """
         candidates = self.candidates(requirements, configuration)
         return min((state.seconds_to_next() for state in candidates), default=math.inf)
@@ -106,7 +108,7 @@
         requirements: Requirements,
         configuration: Configuration,
     ) -> list[ReplicaState]:
-        """Return those that hold the right weights, are not leaving and had no chance yet."""
+        """Return the replicas that are available, untried and hold suitable weights."""
         service = configuration.services.get(requirements.service)
         fitting = [
             s for s in states if s.replica.id not in requirements.tried and not s.is_unavailable()
@@ -120,10 +122,10 @@
         return fitting
 
     def _begins_in_time(self, state: ReplicaState, model: str) -> bool:
-        """Tell whether a request would begin before the bound on its version, as far as is known.
+        """Tell whether a request is expected to begin before the bound on its version.
 
-        That holds for a stream that goes on as well: a full link may deliver it after its
-        withdrawal, past the bound.
+        This applies to resumed streams too: a full link may deliver one after its withdrawal, past
+        the bound.
         """
         version = state.version_of(model)
         if version is None:
@@ -133,9 +135,10 @@
         return state.waits.expected() <= self._rules.seconds_to_begin(model, version)
 
     def _starts_soon(self, state: ReplicaState, model: str) -> bool:
-        """Tell whether a replica is known to be empty enough, or its version need not be hurried.
+        """Tell whether a replica is known to have a low enough load to start a request soon.
 
-        A stream that goes on is lost without a place, so it may wait where others may not.
+        Always true while its version is not near its bound. Not applied to resumed streams: these
+        fail without a slot, so they may wait where others may not.
         """
         version = state.version_of(model)
         max_load_share = (
@@ -148,7 +151,7 @@
 
     @staticmethod
     def _is_healthy(state: ReplicaState, requirements: Requirements) -> bool:
-        """Tell whether it does not rest, or may be tried after a rest."""
+        """Tell whether it is not ejected, or may get a trial request after an ejection."""
         if state.health.is_ejected():
             return False
         if not state.health.needs_trial():
@@ -166,16 +169,16 @@
 
 
 def _unseen_end_cost(state: ReplicaState) -> float:
-    """Return what the chance costs that a replica has ended unseen."""
+    """Return the cost of the risk that a replica has ended unnoticed."""
     if state.fresh_load() is not None:
         return 0.0
     return UNSEEN_END_SHARE * min(1.0, state.health.answered_age() / UNSEEN_END_SECONDS)
 
 
 def _link_is_trusted(state: ReplicaState) -> bool:
-    """Tell whether nothing is known to have been held lately on a replica's link.
+    """Tell whether no recent delay on a replica's link is known.
 
-    One that holds requests back delivers them even after their connection's reset.
+    A link that delays requests delivers them even after the reset of their connection.
     """
     return state.health.silent_age() >= LINK_TRUST_SECONDS and state.is_delivering()
 
@@ -191,5 +194,5 @@
 
 
 def requirements_of(facts: RequestFacts, service: str, may_run_again: bool) -> Requirements:
-    """Return what a request needs before anything was tried."""
+    """Return the requirements of a request before its first attempt."""
     return Requirements(service, facts.model, None, (), may_run_again)
--- a/libs/gateway/src/headcross_gateway/relay.py
+++ b/libs/gateway/src/headcross_gateway/relay.py
@@ -1,8 +1,8 @@
-"""Passing a stream on, event by event, over as many attempts as it takes.
+"""Forwards a stream of events to the caller, over as many attempts as needed.
 
-The head is sent with the first whole event, so that an attempt that fails before it leaves no
-trace. A stream that goes on at another replica keeps the first head and continues after the last
-whole event; events that the caller already has are dropped.
+The head is sent with the first whole event, so that an attempt that fails before it is invisible
+to the caller. A stream that is resumed at another replica keeps the first head and continues after
+the last whole event; events that the caller already has are dropped.
 """
 
 import trio
@@ -11,8 +11,8 @@
 
 from headcross_gateway.eventstream import EventSplitter, StreamEvent
 
-# Headers of one connection, never passed on (RFC 9110, section 7.6.1), and the length, which the
-# answer to the caller has of its own.
+# Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1), and the length, which is
+# set anew for the answer to the caller.
 HOP_HEADERS = frozenset(
     {
         "connection",
@@ -28,17 +28,17 @@
 
 
 class EventOutOfOrderError(Exception):
-    """The replica left events out, or sent one twice."""
+    """The replica left out events."""
 
 
 class StreamRelay:
-    """The stream of one request towards its caller."""
+    """The stream of one request to its caller."""
 
-    # Whether the caller has anything of the answer.
+    # Whether anything of the answer was sent to the caller.
     started: bool
-    # The last event the caller has; None if it has none and did not resume.
+    # The id of the last event the caller has; None if it has none and did not resume.
     last_id: str | None
-    # The version of the weights that the stream began with, if the replica told.
+    # The weights version that the stream began on, if the replica stated it.
     weights_version: int | None
     # On trio's clock, for logs: when the caller got its first event, and the longest pause since.
     first_at: float | None
@@ -56,17 +56,18 @@
         self._splitter = EventSplitter()
 
     def begin(self, answer: Answer, weights_version: int | None) -> None:
-        """Take the head of an attempt's answer."""
+        """Begin forwarding the answer of an attempt with this head."""
         self._answer = answer
         self._splitter = EventSplitter()
         if not self.started:
             self.weights_version = weights_version
 
     async def pass_on(self, data: bytes) -> int:
-        """Send the events that are whole now; return how many there were.
+        """Send the events completed by `data`; return how many were sent.
 
-        An event counts as the caller's from the moment its sending begins: a call that is
-        cancelled must not be followed by another attempt.
+        An event counts as delivered as soon as its sending begins, so a call that is cancelled
+        must not be followed by another attempt. Raises EventOutOfOrderError if events are missing,
+        after sending those before the gap.
         """
         fresh: list[bytes] = []
         problem: EventOutOfOrderError | None = None
@@ -87,7 +88,7 @@
         return len(fresh)
 
     async def finish(self) -> bool:
-        """End the answer; return False, and send nothing, if it ends within an event."""
+        """End the answer; return False and send nothing if it ends within an event."""
         if self._splitter.within_event:
             return False
         if not self.started:
@@ -109,7 +110,7 @@
         self._last_at = now
 
     def _is_next(self, event: StreamEvent) -> bool:
-        """Note an event's id; tell whether the caller lacks it."""
+        """Record an event's id; tell whether the caller does not have it yet."""
         if event.id is None or not event.id.isdecimal():
             return True
         if self.last_id is not None and self.last_id.isdecimal():
@@ -122,7 +123,7 @@
 
 
 def end_to_end_headers(headers: Headers) -> Headers:
-    """Return the headers that go from one side to the other."""
+    """Return the headers that are forwarded, without the hop-by-hop ones."""
     named = {
         token.strip().lower()
         for name, value in headers
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -1,7 +1,7 @@
-"""One replica as one entry sees it.
+"""The state of one replica as known to one entry.
 
-The daemon beside a replica tells its load and versions several times a second; each message has
-its age. The entry's own requests there tell the rest.
+It combines the load and versions that the daemon on the replica's host reports several times a
+second with the outcomes of the entry's own requests there.
 """
 
 import logging
@@ -21,26 +21,28 @@
 from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.waittimes import WaitTimes
 
-# What a daemon told of its replica counts for so long.
+# How long a load report is valid.
 REPORT_VALID_SECONDS: Final = 1.5
-# Daemons tell every 0.15 s to 0.45 s; one that is silent for so long is late.
+# Age from which the last report counts as late; daemons report every 0.15 s to 0.45 s.
 REPORT_LATE_SECONDS: Final = 0.8
-# Requests that all entries together may place at a replica between two messages of its daemon.
+# Requests that all entries together may send to a replica between two of its load reports.
 MAX_PLACED_BETWEEN_REPORTS: Final = 6
-# A replica whose entry lapsed around an outage of the store is used on as long as its daemon says
-# that it answers, or a request was answered so lately.
+# A replica whose list entry lapsed around an outage of the store stays in use while a report at
+# most LAPSED_REPORT_SECONDS old says that it answers, or, if its daemon never reported, while it
+# answered a request at most LAPSED_ANSWERED_SECONDS ago.
 LAPSED_REPORT_SECONDS: Final = 0.8
 LAPSED_ANSWERED_SECONDS: Final = 2.0
-# Shortly before the bound on its version, a replica whose daemon speaks is not tried unless a
-# subscription of this entry came through that was sent so lately. Entries subscribe every 0.3 s
-# then, and daemons tell every 0.15 s to 0.45 s. A link that is too narrow holds them for longer.
+# Shortly before the bound on its version, a replica whose daemon reports is tried only if the
+# daemon has received a subscription that this entry sent within this time. Entries then subscribe
+# every 0.3 s, and daemons report every 0.15 s to 0.45 s. A link with too little bandwidth delays
+# subscriptions for longer.
 LINK_DELIVERY_SECONDS: Final = 1.2
-# A replica whose daemon has not reached it for so long has ended.
+# A replica that its daemon has not reached for this long counts as ended.
 OUT_OF_REACH_SECONDS: Final = 1.5
-# A replica that refused a request for want of room is not tried again for so long.
+# How long a replica is not tried again after it refused a request for lack of room.
 FULL_BACKOFF_SECONDS: Final = 0.12
-# One that holds another version than its silent daemon said is not tried again for so long: the
-# list tells which one within about a second.
+# How long a replica is not tried again if it holds another version than its late report says; the
+# list shows the version within about a second.
 OTHER_VERSION_BACKOFF_SECONDS: Final = 1.0
 
 logger = logging.getLogger(__name__)
@@ -48,42 +50,44 @@
 
 @dataclass(slots=True)
 class LoadReport:
-    """The last word of the daemon beside a replica."""
+    """The last load report of a replica's daemon, and the entry's own requests since."""
 
     load: ReplicaLoad
-    at: float  # monotonic
-    own_in_flight: int  # requests of this entry at that moment
-    own_placed_since: int = 0  # requests that this entry placed there since
-    allowance: int = 1  # requests that this entry may place there until the next word
+    at: float  # time of receipt (monotonic)
+    own_in_flight: int  # requests of this entry in flight at that time
+    own_placed_since: int = 0  # requests that this entry has sent since
+    allowance: int = 1  # requests that this entry may send until the next report
 
 
 @dataclass(slots=True)
 class ReplicaState:
-    """One replica as this entry sees it."""
+    """The state of one incarnation of a replica at this entry."""
 
     replica: Replica
-    in_flight: int = 0  # requests of this entry
+    in_flight: int = 0  # requests of this entry in flight there
     last_report: LoadReport | None = None
     backoff_until: float = 0.0
-    # This entry's part of the replica's places and of its limit, 0 to 1: an equal one among the
-    # entries that its daemon tells its load to, and before its first word among those known.
+    # This entry's share of the replica's slots and of its rate limit, 0 to 1: an equal share among
+    # the entries that its daemon reports to, and before its first report among the known entries.
     own_share: float = 1.0
     health: Health = field(default_factory=Health)
     waits: WaitTimes = field(default_factory=WaitTimes)
-    # Whether this entry keeps itself informed of it; others are for the time when all of these
-    # are full.
+    # Whether it is in this entry's subset; other replicas are used only when all of these are
+    # full.
     in_subset: bool = True
-    # Until then it is left out of the subset, since it or its daemon did not answer (monotonic).
+    # It is excluded from the subset until then, because it or its daemon did not answer
+    # (monotonic).
     excluded_until: float = 0.0
-    # Another incarnation answered at its address: this one will not come back.
+    # Another incarnation has replaced it, or it is no longer listed: this one does not come back.
     gone: bool = False
-    # Its entry lapsed around an outage of the store: it is used until then at most (monotonic).
+    # Its list entry lapsed around an outage of the store; it is used until then at most
+    # (monotonic).
     lapsed_until: float | None = None
-    # Since when its daemon has not reached it (monotonic); None while it does.
+    # Since when its daemon has not reached it (monotonic); None while it reaches it.
     out_of_reach_since: float | None = None
-    # Which of its versions are known to have been loaded whole.
+    # Which of its versions are confirmed to be loaded completely.
     loads: ConfirmedLoads = field(init=False)
-    # What its answers ask of this entry.
+    # The backpressure that its answers signal to this entry.
     backpressure: Backpressure = field(init=False)
 
     def __post_init__(self) -> None:
@@ -91,30 +95,30 @@
         self.backpressure = Backpressure(self.replica.id)
 
     def report_age(self) -> float:
-        """Return how old the last word of its daemon is, in seconds."""
+        """Return the age of the last report in seconds, infinite if there is none."""
         return monotonic() - self.last_report.at if self.last_report is not None else float("inf")
 
     def is_report_late(self) -> bool:
-        """Tell whether its daemon spoke before and has been silent for too long since."""
+        """Tell whether the next report is overdue; false if there has been none."""
         return self.last_report is not None and self.report_age() > REPORT_LATE_SECONDS
 
     def is_delivering(self) -> bool:
-        """Tell whether its daemon, if it speaks, says nothing against its link.
+        """Tell whether a recent subscription has reached its daemon, or its report is missing.
 
-        That only saves a try: each request to old weights has its own proof (see linkproofs).
+        This only saves an attempt: each request to old weights has its own proof (see linkproofs).
         """
         if self.last_report is None or self.is_report_late():
             return True
         return monotonic() - self.last_report.load.subscribed_ms / 1000 < LINK_DELIVERY_SECONDS
 
     def fresh_load(self) -> ReplicaLoad | None:
-        """Return what its daemon told, if that is recent."""
+        """Return the reported load, None if there is no valid report."""
         if self.last_report is None or self.report_age() > REPORT_VALID_SECONDS:
             return None
         return self.last_report.load
 
     def load(self) -> float:
-        """Return how many requests it has, of this entry and, by its daemon's word, of others."""
+        """Return its number of requests: this entry's, and others' by the last valid report."""
         report = self.last_report
         if report is None or self.report_age() > REPORT_VALID_SECONDS:
             return self.in_flight
@@ -122,10 +126,10 @@
         return self.in_flight + others
 
     def has_room(self, reserved: float = 0.0) -> bool:
-        """Tell whether a place is free, as far as is known; `reserved` is a part to be left free.
+        """Tell whether a slot is free as far as is known; `reserved` is the share to leave free.
 
-        All places are filled: a request that comes a moment too soon waits less there than it
-        would for another try.
+        All slots are used: a request that comes slightly too soon waits less at the replica than
+        it would for another attempt.
         """
         now = monotonic()
         if now < self.backoff_until or self._is_left_to_others():
@@ -135,36 +139,39 @@
         if reserved and self.load() > (1 - reserved) * self.replica.slots:
             return False
         if not self.replica.loaded and self.last_report is None:
-            return self.load() < self.replica.slots  # a plain service: nobody tells its load
+            return self.load() < self.replica.slots  # a plain service: no daemon reports its load
         if self.fresh_load() is None:
-            # What the other entries placed there is not known, so each keeps to its own part.
+            # The requests of other entries are unknown, so each entry keeps to its own share.
             return self.in_flight < max(1.0, self.replica.slots * self.own_share)
         assert self.last_report is not None
         free = self.replica.slots - self.load()
-        # No more of those placed since the last word can still be there than are under way.
+        # Of the requests sent since the last report, at most those in flight can still be there.
         placed = min(self.last_report.own_placed_since, self.in_flight)
         return free > 0 and placed < self.last_report.allowance
 
     def seconds_to_next(self) -> float:
-        """Return after how many seconds it wants a request of this entry, 0 if now."""
+        """Return the seconds until it accepts a request of this entry, 0 if it does now."""
         if self._is_left_to_others():
             return math.inf
         return self.backpressure.seconds_to_next(self.own_share, monotonic())
 
     def _is_left_to_others(self) -> bool:
-        """Tell whether a limited replica is for those whom its daemon counts as its entries."""
+        """Tell whether it is rate-limited and outside the subset.
+
+        The limit is shared among the entries that its daemon reports to, without this one.
+        """
         return not self.in_subset and self.backpressure.limit.per_second is not None
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it may be worth keeping informed of: it serves and answers."""
+        """Tell whether it is useful in the subset: it holds weights, stays and answers."""
         listed = self.replica
         return bool(listed.loaded) and not self.is_leaving() and now >= self.excluded_until
 
     def record_outcome(self, outcome: Outcome, *, bound: bool) -> None:
-        """Note what an attempt tells of the replica.
+        """Update the state by the outcome of an attempt.
 
-        `bound` tells that the request asked for one version, as a stream does that had begun: a
-        replica that turns it away for that is still the one that was meant.
+        `bound` tells that the request required one version, as a resumed stream does: a refusal
+        for the version does not mean that another incarnation answered.
         """
         match outcome:
             case DidNotRun(withdrawn=True) | MayRun(withdrawn=True):
@@ -191,37 +198,37 @@
                     self.health.note_silence()
 
     def note_signals(self, signals: BackpressureSignals, sent_at: float) -> None:
-        """Take what the head of an answer asks; its request was sent at a moment (monotonic)."""
+        """Record the backpressure of an answer whose request was sent at `sent_at` (monotonic)."""
         self.backpressure.note_answer(signals, sent_at, self.own_share, monotonic())
 
     def reserve_slot(self) -> None:
-        """Count a request of this entry as under way there."""
+        """Count a request of this entry as in flight there."""
         self.in_flight += 1
         self.backpressure.note_sent(self.own_share, monotonic())
         if self.last_report is not None:
             self.last_report.own_placed_since += 1
 
     def release_slot(self) -> None:
-        """Count a request of this entry as ended there."""
+        """Count a request of this entry as ended."""
         self.in_flight -= 1
         self.backpressure.note_ended()
 
     def reported_reachable(self) -> bool:
-        """Tell whether its daemon, if it says anything, says that it answers."""
+        """Tell whether its daemon reaches it; true without a valid report."""
         load = self.fresh_load()
         return load is None or load.reachable
 
     def reported_leaving(self) -> bool:
-        """Tell whether its daemon says that it loads, or is about to, and takes no requests."""
+        """Tell whether its daemon reports that it takes no requests, to load weights."""
         load = self.fresh_load()
         return load is not None and load.leaving
 
     def is_leaving(self) -> bool:
-        """Tell whether it has announced, in the list or in an answer, that it leaves."""
+        """Tell whether it announced that it leaves, in the list, an answer or a report."""
         return self.replica.draining or self.backpressure.leaving
 
     def is_gone(self) -> bool:
-        """Tell whether nothing may be sent there any more."""
+        """Tell whether no requests may be sent to this incarnation any more."""
         if self.gone or self.lapsed_until is None:
             return self.gone
         if monotonic() >= self.lapsed_until:
@@ -231,7 +238,7 @@
         return self.report_age() > LAPSED_REPORT_SECONDS or not self.last_report.load.reachable
 
     def record_report(self, load: ReplicaLoad, allowance: int) -> None:
-        """Take the word of its daemon, and how many requests may be placed until the next one."""
+        """Record a load report; `allowance` requests may be sent until the next one."""
         if self.last_report is None or self.last_report.load.reachable != load.reachable:
             self._log_reachable(load)
             self.out_of_reach_since = None if load.reachable else monotonic()
@@ -245,13 +252,13 @@
             logger.info("load judged", extra={"replica": self.replica.id, **self.loads.dump()})
 
     def _log_reachable(self, load: ReplicaLoad) -> None:
-        """Log that its daemon reaches it no more, or again, with what this entry has there."""
+        """Log a change of whether its daemon reaches it, with this entry's requests there."""
         fields = {"replica": self.replica.id, "address": load.address, "in_flight": self.in_flight}
         message = "replica reached by its daemon" if load.reachable else "replica out of reach"
         logger.info(message, extra=fields)
 
     def has_ended(self) -> bool:
-        """Tell whether it is known to have ended without having announced it."""
+        """Tell whether it is known to have ended without announcing it."""
         if self.is_leaving():
             return False
         if self.gone or self.has_conflicting_incarnations():
@@ -262,10 +269,10 @@
         return monotonic() - since >= OUT_OF_REACH_SECONDS
 
     def has_conflicting_incarnations(self) -> bool:
-        """Tell whether the list and its daemon speak of different incarnations.
+        """Tell whether the list and the last valid report name different incarnations.
 
-        Which is the later one is not known then, nor whether that one holds any weights: it begins
-        without, and the list and the daemon agree within a second or two.
+        Which one is the later is not known then, nor whether it holds weights: a new incarnation
+        starts without. The list and the daemon agree again within a second or two.
         """
         load = self.fresh_load()
         return load is not None and self._is_other_incarnation(load)
@@ -275,13 +282,13 @@
         return reported.is_other_than(self.replica.incarnation)
 
     def is_unavailable(self) -> bool:
-        """Tell whether it must be sent nothing new: it leaves, is gone, loads, or begins anew."""
+        """Tell whether it must get no new requests: it leaves, is gone, loads or has restarted."""
         if self.is_leaving() or self.is_gone() or self.reported_leaving():
             return True
         return self.has_conflicting_incarnations()
 
     def is_responsive(self) -> bool:
-        """Tell whether it and its daemon answer, as far as this entry has heard."""
+        """Tell whether it and its daemon answer, as far as this entry knows."""
         return (
             self.reported_reachable()
             and not self.is_report_late()
@@ -289,20 +296,20 @@
         )
 
     def version_of(self, model: str) -> int | None:
-        """Return the version of a model that it may serve, None if it holds none that may."""
+        """Return the version of a model that it may serve, None if there is none."""
         held = self.held_version(model)
         return held if held is not None and self.loads.may_serve(model, held) else None
 
     def version_to_expect(self, model: str) -> int | None:
-        """Return the version that a request has to ask for by name, None if it need not.
+        """Return the version that a request must require explicitly, None if it need not.
 
-        While its daemon is silent nobody tells that the replica takes another load, nor whether
-        that one is whole.
+        While reports are late, the entry does not learn that the replica loads another version,
+        nor whether that load is complete.
         """
         return self.version_of(model) if self.is_report_late() else None
 
     def held_version(self, model: str) -> int | None:
-        """Return the version of a model that it holds, whether or not it may serve it."""
+        """Return the version of a model that it holds, even if it may not serve it."""
         listed = next((m.version for m in self.replica.loaded if m.model == model), None)
         load = self.fresh_load()
         reported = load.versions.get(model) if load is not None else None
@@ -312,11 +319,11 @@
 
 
 def draw_allowance(listeners: int) -> int:
-    """Return how many requests one of so many entries may place until it is told the load again.
+    """Return how many requests one of `listeners` entries may send until the next load report.
 
-    All entries see the same free places. A replica reads the prompts of what it is given one after
-    the other, so a place that many rush to is no place for most of them. Where there are more
-    entries than requests that may be placed, each has its part as a chance.
+    All entries see the same free slots. A replica processes prompts one after the other, so most
+    requests would wait if many entries sent to the same free slot at once. If there are more
+    entries than requests allowed, each entry may send one with the proportional probability.
 
     >>> draw_allowance(1), draw_allowance(5)
     (6, 1)
--- a/libs/gateway/src/headcross_gateway/requestlog.py
+++ b/libs/gateway/src/headcross_gateway/requestlog.py
@@ -1,4 +1,4 @@
-"""The log lines of requests: one for each attempt, and one for how each request ended."""
+"""Writes the log lines of requests: one for each attempt and one for the end of each request."""
 
 import logging
 import math
@@ -18,10 +18,10 @@
 
 @dataclass(frozen=True, slots=True)
 class AttemptWeights:
-    """The weights that an attempt was placed on."""
+    """The weights that a replica held when an attempt was sent to it."""
 
     version: int | None  # None for a service without weights
-    seconds_left: float  # for which the version took requests yet; infinite if it was not to end
+    seconds_left: float  # how long the version still took requests; infinite if not superseded
 
 
 def log_attempt(
@@ -31,7 +31,7 @@
     weights: AttemptWeights,
     times: AttemptTimes,
 ) -> None:
-    """Log an attempt with what decided for its replica, after the replica's health was noted."""
+    """Log an attempt with the data its replica was picked by; call after recording the outcome."""
     result, detail = _result_of(outcome)
     fields: dict[str, object] = {
         "request": request.facts.id,
@@ -83,7 +83,7 @@
 
 
 def _result_of(outcome: Outcome) -> tuple[str, str]:
-    """Return an outcome's name in the log, and its detail."""
+    """Return the name of an outcome in the log and its detail."""
     match outcome:
         case CompleteAnswer():
             return "answered", str(outcome.answer.status)
@@ -96,7 +96,7 @@
 
 
 def _request_fields(request: Admitted) -> dict[str, object]:
-    """Return the fields of a request's last line."""
+    """Return the fields of the line for the end of a request."""
     relay = request.relay
     times: dict[str, object] = {}
     if relay is not None and relay.first_at is not None:
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -1,8 +1,8 @@
-"""A request from its arrival to its answer.
+"""Handles a caller's request from its arrival to its answer.
 
-Straight down: what the request says and which route it takes; a place at a replica; attempts, as
-far as the route, the budget and the time allow; the answer, or a refusal that says whether the
-request may have run. What an entry gives up on is answered at once.
+The steps in order: read the request and find its route; acquire a slot at a replica; make attempts
+as far as the route, the retry budget and the deadline allow; send the answer, or a refusal that
+says whether the request may have run. A request that the entry gives up on is answered at once.
 """
 
 import math
@@ -64,9 +64,9 @@
 from headcross_gateway.unbegun import UnbegunAttempts
 from headcross_gateway.weightsrules import WeightsRules
 
-# A request that may have run goes first to its second place.
+# Queue priority of a request that may have run: ahead of all others.
 RERUN_PRIORITY: Final = -1
-# When a caller is told to come back whom another entry will serve.
+# Retry-after time that a draining entry gives; another entry will serve the caller.
 DRAINING_RETRY_AFTER_SECONDS: Final = 0.02
 
 Observe = Callable[[str, str, float], None]  # service, verdict, seconds
@@ -75,9 +75,9 @@
 class RequestPath:
     """Serves callers' requests at one entry."""
 
-    # Requests by verdict and reason.
+    # Number of requests by verdict and reason.
     counts: Counter[str]
-    # Requests being served now.
+    # Number of requests being served now.
     in_flight: int
     budget: RetryBudget
     attempts: Attempts
@@ -110,7 +110,7 @@
         self._observe = observe
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request of a caller."""
+        """Serve one request: answer it, or refuse it with a reason."""
         request = self._admit(exchange)
         if not isinstance(request, Admitted):
             self._count_refused(request.refusal)
@@ -132,13 +132,13 @@
             self.in_flight -= 1
 
     def refuse_ending_after(self, moment: float) -> None:
-        """Take nothing from now on that may not be answered by a moment on trio's clock."""
+        """Refuse new requests whose deadline is after `moment` (trio's clock)."""
         self._drain_deadline = moment
 
     # Admission.
 
     def _admit(self, exchange: Exchange) -> Admitted | NotAdmitted:
-        """Find what a request asks for and whether it may."""
+        """Find the route, team and deadline of a request; return why if it is not admitted."""
         now = trio.current_time()
         request = exchange.request
         facts = self._dialect.read_request(request.headers)
@@ -219,7 +219,8 @@
                 seconds = trio.current_time() - placed_at
                 self._overload.note_answer(request.service, seconds)
             if not isinstance(outcome, DidNotRun):
-                # One that refused may have room in a moment; one that ran it had its chance.
+                # A replica that refused may have room shortly, so it is not excluded. One that may
+                # have run the request is not tried again.
                 request.tried.add(replica_state.replica.id)
             match outcome:
                 case CompleteAnswer():
@@ -243,7 +244,11 @@
                         return self._final_refusal(request, last)
 
     def _no_room_refusal(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
-        """Return what a request is told that finds no place; none opens for some seconds."""
+        """Return the refusal of a request that found no slot.
+
+        `opening` is the time until a replica accepts a request, in seconds; infinite if none may
+        serve it.
+        """
         if isinstance(last, MayHaveRun):
             return last
         if opening == math.inf:
@@ -274,7 +279,7 @@
         any_serves = opening < math.inf
         wait = self._wait_seconds(request, returning, any_serves)
         if request.tried:
-            # It has run somewhere: without a place it fails for good, so it goes first.
+            # It may have run: without a slot it fails for good, so it goes first.
             until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
         elif request.refusals or request.unreached:
             until = now + wait
@@ -296,7 +301,7 @@
         )
 
     def _weights_of(self, request: Admitted, replica_state: ReplicaState) -> AttemptWeights:
-        """Return the weights that a replica holds for a request, and how long they may be used."""
+        """Return the weights of a replica for a request, and how long they may take requests."""
         model = request.facts.model
         version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
@@ -345,7 +350,7 @@
 
     @staticmethod
     def _stronger_refusal(last: Refusal | None, now: NotRun) -> Refusal:
-        """Once a request may have run, no later refusal takes that back."""
+        """Return the refusal to report: once a request may have run, that verdict stays."""
         return last if isinstance(last, MayHaveRun) else now
 
     def _final_refusal(self, request: Admitted, last: Refusal) -> Verdict:
@@ -361,7 +366,7 @@
         return Completed(outcome.answer.status)
 
     async def _conclude(self, request: Admitted, verdict: Verdict) -> None:
-        """Give the caller the last word, if it does not have it."""
+        """Count and log the verdict; send the answer if it has not been sent yet."""
         seconds = trio.current_time() - request.arrived_at
         self._observe(request.service, verdict_name(verdict), seconds)
         if isinstance(verdict, Completed):
@@ -384,21 +389,21 @@
 
 
 def _version_to_expect(request: Admitted, replica_state: ReplicaState) -> int | None:
-    """Return the version without which a replica must not run a request, None if any will do."""
+    """Return the weights version that a replica must hold to run a request, None if any may."""
     if request.bound_version is not None or request.facts.model is None:
         return request.bound_version
     return replica_state.version_to_expect(request.facts.model)
 
 
 def _fingerprint_of(request: Request, facts: RequestFacts) -> int | None:
-    """Return what tells a request from others, None if it does not say what its prompt is."""
+    """Return the fingerprint of a request, None if it does not state its prompt."""
     if facts.prompt is None:
         return None
     return fingerprint_of(request.header("host") or "", request.target, facts.key, facts.prompt)
 
 
 def _deadline_verdict(request: Admitted) -> Verdict:
-    """Return the verdict on a request whose time is up."""
+    """Return the verdict on a request whose deadline has passed."""
     if request.relay is not None and request.relay.started:
         return MayHaveRun(STREAM_BROKEN, "the time is up")
     if request.runs:
--- a/libs/gateway/src/headcross_gateway/subsetting.py
+++ b/libs/gateway/src/headcross_gateway/subsetting.py
@@ -1,10 +1,10 @@
-"""Which replicas an entry keeps itself informed of: all of a small fleet, some of a large one.
+"""Chooses the replicas whose load an entry subscribes to: all in a small fleet, else a subset.
 
-Every daemon told its replica's load to every entry, seven times a second. With 35 entries and 60
-replicas these were 14,000 messages a second, more than the processes could compute and four fifths
-of them between regions. With subsets of a fixed size each entry hears, and each daemon tells, a
-number that does not grow with the fleet. Rendezvous hashing gives each entry a set of its own that
-hardly changes when replicas come and go, and spreads the entries over the replicas.
+If every daemon reported to every entry seven times a second, 35 entries and 60 replicas would
+exchange 14,000 messages a second, more than the processes can handle and four fifths of them
+between regions. With subsets of a fixed size, the number of reports that an entry receives and
+that a daemon sends does not grow with the fleet. Rendezvous hashing gives each entry a subset of
+its own that hardly changes when replicas come and go, and spreads the entries over the replicas.
 """
 
 from collections.abc import Callable, Iterable, Sequence
@@ -14,11 +14,11 @@
 from headcross_base.hashing import rendezvous_order, rendezvous_weight
 from headcross_ports.published import Replica
 
-# Replicas in the subset of one entry. At 7 messages a second from each daemon these are 160 a
-# second. Fleets of up to so many replicas are known whole, so that nothing changes there.
+# Number of replicas in the subset of one entry. At 7 reports a second from each daemon this makes
+# 160 a second. In fleets of up to this size every entry subscribes to all replicas.
 SUBSET_SIZE: Final = 24
-# ... of them in the entry's own zone at most: what crosses zones is priced and slower, and the
-# others are for the time when the own zone is full or gone.
+# Maximum number of them in the entry's own zone, which is preferred because traffic between zones
+# is charged and slower. The others are used when the own zone is full or down.
 OWN_ZONE_SIZE: Final = 16
 
 
@@ -28,10 +28,10 @@
     replicas: Iterable[Replica],
     is_usable: Callable[[Replica], bool],
 ) -> set[str]:
-    """Return the ids of the replicas that the entry on a host keeps itself informed of.
+    """Return the ids of the replicas in the subset of the entry on a host.
 
-    Those that may be used come first, of the entry's own zone and then of others; the rest fills
-    the set up, since it may be of use soon.
+    Usable replicas come first, those of the entry's own zone before others. The rest fills up the
+    subset, since it may become usable soon.
     """
     everyone = list(replicas)
     if len(everyone) <= SUBSET_SIZE:
@@ -45,7 +45,7 @@
 
 
 def every_other(addresses: Iterable[Address], round_number: int) -> list[Address]:
-    """Return those of some addresses whose turn it is; two rounds cover all, whatever their order.
+    """Return the addresses of this round; two successive rounds cover all, whatever their order.
 
     >>> both = [Address("10.0.0.1", 1), Address("10.0.0.2", 1), Address("10.0.0.3", 1)]
     >>> sorted(every_other(both, 1) + every_other(both, 2)) == both
@@ -55,6 +55,6 @@
 
 
 def _first_unique(count: int, lists: Sequence[list[str]]) -> list[str]:
-    """Return the first so many different names of lists that follow one another."""
+    """Return the first `count` distinct names of the concatenated lists."""
     names = dict.fromkeys(name for each in lists for name in each)
     return list(names)[:count]
--- a/libs/gateway/src/headcross_gateway/weightsrules.py
+++ b/libs/gateway/src/headcross_gateway/weightsrules.py
@@ -1,8 +1,9 @@
-"""Which versions of a model's weights may still take new requests.
+"""Decides which versions of a model's weights may still take new requests.
 
 A newer version that is named must replace the older ones within a bound. Until then both serve, so
-that replicas can change over in turns; a safety margin before the bound new requests go to the new
-version alone, and a smaller one before it those that still wait at their replicas are taken back.
+that replicas can load the new one in turns. From a safety margin before the bound, new requests go
+to the new version only; from a smaller margin, requests still waiting at replicas with older
+versions are withdrawn.
 """
 
 from dataclasses import dataclass
@@ -11,34 +12,34 @@
 from headcross_base.clocks import monotonic
 from headcross_facts.facts import Facts, VersionNotice
 
-# The version was acknowledged some time before this process learned of it, and a request takes
-# some time from here to its first token. With 0.9 and 1.1 s requests began after the bound on 6 of
-# 14 days of a simulated fleet.
+# No requests are sent to older versions within this time before the bound. It covers the delay
+# until this process learns of a version and the time from sending a request to its first token.
+# With 0.9 and 1.1 s, requests began after the bound on 6 of 14 simulated days of a fleet.
 SEND_MARGIN_SECONDS: Final = 1.6
-# What has not begun so long before the bound is taken back. By judgement, from parts: news of a
-# version rest for up to 0.23 s between two answers of the store, and through a link full of chunks
-# a request came 0.36 s late, as the reset of a connection may. What takes longer still is not
-# covered: a link that holds packets back for seconds delivers a request after its reset.
+# Requests that have not begun this long before the bound are withdrawn. It covers a delay of up to
+# 0.23 s between two answers of the store, and one of 0.36 s through a link that is full of chunks,
+# for a request and as well for the reset of its connection. Longer delays are not covered: a link
+# that holds packets back for seconds delivers a request after its reset.
 WITHDRAWAL_MARGIN_SECONDS: Final = 0.8
-# In the last moments before the bound, old versions take only what need not wait long for its
-# start: a replica may be ever less full, from the first share of its places to the second.
+# In this window before requests stop, older versions take only requests that start soon: the load
+# up to which a replica takes them falls from the first share of its slots to the second.
 CLOSING_WINDOW_SECONDS: Final = 1.0
 CLOSING_LOAD_SHARES: Final = (0.86, 0.4)
-# How long a request may be under way after its entry gave it up: squeezed links hold one for 3 s
-# and more. From so long before the bound on, a link must prove that it delivers before it takes a
-# request to an old version.
+# How long a link may deliver a request after its entry withdrew it: links with too little
+# bandwidth hold one for 3 s and more. From this long before the bound, a link must prove that it
+# delivers before a request to an older version is sent over it.
 MAX_LINK_HOLD_SECONDS: Final = 5.0
-# From so long before the bound on, old versions are not even tried where something is known to
-# have been held lately.
+# From this long before the bound, older versions are not tried at replicas whose link is known to
+# have delayed a request recently.
 ENDING_SECONDS: Final = 3.0
-# A process that starts after a version was named does not know when that was. It serves older
-# versions for so long after its start.
+# A process that starts after a version was named does not know when that was, so it uses older
+# versions for this long after its start.
 AT_START_SECONDS: Final = 2.0
 
 
 @dataclass(frozen=True, slots=True)
 class WeightsRules:
-    """The bound on old versions, applied to what this process knows."""
+    """Applies the bound on older versions to the versions that this process knows of."""
 
     facts: Facts
     bound_seconds: float
@@ -52,29 +53,29 @@
         return self._lowest(model, WITHDRAWAL_MARGIN_SECONDS)
 
     def seconds_left(self, model: str, version: int) -> float:
-        """Return for how long a version takes requests yet; infinite if no newer one is named."""
+        """Return how long a version still takes requests; infinite if no newer one is named."""
         return self._seconds_to_bound(model, version) - SEND_MARGIN_SECONDS
 
     def seconds_to_begin(self, model: str, version: int) -> float:
-        """Return for how long a request on a version may wait until it begins."""
+        """Return how long a request to a version may wait until it begins, in seconds."""
         return self._seconds_to_bound(model, version) - WITHDRAWAL_MARGIN_SECONDS
 
     def is_ending(self, model: str, version: int) -> bool:
-        """Tell whether a request that is held back for long would start after the bound."""
+        """Tell whether a request that a link delays for long could start after the bound."""
         return self._seconds_to_bound(model, version) < ENDING_SECONDS
 
     def may_arrive_past_bound(self, model: str, version: int) -> bool:
-        """Tell whether what is sent to a version now could reach its replica after the bound."""
+        """Tell whether a request sent now could reach its replica after the version's bound."""
         return self._seconds_to_bound(model, version) < MAX_LINK_HOLD_SECONDS
 
     def any_ends_within(self, seconds: float) -> bool:
-        """Tell whether a bound on older versions comes within so many seconds."""
+        """Tell whether a bound on older versions falls within the next `seconds`."""
         now = monotonic()
         notices = (n for each in self.facts.versions.values() for n in each)
         return any(0 < self._bound_at(notice) - now < seconds for notice in notices)
 
     def max_load_share(self, model: str, version: int) -> float | None:
-        """Return the share of its places that a replica may have taken; None for no bound."""
+        """Return the share of slots that a replica may have in use; None for no limit."""
         left = self.seconds_left(model, version)
         if left >= CLOSING_WINDOW_SECONDS:
             return None
@@ -87,7 +88,7 @@
         return min((self._bound_at(notice) - now for notice in newer), default=float("inf"))
 
     def _lowest(self, model: str, margin: float) -> int:
-        """Return the newest version whose bound on older ones is that near, 0 if there is none."""
+        """Return the newest version whose bound is within `margin` seconds, 0 if there is none."""
         latest = monotonic() + margin
         near = [
             n.version for n in self.facts.versions.get(model, []) if self._bound_at(n) <= latest
@@ -95,7 +96,7 @@
         return max(near, default=0)
 
     def _bound_at(self, notice: VersionNotice) -> float:
-        """Return when nothing may start any more on versions before a named one."""
+        """Return the time after which no request may begin on an older version (monotonic)."""
         if notice.at_start:
             return notice.seen_at + AT_START_SECONDS + SEND_MARGIN_SECONDS
         return notice.seen_at + self.bound_seconds
