--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -300,7 +300,7 @@
         with trio.move_on_at(until):
             return await act()
         if should_abandon():
-            raise ReplicaTimeoutError("the replica sent nothing within the time limit")
+            raise ReplicaTimeoutError("silent for too long")
         until = trio.current_time() + ABANDON_CHECK_SECONDS
 
 
--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -1,16 +1,10 @@
-"""A load takes requests only once it is known to have been whole.
+"""Tests that a replica gets requests only once its load is confirmed to be complete.
 
-What callers saw: answers made from weights of which a chunk was bad, from the second request on
-and until another version was loaded.
-
-What happens: a replica takes an order seconds after it was sent, with a chunk that has turned bad
-meanwhile. Nobody can prevent that where the replica answers nothing, or its daemon is gone.
-
-Why: entries took a replica's version as the larger of what the list and what its daemon say. A
-replica checks nothing, so neither word says that the load was whole.
-
-The evidence: on the code before, with requests every 0.1 s, all requests but the first few after
-the load ran on it, in each of these cases.
+Guards against answers from weights with a corrupt chunk. A replica may carry out an order seconds
+after it was sent, when a chunk has become corrupt; that cannot be prevented while the replica
+answers nothing or its daemon is dead. A replica does not verify its load, so neither the list nor
+the replica's report shows whether the load was complete. An entry that relied on these versions
+alone sent all but the first few requests to the bad load, until another version was loaded.
 """
 
 import hashlib
@@ -35,28 +29,28 @@
 
 ASK_SECONDS = 0.1
 WATCHED_SECONDS = 3.0
-# Within which a whole load has to take requests again.
+# Time within which a complete load must take requests again.
 SERVED_SECONDS = 10.0
 
 
 @asynccontextmanager
-async def callers_coming(site: Machines) -> AsyncIterator[list[Reply]]:
-    """Send requests to the model all the while; give the replies as they come."""
+async def steady_requests(site: Machines) -> AsyncIterator[list[Reply]]:
+    """Send requests to the model continuously; yield the list that collects the replies."""
     replies: list[Reply] = []
 
-    async def come() -> None:
+    async def send_requests() -> None:
         while True:
             replies.append(await ask(site.callers("entry0"), "/stream/x"))
             await trio.sleep(ASK_SECONDS)
 
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(come)
+        nursery.start_soon(send_requests)
         yield replies
         nursery.cancel_scope.cancel()
 
 
-def is_whole(site: Machines, load: tuple[int, list[str]]) -> bool:
-    """Tell whether a load was of one version, whole."""
+def is_complete(site: Machines, load: tuple[int, list[str]]) -> bool:
+    """Tell whether a load has exactly the chunks of its version."""
     version, digests = load
     return digests == [
         hashlib.sha256(chunk).hexdigest() for chunk in site.origin.versions[version]
@@ -64,17 +58,17 @@
 
 
 def check_answers(site: Machines) -> None:
-    """Check that no request ran on a load that was not whole."""
+    """Check that no request ran on an incomplete or corrupt load."""
     for replica in replicas_of(site, MODEL_SERVICE):
-        bad = {n for n, load in enumerate(replica.loads, start=1) if not is_whole(site, load)}
+        bad = {n for n, load in enumerate(replica.loads, start=1) if not is_complete(site, load)}
         ran = [run.id for run in replica.runs if run.load in bad]
         assert not ran, f"{len(ran)} of {len(replica.runs)} requests ran on loads {bad}"
 
 
-def check_a_load_was_bad(site: Machines) -> None:
-    """Check that the case came about."""
+def check_some_load_was_bad(site: Machines) -> None:
+    """Check that the fault occurred: at least one load was incomplete or corrupt."""
     loads = [load for r in replicas_of(site, MODEL_SERVICE) for load in r.loads]
-    assert not all(is_whole(site, load) for load in loads)
+    assert not all(is_complete(site, load) for load in loads)
 
 
 async def wait_runs(replica: FakeReplica, version: int) -> None:
@@ -85,7 +79,7 @@
 
 
 async def wait_order_kept_back(site: Machines) -> FakeReplica:
-    """Name version 2 and wait until the replica keeps its order back; return the replica."""
+    """Name version 2 and wait until the replica holds its order back; return the replica."""
     replica = model_replica(site).replica
     replica.orders_kept_back = 1
     site.name_version(2)
@@ -95,14 +89,14 @@
     return replica
 
 
-async def keep_silent(replica: FakeReplica) -> None:
-    """Have a replica answer no call of its daemon, then take its kept orders."""
+async def take_orders_after_silence(replica: FakeReplica) -> None:
+    """Have a replica answer no call of its daemon for a while, then carry out the held orders."""
     silent = True
 
-    async def say_nothing(call: object) -> bool:
+    async def answer_no_call(call: object) -> bool:
         return silent
 
-    replica.keeps_back = say_nothing
+    replica.keeps_back = answer_no_call
     await trio.sleep(STANDSTILL_SECONDS)
     replica.take_kept_orders()
     silent = False
@@ -111,20 +105,20 @@
 async def test_a_bad_load_takes_no_requests_while_its_daemon_is_gone(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
-        async with callers_coming(site):
+        async with steady_requests(site):
             replica = await kill_with_order_in_doubt(site)
             spoil(replica, 0)
             await trio.sleep(STANDSTILL_SECONDS)
             replica.take_kept_orders()
             await trio.sleep(WATCHED_SECONDS)
-        check_a_load_was_bad(site)
+        check_some_load_was_bad(site)
         check_answers(site)
 
 
 async def test_a_bad_load_takes_no_requests_once_its_daemon_is_back(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
-        async with callers_coming(site):
+        async with steady_requests(site):
             replica = await kill_with_order_in_doubt(site)
             spoil(replica, 0)
             await trio.sleep(STANDSTILL_SECONDS)
@@ -134,41 +128,41 @@
             site.name_version(3)
             await wait_loaded([replica], 3)
             await wait_runs(replica, 3)
-        check_a_load_was_bad(site)
+        check_some_load_was_bad(site)
         check_answers(site)
 
 
 async def test_a_bad_load_of_a_silent_replica_takes_no_requests(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
-        async with callers_coming(site):
+        async with steady_requests(site):
             replica = await wait_order_kept_back(site)
             spoil(replica, 0)
-            await keep_silent(replica)
+            await take_orders_after_silence(replica)
             await trio.sleep(WATCHED_SECONDS)
             site.name_version(3)
             await wait_loaded([replica], 3)
             await wait_runs(replica, 3)
-        check_a_load_was_bad(site)
+        check_some_load_was_bad(site)
         check_answers(site)
 
 
 async def test_a_whole_load_of_an_order_that_was_taken_late_takes_requests(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
-        async with callers_coming(site):
+        async with steady_requests(site):
             replica = await wait_order_kept_back(site)
-            await keep_silent(replica)
+            await take_orders_after_silence(replica)
             await wait_runs(replica, 2)
         check_loads(site)
 
 
 async def test_a_whole_load_takes_requests_after_its_daemon_was_killed(tmp_path: Path) -> None:
-    """Its daemon confirmed it before; nobody has to do so again."""
+    """The daemon confirmed the load before it was killed, which remains valid."""
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        async with callers_coming(site) as replies:
+        async with steady_requests(site) as replies:
             site.name_version(2)
             await wait_runs(replica, 2)
             site.signal("daemon0", signal.SIGKILL)
--- a/tests/test_gateway_lapsed.py
+++ b/tests/test_gateway_lapsed.py
@@ -1,4 +1,4 @@
-"""Replicas whose entries lapse while the store is away: used while they answer, then given up."""
+"""Tests replicas whose list entries lapse in a store outage: used while they answer, then not."""
 
 from pathlib import Path
 
@@ -27,7 +27,7 @@
 
 
 class Clock:
-    """The clock of all modules that matter here."""
+    """Replaces the clock of the modules under test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = monotonic()
@@ -37,13 +37,13 @@
 
 
 def report_load(directory: Directory, *, reachable: bool = True) -> None:
-    """Let the daemon beside the model replica speak."""
+    """Record a load report for the model replica."""
     address = str(MODEL_REPLICA.address)
     directory.record_report(ReplicaLoad(address, 1, reachable, False, {"m": 1}, 0, 0, 0.0, 1.0, 1))
 
 
 def directory_listing(*replicas: Replica) -> tuple[Facts, Directory]:
-    """Return what an entry knows once a list of replicas is there."""
+    """Return the facts and directory of an entry that has received a list of replicas."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     facts.take_listing(Topic.REPLICAS, Listing((), 1), 0.0, "store")
     facts.replicas.update({replica.id: replica for replica in replicas})
@@ -56,18 +56,18 @@
 
 
 def lapse(facts: Facts, directory: Directory, replica: Replica) -> None:
-    """Let the entry of a replica be gone."""
+    """Remove the list entry of a replica."""
     gone = Item(f"{names.REPLICA_PREFIX}{replica.id}", 2, None)
     facts.take_changes(Topic.REPLICAS, Changes((gone,), 2))
     directory.update()
 
 
 def state_of(directory: Directory) -> ReplicaState | None:
-    """Return the one replica that is known."""
+    """Return the only known replica, None if there is none."""
     return next(iter(directory.states()), None)
 
 
-def test_one_whose_daemon_says_that_it_answers_is_used_until_it_should_be_listed_again(
+def test_a_lapsed_replica_that_its_daemon_reaches_is_used_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock(monkeypatch)
@@ -75,7 +75,7 @@
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, MODEL_REPLICA)
     state = state_of(directory)
-    assert state is not None and state.is_gone()  # nobody says that it lives
+    assert state is not None and state.is_gone()  # no report says that it is reachable
     report_load(directory)
     assert not state.is_gone()
     report_load(directory, reachable=False)
@@ -87,7 +87,7 @@
     assert state_of(directory) is None
 
 
-def test_one_that_answered_requests_is_used_until_one_fails(
+def test_a_lapsed_replica_that_answered_requests_is_used_until_one_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     Clock(monkeypatch)
@@ -102,7 +102,9 @@
     assert state.is_gone()
 
 
-def test_one_that_is_listed_again_is_one_like_any_other(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lapsed_replica_that_is_listed_again_is_used_normally(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock = Clock(monkeypatch)
     facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
@@ -114,10 +116,10 @@
     assert state is not None and not state.is_gone()
 
 
-def test_one_that_goes_while_the_store_serves_gets_nothing_more_at_once(
+def test_a_replica_unlisted_while_the_store_serves_gets_no_more_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Some replicas never say that they leave: their entry goes, and they serve on for a while."""
+    """Some replicas leave unannounced: their entry is removed while they still serve."""
     clock = Clock(monkeypatch)
     facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
@@ -127,7 +129,9 @@
     assert state_of(directory) is None
 
 
-def test_one_that_said_it_leaves_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_draining_replica_is_not_kept_when_its_entry_lapses(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     Clock(monkeypatch)
     draining = Replica("i-model", "lm", Address("127.0.0.1", 1), "z", 8, draining=True)
     facts, directory = directory_listing(draining)
@@ -137,8 +141,8 @@
     assert state_of(directory) is None
 
 
-async def test_requests_are_served_while_entries_that_lapsed_come_back(tmp_path: Path) -> None:
-    """All entries had lapsed: nobody was served from the store's return until they were back."""
+async def test_requests_are_served_while_lapsed_entries_are_listed_again(tmp_path: Path) -> None:
+    """Guards against refusals from the store's return until lapsed entries are listed again."""
     async with small_site(tmp_path, models=0) as site:
         entry = site.callers("entry0")
         for _ in range(4):
@@ -150,7 +154,7 @@
         for replica in replicas_of(site, PLAIN_SERVICE):
             site.unlist(site.replicas[replica.id])
         site.store.set_mood(Mood.WELL)
-        # The state tells when the news are here; the log line may be one too many in its second.
+        # Wait for the state rather than a log line, which rate limiting may suppress.
         with trio.fail_after(15):
             while (await site.state("entry0"))["replicas"]:
                 assert (await ask(entry, "/again/x")).status == 200
--- a/tests/test_gateway_linkproofs.py
+++ b/tests/test_gateway_linkproofs.py
@@ -1,4 +1,4 @@
-"""The proof that a connection delivers, before a request to old weights is sent on it."""
+"""Tests the proof that a connection delivers before a request to old weights is sent on it."""
 
 from collections.abc import AsyncIterator, Awaitable, Callable
 from contextlib import asynccontextmanager
@@ -24,7 +24,7 @@
 
 @asynccontextmanager
 async def connection_to(serve: Serve) -> AsyncIterator[HttpConnection]:
-    """Connect to a replica that does as it is told with what comes."""
+    """Connect to a replica that handles its connections with `serve`."""
     async with trio.open_nursery() as nursery:
         listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
         nursery.start_soon(trio.serve_listeners, serve, listeners)
@@ -46,17 +46,17 @@
     await stream.send_all(head + b"{}")
 
 
-async def say_nothing(stream: trio.SocketStream) -> None:
+async def never_answer(stream: trio.SocketStream) -> None:
     while await stream.receive_some():
         pass
 
 
-async def close(stream: trio.SocketStream) -> None:
+async def close_unanswered(stream: trio.SocketStream) -> None:
     await stream.receive_some()
 
 
 def proofs(age: float = BOUND_SECONDS) -> LinkProofs:
-    """Return the proofs of an entry that learned of version 2 so many seconds ago."""
+    """Return the proofs of an entry that learned of version 2 `age` seconds ago."""
     return LinkProofs(rules([VersionNotice(2, monotonic() - age, False)]), PlatformDialect())
 
 
@@ -78,26 +78,27 @@
 
 
 async def test_a_connection_that_answers_may_carry_a_request_after_its_proof() -> None:
-    taken = proofs()
+    link_proofs = proofs()
     async with connection_to(answer_all) as connection:
-        await taken.take(connection)
+        await link_proofs.take(connection)
         await connection.send("GET", "/", [], b"")
         assert (await connection.receive_answer()).status == 200
-    assert (taken.asked, taken.missed) == (1, 0)
+    assert (link_proofs.asked, link_proofs.missed) == (1, 0)
 
 
 @pytest.mark.parametrize(
-    ("serve", "silent"), [(say_nothing, True), (close, False), (answer_and_close, False)]
+    ("serve", "silent"),
+    [(never_answer, True), (close_unanswered, False), (answer_and_close, False)],
 )
 async def test_a_connection_without_its_proof_carries_no_request(
     serve: Serve, silent: bool
 ) -> None:
-    taken = proofs()
+    link_proofs = proofs()
     async with connection_to(serve) as connection:
         with pytest.raises(LinkUnprovenError) as raised:
-            await taken.take(connection)
+            await link_proofs.take(connection)
     assert raised.value.silent == silent
-    assert (taken.asked, taken.missed) == (1, int(silent))
+    assert (link_proofs.asked, link_proofs.missed) == (1, int(silent))
 
 
 def test_a_replica_whose_link_is_not_proven_is_left_alone_after_the_second_time() -> None:
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -1,4 +1,4 @@
-"""Places at replicas: who gets them, how many an entry takes, who is sent away."""
+"""Tests slots at replicas: which request gets one, how many an entry uses, and refusals."""
 
 from dataclasses import replace
 
@@ -30,7 +30,7 @@
 
 
 def model_replica_state(name: str, version: int, busy: int) -> ReplicaState:
-    """Return a replica of a model whose daemon told its load a moment ago."""
+    """Return a replica of a model whose daemon has just reported its load."""
     address = Address("127.0.0.1", 1 + len(name))
     replica = Replica(name, "lm", address, "z", 8, False, (LoadedModel("m", version),))
     load = ReplicaLoad(str(address), 1, True, False, {"m": version}, busy, 0, 0.0, 1.0, 5)
@@ -39,7 +39,7 @@
 
 
 def report_now(directory: Directory, load: ReplicaLoad, now: float) -> None:
-    """Have a replica's load told; what the entry subscribed with came through just before."""
+    """Record a load report that acknowledges a subscription sent at `now`."""
     directory.record_report(msgspec.structs.replace(load, subscribed_ms=int(now * 1000)))
 
 
@@ -48,14 +48,14 @@
     [
         (5.0, 8, None, False),
         (5.0, 6, None, True),
-        # From 5.4 s on, it takes ever less: 0.81 of its 8 places here, 0.45 of them there.
+        # From 5.4 s on, the allowed share of its 8 slots falls: 0.81 here, 0.45 at 6.3 s.
         (5.5, 7, None, False),
         (5.5, 6, None, True),
         (6.3, 4, None, False),
         (6.3, 3, None, True),
         (6.5, 2, None, False),
         (9.0, 0, None, False),
-        # A stream that began on the old version does not go on with it either.
+        # A stream that began on the old version is not resumed on it either.
         (5.0, 2, 1, True),
         (6.3, 6, 1, True),
         (6.5, 0, 1, False),
@@ -65,7 +65,7 @@
 def test_shortly_before_the_bound_an_old_version_takes_only_what_starts_at_once(
     age: float, busy: int, exact: int | None, taken: bool
 ) -> None:
-    """A request that waited at its replica started on an old version after the bound (VERSION)."""
+    """Guards against a request that waits at its replica and begins after the bound."""
     state = model_replica_state("old", 1, busy)
     weights_rules = rules([VersionNotice(2, monotonic() - age, False)])
     directory = Directory(weights_rules.facts)
@@ -84,7 +84,7 @@
 def test_shortly_before_the_bound_nothing_goes_where_requests_were_held_back_lately(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A squeezed link delivered a request 2 s late: after the bound, on old weights (VERSION)."""
+    """Guards against a slow link that delivers a request 2 s late, after the bound."""
     start = monotonic()
     now = start
     for module in ("health", "directory", "replicastate", "weightsrules"):
@@ -104,14 +104,14 @@
         replica_state = directory.serving("lm")[0]
         replica_state.health.note_silence()
         replica_state.health.note_failure(certain=False)
-        replica_state.health.note_success()  # one that came through proves nothing
+        replica_state.health.note_success()  # a later success is no proof that the link delivers
         now = start + moment
         assert state.last_report is not None
         report_now(directory, state.last_report.load, now)
         requirements = Requirements("lm", "m", None, (), True)
         taken[moment, silent_at] = picker.pick(requirements, configuration) is not None
         replica_state.health = Health()
-    # The bound is 7 s after the start here; 3 s before it begins the time that counts.
+    # The bound is 7 s after the start here; links are judged from 3 s before it.
     assert taken == {(3.9, 2.0): True, (4.1, 2.0): False, (4.9, 2.0): False, (4.9, 1.8): True}
 
 
@@ -122,9 +122,9 @@
 def test_shortly_before_the_bound_nothing_goes_where_the_link_does_not_deliver_in_time(
     age: float, subscribed_ago: float, taken: bool
 ) -> None:
-    """A squeezed link delivered a request 3 s late, though its daemon told its load all the time.
+    """Guards against a slow link that delivers a request 3 s late while load reports arrive.
 
-    The entry that sent it had not met the silence itself: other entries had.
+    The entry that sent the request had seen no time-out itself; only other entries had.
     """
     weights_rules = rules([VersionNotice(2, monotonic() - age, False)])
     directory = Directory(weights_rules.facts)
@@ -143,7 +143,7 @@
 
 @pytest.mark.parametrize(
     ("age", "waited", "taken"),
-    # What has not begun 0.8 s before the bound of 8 s is withdrawn.
+    # A request that has not begun 0.8 s before the bound of 8 s is withdrawn.
     [(2.0, 5.0, True), (2.0, 5.5, False), (6.0, 1.0, True), (6.0, 1.4, False), (6.3, 0.5, True)],
 )
 def test_nothing_goes_to_old_weights_where_it_would_wait_until_it_is_withdrawn(
@@ -178,7 +178,7 @@
 def test_a_replica_that_is_about_to_load_gets_nothing_even_if_it_is_the_last(
     exact: int | None,
 ) -> None:
-    """Broken streams went back to replicas that were loading, and spent the retries there."""
+    """Guards against broken streams that spend their retries at replicas that are loading."""
     state = model_replica_state("old", 1, 0)
     weights_rules = rules([VersionNotice(2, monotonic() - 5.6, False)])
     weights_rules.facts.replicas["old"] = state.replica
@@ -196,7 +196,7 @@
 
 
 def test_entries_do_not_rush_to_a_replica_that_has_become_free() -> None:
-    """Requests rushed to a replica that had just loaded and began 1.5 s later (VERSION)."""
+    """Guards against too many requests at a replica that has just loaded: they wait 1.5 s."""
     entries = [model_replica_state("fresh", 2, 0) for _ in range(5)]
     placed = 0
     for state in entries:
@@ -210,7 +210,7 @@
         assert state.has_room()
 
 
-async def test_places_go_by_priority_then_to_whoever_has_least_time(
+async def test_slots_go_by_priority_then_by_earliest_deadline(
     mock_clock: trio.testing.MockClock,
 ) -> None:
     mock_clock.autojump_threshold = 0
@@ -267,27 +267,27 @@
     assert meter.rate("never asked for") == 0.0
 
 
-def test_an_entry_that_hears_nothing_keeps_to_its_part_of_the_places() -> None:
-    """After a restart each entry had filled every replica by itself: requests queued for 2 s."""
+def test_an_entry_without_valid_reports_keeps_to_its_share_of_the_slots() -> None:
+    """Guards against entries that each fill all slots after a restart: requests queue for 2 s."""
     last_report = model_replica_state("r", 1, 0).last_report
     assert last_report is not None
     old = replace(last_report, at=monotonic() - 2 * REPORT_VALID_SECONDS)
-    for heard in (None, old):
-        for share, places in ((0.0, 1), (0.5, 4), (1.0, 8)):  # of 8 places
+    for report in (None, old):
+        for share, expected_slots in ((0.0, 1), (0.5, 4), (1.0, 8)):  # of 8 places
             state = model_replica_state("r", 1, 0)
-            state.last_report, state.own_share = heard, share
-            assert places_taken(state) == places
+            state.last_report, state.own_share = report, share
+            assert fill_slots(state) == expected_slots
 
 
-def places_taken(state: ReplicaState) -> int:
-    """Return how many requests one entry places there without hearing anything more."""
+def fill_slots(state: ReplicaState) -> int:
+    """Fill the replica without further reports; return how many requests one entry sends."""
     while state.has_room():
         state.reserve_slot()
     return state.in_flight
 
 
-def test_a_lasting_overload_sends_callers_away_for_longer() -> None:
-    """Callers that came back into the same overload were refused twice, for good."""
+def test_a_lasting_overload_gives_longer_retry_after_times() -> None:
+    """Guards against callers that return during the same overload and are refused again."""
     now = 0.0
     overload = Overload()
     overload.measure(now)
@@ -297,17 +297,17 @@
             overload.note_request("lm", returning=False)
         for _ in range(refused):
             overload.note_refused("lm", returning=False)
-        now += 100.0  # what was before has faded
+        now += 100.0  # earlier refusals no longer count
         overload.measure(now)
         waits.append([overload.come_back_seconds("lm") for _ in range(200)])
     means = [sum(each) / len(each) for each in waits]
     assert means == sorted(means) and means[2] > 2 * means[0]
     assert all(0 < seconds <= COME_BACK_LATER_SECONDS for each in waits for seconds in each)
-    # They do not come back all at once.
+    # The times vary, so that callers do not return all at once.
     assert all(len(set(each)) > 1 for each in waits)
 
 
-def test_requests_that_ended_do_not_use_up_what_may_be_placed_until_the_next_word() -> None:
+def test_ended_requests_do_not_use_up_the_allowance_until_the_next_report() -> None:
     state = model_replica_state("idle", 1, 0)
     assert state.last_report is not None
     for _ in range(3):
--- a/tests/test_gateway_rules.py
+++ b/tests/test_gateway_rules.py
@@ -1,4 +1,4 @@
-"""Which versions and which replicas may take a request: bounds and rests."""
+"""Tests which versions and replicas may take a request: bounds on versions and ejection."""
 
 from collections.abc import Callable
 
@@ -18,7 +18,7 @@
 
 
 def rules(notices: list[VersionNotice]) -> WeightsRules:
-    """Return the rules after some versions were named."""
+    """Return the rules of a process that knows of some named versions."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     facts.versions["m"] = notices
     return WeightsRules(facts, 8.0)
@@ -45,7 +45,9 @@
     assert both.lowest_allowed("m") == 3
 
 
-def test_one_failure_is_no_verdict_and_a_rest_grows(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_single_failure_does_not_eject_and_ejections_grow(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock: Callable[[], float] = lambda: 10.0  # noqa: E731
     monkeypatch.setattr("headcross_gateway.health.monotonic", lambda: clock())
     health = Health()
@@ -66,12 +68,11 @@
 def test_near_the_bound_nothing_goes_over_a_link_that_has_not_shown_that_it_delivers(
     exact: int | None,
 ) -> None:
-    """Neither a new stream nor one that goes on.
+    """Guards against a resumed stream that begins past the bound on its weights.
 
-    A stream broke at its replica 1.9 s before the bound on its weights and was sent to another one
-    with the same weights, whose link was full. It was given up after 1.1 s of silence; the link
-    delivered it all the same and the replica began it 0.27 s past the bound. The moments are the
-    replica's and the entry's own; new streams were not sent over that link by then.
+    A stream broke 1.9 s before the bound and was resumed at a replica with the same weights, over
+    a full link. It was withdrawn after 1.1 s without data, but the link delivered it later and the
+    replica began it 0.27 s past the bound. New streams were already kept off that link.
     """
     weights = rules([VersionNotice(2, monotonic() - 8.0 + ENDING_SECONDS - 0.1, False)])
     service = Service("lm", 100, WeightsLayout(("m",), 1, 1))
@@ -85,14 +86,14 @@
     picker = Picker("z", directory, weights)
     requirements = Requirements("lm", "m", exact, (), True)
 
-    def hear(subscribed_seconds_ago: float) -> None:
+    def report_load(subscribed_seconds_ago: float) -> None:
         sent_ms = int((monotonic() - subscribed_seconds_ago) * 1000)
-        word = ReplicaLoad(
+        load = ReplicaLoad(
             str(address), 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1, subscribed_ms=sent_ms
         )
-        directory.record_report(word)
+        directory.record_report(load)
 
-    hear(LINK_DELIVERY_SECONDS + 1.0)
+    report_load(LINK_DELIVERY_SECONDS + 1.0)
     assert picker.pick(requirements, configuration) is None
-    hear(0.1)
+    report_load(0.1)
     assert picker.pick(requirements, configuration) is not None
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -1,4 +1,4 @@
-"""Streams on their way to the caller: every event once, in order, whole."""
+"""Tests streams to the caller: every event once, in order and complete."""
 
 import pytest
 import trio
@@ -27,7 +27,7 @@
 
 
 class FakeExchange:
-    """Keeps what a relay sends."""
+    """Records what a relay sends."""
 
     def __init__(self) -> None:
         self.sent = b""
@@ -35,22 +35,22 @@
         self.finished = False
 
     async def start(self, status: int, headers: Headers) -> None:
-        """Take a head."""
+        """Record the head."""
         await trio.lowlevel.checkpoint()
         self.head = headers
 
     async def send(self, data: bytes) -> None:
-        """Take a piece, like a socket that is a checkpoint first."""
+        """Record data; like a socket, this is a checkpoint before anything is sent."""
         await trio.lowlevel.checkpoint()
         self.sent += data
 
     async def finish(self) -> None:
-        """Take the end."""
+        """Record the end of the answer."""
         self.finished = True
 
 
 class ScriptedConnection:
-    """A connection to a replica that plays pieces at given times."""
+    """A connection to a replica that delivers given pieces and then advances the clock."""
 
     def __init__(self, clock: trio.testing.MockClock, pieces: list[bytes], jump: float) -> None:
         self.address = Address("127.0.0.1", 1)
@@ -60,7 +60,7 @@
         self._jump = jump
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Take a request."""
+        """Record the headers of a request."""
         self.sent_headers = headers
 
     async def receive_answer(self) -> Answer:
@@ -68,14 +68,14 @@
         return Answer(200, [(names.REQUEST_ID, "r"), (names.SEAL, "s")])
 
     async def receive_piece(self) -> bytes | None:
-        """Return the next piece, after which time is suddenly up."""
+        """Advance the clock and return the next piece; wait forever after the last."""
         if not self._pieces:
             await trio.sleep_forever()
         self._clock.jump(self._jump)
         return self._pieces.pop(0)
 
     def reusable(self) -> bool:
-        """Tell that it may be used again."""
+        """Return True: the connection may be reused."""
         return True
 
     async def close(self) -> None:
@@ -86,15 +86,15 @@
 
 
 def make_replica_state() -> ReplicaState:
-    """Return a replica."""
+    """Return the state of a plain replica."""
     return ReplicaState(Replica("i", "s", Address("127.0.0.1", 1), "z", 8, draining=False))
 
 
 @pytest.mark.parametrize("jump", [0.0, 1.5, 1.6, 1.7])
-async def test_an_event_counted_as_the_caller_s_is_sent_whenever_patience_ends(
+async def test_an_event_counted_as_delivered_is_sent_whenever_the_time_out_ends(
     jump: float, mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The limit on a replica's silence must not cut the sending of what has come (ORDER)."""
+    """The time-out on a replica must not interrupt sending events that were received."""
     mock_clock.autojump_threshold = 0
     exchange = FakeExchange()
     relay = StreamRelay(exchange, None)  # type: ignore[arg-type]
@@ -123,7 +123,7 @@
 async def test_a_replica_is_told_the_time_that_is_left_once_its_connection_is_open(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """The time was counted when the replica was chosen, up to 0.6 s before it was sent."""
+    """Guards against counting the time when the replica is picked, up to 0.6 s before sending."""
     proofs = LinkProofs(rules([]), PlatformDialect())
     attempts = Attempts(PlatformDialect(), UnbegunAttempts(rules([])), proofs)
     connection = ScriptedConnection(autojump_clock, [], 0.0)
@@ -142,8 +142,8 @@
         None,
         fresh=True,
     )
-    told = dict(connection.sent_headers)[names.DEADLINE_MS]
-    assert int(told) == pytest.approx(4500, abs=1)
+    deadline_ms = dict(connection.sent_headers)[names.DEADLINE_MS]
+    assert int(deadline_ms) == pytest.approx(4500, abs=1)
 
 
 @pytest.mark.parametrize(
--- a/tests/test_gateway_subsetting.py
+++ b/tests/test_gateway_subsetting.py
@@ -1,4 +1,4 @@
-"""Subsets of replicas: bounded, stable, evenly spread; what they mean for places and counts."""
+"""Tests subsets of replicas: bounded, stable, evenly spread; their use in picking and counting."""
 
 import random
 from collections import Counter
@@ -35,7 +35,7 @@
 
 
 def fleet(zones: int, in_each: int) -> list[Replica]:
-    """Return model replicas, so many in each zone."""
+    """Return model replicas, `in_each` in each zone."""
     return [
         Replica(
             f"i-{zone}-{number}",
@@ -52,7 +52,7 @@
 
 
 def directory_of(replicas: list[Replica], host: str = "entry-0") -> Directory:
-    """Return what an entry in the first zone knows of a fleet."""
+    """Return the directory of an entry in the first zone, with its subset chosen."""
     facts = rules([]).facts
     facts.configuration = CONFIGURATION
     facts.replicas.update({replica.id: replica for replica in replicas})
@@ -63,7 +63,7 @@
 
 
 def usable(replica: Replica) -> bool:
-    """Take every replica for usable."""
+    """Treat every replica as usable."""
     return bool(replica.id)
 
 
@@ -81,15 +81,15 @@
 
 def test_entries_are_spread_over_the_replicas_and_keep_theirs_when_one_leaves() -> None:
     replicas = fleet(5, 12)
-    told: Counter[str] = Counter()
+    subset_counts: Counter[str] = Counter()
     for number in range(35):
         zone = f"z{number % 5}"
         chosen = choose_subset(f"entry-{number}", zone, replicas, usable)
-        told.update(chosen)
+        subset_counts.update(chosen)
         left = choose_subset(f"entry-{number}", zone, replicas[1:], usable)
         assert len(chosen - left - {replicas[0].id}) == 0
-    assert len(told) == len(replicas)
-    assert max(told.values()) <= 20  # 14 in the mean; all 35 heard every replica before
+    assert len(subset_counts) == len(replicas)
+    assert max(subset_counts.values()) <= 20  # the mean is 14; without subsets it would be 35
 
 
 def test_what_serves_and_answers_is_chosen_before_what_does_not() -> None:
@@ -115,14 +115,14 @@
     directory.choose_subset()
     assert not state.in_subset
     assert len(directory.subset_daemons()) == SUBSET_SIZE
-    state.last_report = None  # it is not listened to any more
+    state.last_report = None  # the entry no longer receives its reports
     now += SUBSET_EXCLUSION_SECONDS + 0.1
     directory.choose_subset()
     assert state.in_subset
 
 
 def test_a_replica_outside_of_the_subset_is_the_last_resort() -> None:
-    """Nothing is known of its load: taken for empty, it came before every busy one."""
+    """Guards against treating a replica of unknown load as empty and picking it first."""
     directory = directory_of(fleet(5, 12))
     picker = Picker("z0", directory, WeightsRules(rules([]).facts, 8.0))
     inside = [state for state in directory.states() if state.in_subset]
@@ -145,13 +145,16 @@
 def test_entries_are_counted_though_each_daemon_hears_another_number_of_them(
     zones: int, in_each: int, entries: int
 ) -> None:
-    """By the daemon heard last, 11 entries were 8 to 15, and narrow links mirrored by turns."""
+    """Guards against an estimate by the last report alone, as 8 to 15 for 11 entries.
+
+    With such an estimate, slow links were mirrored only intermittently.
+    """
     replicas = fleet(zones, in_each)
     listeners: Counter[str] = Counter()
     for number in range(entries):
         listeners.update(choose_subset(f"entry-{number}", f"z{number % zones}", replicas, usable))
     directory = directory_of(replicas)
-    assert directory.estimate_entries() is None  # nobody was heard yet
+    assert directory.estimate_entries() is None  # there are no reports yet
     for replica in replicas:
         count = listeners[replica.id]
         load = (str(replica.address), 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, count)
@@ -166,8 +169,8 @@
     assert estimate is not None and entries <= estimate <= entries * 1.15
 
 
-def test_many_entries_together_place_no_more_than_a_few_between_two_words() -> None:
-    """Each of 35 entries placed one request at every replica that seemed free."""
+def test_many_entries_together_place_only_a_few_requests_between_two_reports() -> None:
+    """Guards against each of 35 entries sending a request to every replica that seems free."""
     placed = sum(draw_allowance(35) for _ in range(35 * 1000)) / 1000
     assert 0.9 * MAX_PLACED_BETWEEN_REPORTS < placed < 1.1 * MAX_PLACED_BETWEEN_REPORTS
     state = next(iter(directory_of(fleet(1, 1)).states()))
@@ -178,21 +181,21 @@
 
 
 @given(st.integers(0, 200), st.integers(1, 1000), st.randoms(use_true_random=False))
-def test_two_rounds_tell_every_daemon_once_though_their_order_changes(
+def test_two_rounds_cover_every_daemon_once_in_any_order(
     count: int, first: int, generator: random.Random
 ) -> None:
-    """By their place in the list, a daemon was left out for three rounds when the list changed."""
+    """Guards against rounds by list position, which skip a daemon when the list changes."""
     daemons = [Address(f"10.0.{number // 250}.{number % 250 + 1}", 80) for number in range(count)]
     shuffled = generator.sample(daemons, count)
-    told = [*every_other(daemons, first), *every_other(shuffled, first + 1)]
-    assert sorted(told) == sorted(daemons)
+    covered = [*every_other(daemons, first), *every_other(shuffled, first + 1)]
+    assert sorted(covered) == sorted(daemons)
 
 
-def test_an_entry_hears_most_daemons_once_half_of_its_subset_has_spoken() -> None:
+def test_an_entry_has_most_reports_once_half_of_its_subset_has_reported() -> None:
     assert directory_of([]).has_most_reports()  # there are none
     replicas = fleet(zones=1, in_each=4)
     directory = directory_of(replicas)
     for replica, expected in zip(replicas, (False, True, True, True), strict=True):
-        word = ReplicaLoad(str(replica.address), 1, True, False, {}, 0, 0, 0.0, 1.0, 1)
-        directory.record_report(word)
+        load = ReplicaLoad(str(replica.address), 1, True, False, {}, 0, 0, 0.0, 1.0, 1)
+        directory.record_report(load)
         assert directory.has_most_reports() is expected
--- a/tests/test_held_links.py
+++ b/tests/test_held_links.py
@@ -1,4 +1,4 @@
-"""Requests to old weights over links that hold them and deliver them after their withdrawal."""
+"""Tests requests to old weights over links that delay them until after their withdrawal."""
 
 import random
 import signal
@@ -20,17 +20,17 @@
 BOUND_SECONDS = 6.0
 
 LAST_SENDING_SECONDS = BOUND_SECONDS - SEND_MARGIN_SECONDS
-# Links begin to hold from so long before the last sending until so long after it.
-BEFORE_SECONDS = 3.0
-AFTER_SECONDS = 0.5
+# Range of the times, around the last sending, at which links begin to hold.
+HOLD_BEFORE_SECONDS = 3.0
+HOLD_AFTER_SECONDS = 0.5
 LINKS = 4
-DRAWS = range(7310, 7320)
+SEEDS = range(7310, 7320)
 CALLER_GAP_SECONDS = 0.05
-RELEASED_SECONDS = BOUND_SECONDS + 0.3
+RELEASE_SECONDS = BOUND_SECONDS + 0.3
 
 
 class Daemons(Enum):
-    """What is beside the replicas while their links hold."""
+    """The state of the replicas' daemons while the links hold."""
 
     NONE = "none"
     OTHER_LINK = "speak over another link"
@@ -39,7 +39,7 @@
 
 
 async def put_links(site: Machines, *, daemons: bool) -> dict[HeldLink, ListedReplica]:
-    """Have entries reach each replica of the model over a link of its own; return the links."""
+    """List each replica of the model behind a link of its own; return the links."""
     links: dict[HeldLink, ListedReplica] = {}
     for listed in site.replicas.values():
         if listed.service != MODEL_SERVICE:
@@ -65,7 +65,7 @@
 
 
 async def call_until(site: Machines, moment: float) -> list[Reply]:
-    """Send streams that may and that may not be repeated, until a moment (trio's clock)."""
+    """Send repeatable and non-repeatable streams in turn until `moment` (trio's clock)."""
     replies: list[Reply] = []
 
     async def call(path: str) -> None:
@@ -81,35 +81,35 @@
 
 
 def late_runs(links: dict[HeldLink, ListedReplica], named_at: float) -> list[float]:
-    """Return when runs on old weights began after the bound, in seconds since the naming."""
+    """Return when runs began after the bound, in seconds since the new version was named."""
     began = [run.began_at for listed in links.values() for run in listed.replica.runs]
     return [round(at - named_at, 2) for at in began if at - named_at > BOUND_SECONDS]
 
 
-def quieten(site: Machines, daemons: Daemons) -> None:
-    """Have the daemons of a site stand still or end, where that is asked."""
+def stop_daemons(site: Machines, daemons: Daemons) -> None:
+    """Suspend or kill the daemons of a site, as `daemons` says."""
     number = {Daemons.SILENT: signal.SIGSTOP, Daemons.DEAD: signal.SIGKILL}.get(daemons)
     for name, machine in site.machines.items():
         if number is not None and machine.role == "upstream":
             site.signal(name, number)
 
 
-async def play_held_links(tmp_path: Path, seed: int, daemons: Daemons) -> None:
-    """Have each link hold from a drawn moment on; check that nothing begins late."""
-    draw = random.Random(seed)
-    moments = [draw.uniform(-BEFORE_SECONDS, AFTER_SECONDS) for _ in range(LINKS)]
+async def check_held_links(tmp_path: Path, seed: int, daemons: Daemons) -> None:
+    """Have each link hold from a random moment on; check that no request begins late."""
+    generator = random.Random(seed)
+    moments = [generator.uniform(-HOLD_BEFORE_SECONDS, HOLD_AFTER_SECONDS) for _ in range(LINKS)]
     async with small_site(
         tmp_path, models=LINKS, plain=0, weights_ms=1000 * BOUND_SECONDS
     ) as site:
         links = await put_links(site, daemons=daemons is not Daemons.NONE)
         named_at = trio.current_time()
         name_version_without_weights(site, 2)
-        quieten(site, daemons)
+        stop_daemons(site, daemons)
 
         async def hold(link: HeldLink, moment: float) -> None:
             await trio.sleep_until(named_at + LAST_SENDING_SECONDS + moment)
             await link.hold_between_requests()
-            await trio.sleep_until(named_at + RELEASED_SECONDS)
+            await trio.sleep_until(named_at + RELEASE_SECONDS)
             link.release()
 
         async with trio.open_nursery() as nursery:
@@ -122,28 +122,28 @@
 
 
 @pytest.mark.parametrize("daemons", [Daemons.NONE, Daemons.OTHER_LINK])
-@pytest.mark.parametrize("seed", DRAWS)
+@pytest.mark.parametrize("seed", SEEDS)
 async def test_no_request_begins_late_on_old_weights_whenever_its_link_begins_to_hold(
     tmp_path: Path, seed: int, daemons: Daemons
 ) -> None:
-    """What a link holds is delivered after its withdrawal, and begins on old weights."""
-    await play_held_links(tmp_path, seed, daemons)
+    """Guards against a held request that is delivered after its withdrawal and begins late."""
+    await check_held_links(tmp_path, seed, daemons)
 
 
 @pytest.mark.parametrize("daemons", [Daemons.SILENT, Daemons.DEAD])
-@pytest.mark.parametrize("seed", DRAWS[:3])
+@pytest.mark.parametrize("seed", SEEDS[:3])
 async def test_no_request_begins_late_on_old_weights_over_a_held_link_without_its_daemon(
     tmp_path: Path, seed: int, daemons: Daemons
 ) -> None:
-    """A daemon that tells no more what comes through leaves the links unwatched."""
-    await play_held_links(tmp_path, seed, daemons)
+    """Without load reports, an entry cannot see from its subscriptions whether a link delivers."""
+    await check_held_links(tmp_path, seed, daemons)
 
 
 @pytest.mark.parametrize("daemons", [Daemons.NONE, Daemons.OTHER_LINK])
 async def test_callers_are_served_by_old_weights_until_shortly_before_the_bound(
     tmp_path: Path, daemons: Daemons
 ) -> None:
-    """Links that deliver cost no caller an answer."""
+    """Over links that deliver, every request is answered."""
     async with small_site(
         tmp_path, models=LINKS, plain=0, weights_ms=1000 * BOUND_SECONDS
     ) as site:
@@ -158,7 +158,7 @@
 async def test_a_request_whose_link_holds_right_behind_its_proof_does_not_begin_late(
     tmp_path: Path,
 ) -> None:
-    """A link begins to hold within the round trip between a proof and the request behind it."""
+    """The link begins to hold right after the proof, before the request is sent."""
     async with small_site(tmp_path, models=1, plain=0, weights_ms=1000 * BOUND_SECONDS) as site:
         links = await put_links(site, daemons=False)
         (link,) = links
@@ -168,7 +168,7 @@
         link.hold_behind_next_proof()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(ask, site.callers("entry0"), STRICT)
-            await trio.sleep_until(named_at + RELEASED_SECONDS)
+            await trio.sleep_until(named_at + RELEASE_SECONDS)
             link.release()
         await trio.sleep(0.5)
         late = late_runs(links, named_at)
--- a/tests/test_incarnations_requests.py
+++ b/tests/test_incarnations_requests.py
@@ -1,4 +1,4 @@
-"""Requests and daemons at the moment in which a replica starts again under its id."""
+"""Tests requests and daemons while a replica restarts under the same id."""
 
 import signal
 from pathlib import Path
@@ -17,13 +17,13 @@
 
 
 def runs_of(site: Machines, request_id: str) -> list[Run]:
-    """Return how often a request ran, at any replica and in any life."""
+    """Return the runs of a request at all replicas and in all their incarnations."""
     listed = site.replicas.values()
     return [run for each in listed for run in each.replica.runs if run.id == request_id]
 
 
 async def wait_active(replicas: list[ListedReplica]) -> ListedReplica:
-    """Wait until one of some replicas works on a request."""
+    """Wait until one of the replicas works on a request; return it."""
     with trio.fail_after(LOADED_SECONDS):
         while True:
             for listed in replicas:
@@ -33,7 +33,7 @@
 
 
 async def ask_while_restarting(site: Machines, path: str) -> Reply:
-    """Ask for a path, and have the replica that works on it start again under its id."""
+    """Request a path and restart the replica that works on it, under the same id."""
     service = MODEL_SERVICE if path in ("/stream/x", "/strict/x") else PLAIN_SERVICE
     replicas = [listed for listed in site.replicas.values() if listed.service == service]
     for listed in replicas:
@@ -74,7 +74,7 @@
 async def test_a_replica_that_starts_again_while_its_daemon_is_silent_gets_nothing_until_filled(
     tmp_path: Path,
 ) -> None:
-    """The entry hears of the later life from the list only; the daemon's last word is old."""
+    """The entry learns of the new incarnation from the list only; the last report is old."""
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         first, second = listed_models(site)
--- a/tests/test_machine_attempts.py
+++ b/tests/test_machine_attempts.py
@@ -1,7 +1,8 @@
-"""Every way an attempt at a replica can end, and what the caller is told.
+"""Tests every way an attempt at a replica can end, and the answer to the caller.
 
-One entry as a real process, replicas that misbehave on demand. For each fault and each kind of
-route: how often the request ran, what the caller got, and that a promise of "not run" is true.
+One entry runs as a real process, with replicas that inject faults on demand. The tests check, for
+each fault and kind of route, how often the request ran, what the caller got, and that a verdict of
+"not run" is true.
 """
 
 from collections import Counter
@@ -18,7 +19,7 @@
 from testing.machines import Machines, replicas_of, small_site
 from testing.platformreplica import FakeReplica, Fault
 
-PROMISES = (429, 503, 408, 421)
+NOT_RUN_STATUSES = (429, 503, 408, 421)
 RAN_AND_LOST = [
     Fault.RESET_BEFORE_HEAD,
     Fault.CLOSE_BEFORE_HEAD,
@@ -44,7 +45,7 @@
 
 
 def all_plain(site: Machines, fault: Fault) -> list[FakeReplica]:
-    """Have every plain replica misbehave once; return them."""
+    """Inject a fault once at every plain replica; return the replicas."""
     replicas = replicas_of(site, PLAIN_SERVICE)
     for replica in replicas:
         replica.faults.append(fault)
@@ -54,7 +55,7 @@
 async def ask_until_used(
     site: Machines, replica: FakeReplica, path: str, body: bytes = b"hello"
 ) -> list[Reply]:
-    """Ask until the faults of a replica are used up; entries choose with a little chance."""
+    """Send requests until the faults of a replica are used up; picking is partly random."""
     replies: list[Reply] = []
     with trio.fail_after(20):
         while replica.faults:
@@ -63,7 +64,7 @@
 
 
 def is_own_whole_answer(reply: Reply, body: bytes) -> bool:
-    """Tell whether a caller got its own answer, whole and signed."""
+    """Tell whether a caller got its own answer, complete and sealed."""
     own = reply.headers.get(names.REQUEST_ID) == reply.id
     return reply.status == 200 and reply.whole and reply.sealed and own and reply.body == body
 
@@ -107,7 +108,7 @@
     async with small_site(tmp_path) as site:
         replicas = replicas_of(site, PLAIN_SERVICE)
         for replica in replicas:
-            replica.draining = True  # it refuses, and the list does not say so yet
+            replica.draining = True  # it refuses, but is still listed as ready
         reply = await ask(site.callers("entry0"), "/once/x")
         assert reply.status == 503
         assert float(reply.headers[names.RETRY_AFTER]) > 0
@@ -174,7 +175,7 @@
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.faults.append(Fault.STALL)
         reply = await ask(site.callers("entry0"), "/stream/x", deadline_ms=6000)
-        # The second attempt stalls too; the third event comes from nobody in time.
+        # The second attempt stalls too, so the stream is not completed in time.
         assert not reply.whole
         runs = runs_of(replicas_of(site, MODEL_SERVICE))
         assert runs[reply.id] == 2
@@ -250,7 +251,7 @@
 async def test_a_stream_that_pauses_is_waited_for_while_no_other_replica_could_go_on_with_it(
     tmp_path: Path,
 ) -> None:
-    """It was given up after a pause of 1.1 s, and nobody could go on with it (LOST)."""
+    """Guards against abandoning a stream after 1.1 s when no other replica could resume it."""
     async with small_site(tmp_path, models=1, plain=0) as site:
         replica = replicas_of(site, MODEL_SERVICE)[0]
         replica.events = 3  # the route gives 4 s
@@ -263,7 +264,7 @@
 async def test_of_streams_that_pause_at_once_only_those_leave_that_have_a_retry(
     tmp_path: Path,
 ) -> None:
-    """A full link silenced many replicas; streams left them, and had no retry to go on with."""
+    """Guards against streams that abandon replicas behind a full link without a retry left."""
     async with small_site(tmp_path, models=3, plain=0) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.events = 2
@@ -308,9 +309,9 @@
 
 
 async def test_an_incarnation_that_another_answers_for_is_not_asked_again(tmp_path: Path) -> None:
-    """Requests were refused after three tries at replicas that were gone (inc-c731)."""
+    """Guards against refusals after three attempts at replicas that were replaced."""
     async with small_site(tmp_path, models=0, plain=4) as site:
-        # A fresh entry may send one request on; each that it serves earns a part of another.
+        # A new entry has a budget of one retry; each request that it serves earns part of another.
         for _ in range(20):
             assert (await ask(site.callers("entry0"), "/once/x")).status == 200
         gone = [site.replicas[replica.id] for replica in replicas_of(site, PLAIN_SERVICE)[:3]]
@@ -324,7 +325,7 @@
             site.nursery.start_soon(trio.serve_listeners, stranger.serve_connection, listeners)
         for _ in range(20):
             assert (await ask(site.callers("entry0"), "/once/x")).status == 200
-            await trio.sleep(0.03)  # longer, together, than one that was full is left alone
+            await trio.sleep(0.03)  # in total longer than the back-off from a full replica
         assert all(stranger.arrivals <= 1 for stranger in strangers)
 
 
--- a/tests/test_machine_callers.py
+++ b/tests/test_machine_callers.py
@@ -1,4 +1,4 @@
-"""What callers may send, and what they are told when they may not."""
+"""Tests which requests callers may send, and the answers to those that are rejected."""
 
 from pathlib import Path
 
@@ -31,7 +31,7 @@
 
 
 async def send_raw(site: Machines, text: str) -> bytes:
-    """Send bytes to the entry; return what comes back until it closes."""
+    """Send text to the entry; return the bytes received until it closes, within 8 s."""
     address = site.callers("entry0")
     stream = await trio.open_tcp_stream(address.ip, address.port)
     got = b""
@@ -94,7 +94,7 @@
 
 
 async def wait_revision(site: Machines, revision: int, name: str = "entry0") -> None:
-    """Wait until a process knows a revision of the control topic."""
+    """Wait until a process has a revision of the control topic or a later one."""
     with trio.fail_after(10):
         while (await site.state(name))["topics"]["control"]["revision"] < revision:
             await trio.sleep(0.02)
--- a/tests/test_old_weights.py
+++ b/tests/test_old_weights.py
@@ -1,11 +1,8 @@
-"""Old weights and the bound after which nothing may start on them.
-
-Callers saw late answers while new weights could not be had: the origin was away, so every replica
-held the old version up to its bound, and was overloaded. Two streams reached a replica 1.42 s
-before the bound, waited 1.475 and 1.630 s until it began them, and so began on the old version
-after the bound. An entry limited only the moment of sending, and let a request wait at its replica
-for as long as the caller did. What proved it: the moments at which the replica got and began the
-requests.
+"""Tests that no request begins on old weights after their bound.
+
+Guards against requests that wait at an overloaded replica past the bound, while the origin is down
+and every replica still holds the old version. With a limit on the time of sending alone, two
+streams reached a replica 1.42 s before the bound and began 1.475 and 1.630 s later, after it.
 """
 
 from pathlib import Path
@@ -24,11 +21,11 @@
 STREAM = "/stream/x"
 STRICT = "/strict/x"  # runs at most once
 BOUND_SECONDS = 4.0
-# Entries send to an old version until 1.6 s before the bound: a request that waits at its replica
-# for longer than that would start too late.
+# Entries send to an old version until 1.6 s before the bound, so a request that waits at its
+# replica for longer than that would begin too late.
 WAIT_SECONDS = 2.0
-# One caller comes in time; the others from shortly before the moment at which entries stop until
-# after it. A stream leaves a silent replica after 1.6 s by itself: not before it is withdrawn.
+# One caller comes early; the others come from shortly before entries stop sending until after it.
+# A stream abandons a silent replica after 1.6 s, which is later than its withdrawal.
 EARLY_CALLER_SECONDS = 0.2
 FIRST_CALLER_SECONDS = 1.9
 LEAVING_CALLER_SECONDS = 1.6
@@ -76,7 +73,7 @@
         assert (await site.state("entry0"))["attempts_withdrawn"] >= len(dropped)
         promised = {reply.id for reply in replies if reply.status == 503}
         assert not promised & set(began), "a request that ran was promised not to have"
-        # Nobody can promise that they did not run.
+        # The entry cannot know whether the withdrawn requests ran.
         assert {reply.status for reply in replies if reply.id in dropped} == {502}
         if path == STRICT:
             moments = [ended[name] for name in dropped]
@@ -88,7 +85,7 @@
 async def test_a_request_that_leaves_its_replica_as_it_is_withdrawn_does_not_start_after_the_bound(
     tmp_path: Path, path: str
 ) -> None:
-    """Streams that came 2.4 s before the bound leave a silent replica by themselves as well."""
+    """Streams sent 2.4 s before the bound reach their own time-out at the silent replica, too."""
     async with small_site(
         tmp_path, models=3, plain=0, daemons=True, weights_ms=1000 * BOUND_SECONDS
     ) as site:
@@ -143,7 +140,7 @@
         assert not old.runs and old.cancelled
         details: list[str] = []
         with trio.fail_after(5):
-            # Lines are written a moment after the answers.
+            # Log lines are written shortly after the answers.
             while len(details) <= len(replies):
                 lines = site.log("entry0")
                 details = [line["detail"] for line in lines if line["message"] == "attempt"]
@@ -161,7 +158,7 @@
         replica.event_seconds = 0.9  # four events, and the route gives 4 s
         named_at = trio.current_time()
         name_version_without_weights(site, 2)
-        # Long before entries stop, where nothing but the stream's own length counts.
+        # Well before entries stop sending, so that only the length of the stream matters.
         await trio.sleep(0.6)
         reply = await ask(site.callers("entry0"), STREAM)
         assert reply.whole and reply.events == [0, 1, 2, 3], (reply, site.log("entry0")[-5:])
@@ -171,7 +168,7 @@
 async def test_a_request_that_a_link_delivers_after_its_withdrawal_does_not_start_on_old_weights(
     tmp_path: Path,
 ) -> None:
-    """A narrow link delivered a stream 2.9 s after it was sent and 1.3 s after its reset."""
+    """Guards against a slow link that delivers a stream 2.9 s late, 1.3 s after its reset."""
     async with small_site(tmp_path, models=1, plain=0, weights_ms=1000 * BOUND_SECONDS) as site:
         listed = next(iter(site.replicas.values()))
         link = HeldLink(Address(site.new_ip(), listed.address.port), listed.address)
@@ -180,7 +177,7 @@
         listed.ip = link.public.ip
         site.list_replica(listed)
         with trio.fail_after(10):
-            # Requests take the link from now on.
+            # From now on requests use the link.
             while not link.connections:
                 await ask(site.callers("entry0"), STRICT)
         served = len(listed.replica.runs)
--- a/tests/test_replica_leaving.py
+++ b/tests/test_replica_leaving.py
@@ -1,6 +1,6 @@
-"""Replicas that say in their answers that they leave, while the list has them as ready.
+"""Tests replicas that announce in answers or reports that they leave, while listed as ready.
 
-Entries as real processes before a few replicas. Requests come to every entry in turn.
+The entries run as real processes in front of a few replicas.
 """
 
 import signal
@@ -22,13 +22,15 @@
     "/once/x": PLAIN_SERVICE,
 }
 REQUEST_SECONDS: Final = 1 / 60
-# What the users allow: requests that callers sent so long after an entry had passed on the word.
+# Requirement: no request reaches the replica that was sent later than this after the announcement.
 DRAIN_SECONDS: Final = 2.0
 LEAVING_SECONDS: Final = 6.0
 
 
-async def ask_until_told(site: Machines, path: str, leaving: FakeReplica, entry: str) -> None:
-    """Send requests to an entry until the replica has answered one of them."""
+async def ask_until_answered_by(
+    site: Machines, path: str, leaving: FakeReplica, entry: str
+) -> None:
+    """Send requests to an entry until the replica has received one of them."""
     arrived = leaving.arrivals
     with trio.fail_after(WAIT_SECONDS):
         while leaving.arrivals == arrived:
@@ -38,7 +40,7 @@
 async def keep_asking(
     site: Machines, path: str, entries: list[str], seconds: float
 ) -> list[Reply]:
-    """Send requests to some entries in turn; return the answers."""
+    """Send requests to the entries in turn for `seconds`; return the answers."""
     replies: list[Reply] = []
 
     async def call(entry: str) -> None:
@@ -61,12 +63,12 @@
         leaving, *_ = replicas_of(site, service)
         leaving.says_leaving = True
         for entry in ("entry0", "entry1"):
-            # The other one may have told it already.
+            # The other entry may have passed on the announcement already.
             with trio.move_on_after(DRAIN_SECONDS):
-                await ask_until_told(site, path, leaving, entry)
-        told = trio.current_time()
+                await ask_until_answered_by(site, path, leaving, entry)
+        announced_at = trio.current_time()
         replies = await keep_asking(site, path, ["entry0", "entry1"], LEAVING_SECONDS)
-    late = [r for r in leaving.arrived if r.at > told + DRAIN_SECONDS]
+    late = [r for r in leaving.arrived if r.at > announced_at + DRAIN_SECONDS]
     print(len(late), "late;", sum(reply.status == 200 for reply in replies), len(replies))
     assert not late
     assert all(reply.status == 200 and reply.whole for reply in replies)
@@ -76,10 +78,10 @@
     async with small_site(tmp_path, models=3, plain=1, entries=2) as site:
         leaving, *_ = replicas_of(site, MODEL_SERVICE)
         leaving.says_leaving = True
-        await ask_until_told(site, "/stream/x", leaving, "entry0")
-        told = trio.current_time()
+        await ask_until_answered_by(site, "/stream/x", leaving, "entry0")
+        announced_at = trio.current_time()
         replies = await keep_asking(site, "/stream/x", ["entry1"], LEAVING_SECONDS)
-    assert not [r for r in leaving.arrived if r.at > told + DRAIN_SECONDS]
+    assert not [r for r in leaving.arrived if r.at > announced_at + DRAIN_SECONDS]
     assert all(reply.status == 200 for reply in replies)
 
 
@@ -89,14 +91,14 @@
     async with small_site(tmp_path, models=3, plain=1, entries=2) as site:
         leaving, *_ = replicas_of(site, MODEL_SERVICE)
         leaving.says_leaving = True
-        await ask_until_told(site, "/stream/x", leaving, "entry0")
+        await ask_until_answered_by(site, "/stream/x", leaving, "entry0")
         site.signal("entry1", signal.SIGKILL)
         await site.wait_exit("entry1")
         site.start("entry1")
         await site.wait_ready("entry1")
-        ready = trio.current_time()
+        ready_at = trio.current_time()
         replies = await keep_asking(site, "/stream/x", ["entry1"], LEAVING_SECONDS)
-    assert not [r for r in leaving.arrived if r.at > ready + DRAIN_SECONDS]
+    assert not [r for r in leaving.arrived if r.at > ready_at + DRAIN_SECONDS]
     assert all(reply.status == 200 for reply in replies)
 
 
@@ -104,10 +106,10 @@
     async with small_site(tmp_path, models=0, plain=1, entries=1) as site:
         (leaving,) = replicas_of(site, PLAIN_SERVICE)
         leaving.says_leaving = True
-        await ask_until_told(site, "/again/x", leaving, "entry0")
+        await ask_until_answered_by(site, "/again/x", leaving, "entry0")
         leaving.says_leaving = False
         await site.restart_replica(site.replicas[leaving.id])
-        await ask_until_told(site, "/again/x", leaving, "entry0")
+        await ask_until_answered_by(site, "/again/x", leaving, "entry0")
 
 
 @pytest.mark.parametrize("in_reports", [False, True])
@@ -121,7 +123,7 @@
             leaving.reports_leaving = True
         else:
             leaving.says_leaving = True
-            await ask_until_told(site, "/stream/x", leaving, "entry0")
+            await ask_until_answered_by(site, "/stream/x", leaving, "entry0")
         with trio.fail_after(WAIT_SECONDS):
             while not [li for li in site.log("daemon0") if li["message"] == "replica leaves"]:
                 await trio.sleep(0.05)
@@ -138,7 +140,7 @@
     async with small_site(tmp_path, models=4, plain=0, entries=2, daemons=True) as site:
         leaving, *_ = replicas_of(site, MODEL_SERVICE)
         leaving.reports_leaving = True
-        told = trio.current_time()
+        announced_at = trio.current_time()
         replies = await keep_asking(site, "/stream/x", ["entry0", "entry1"], LEAVING_SECONDS)
-    assert not [r for r in leaving.arrived if r.at > told + DRAIN_SECONDS]
+    assert not [r for r in leaving.arrived if r.at > announced_at + DRAIN_SECONDS]
     assert all(reply.status == 200 for reply in replies)
