--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -90,7 +90,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Begun:
+class _BegunAnswer:
     """An answer of which the first piece has been received."""
 
     answer: Answer
@@ -145,7 +145,7 @@
                 if replica_state.is_unavailable() or replica_state.backpressure.is_resting(
                     monotonic()
                 ):
-                    begun: _Begun | Outcome = _REPLICA_UNAVAILABLE
+                    begun: _BegunAnswer | Outcome = _REPLICA_UNAVAILABLE
                 else:
                     hand_over = _with_elapsed_time(hand_over, trio.current_time() - placed_at)
                     begun = await self._begin(
@@ -154,7 +154,7 @@
             times.unbegun = None
             if waiting.cancelled_caught:
                 outcome = _withdrawn_outcome(times)
-            elif isinstance(begun, _Begun):
+            elif isinstance(begun, _BegunAnswer):
                 outcome = await self._finish(connection, begun, relay, timeouts)
             else:
                 outcome = begun
@@ -209,7 +209,7 @@
         hand_over: HandOver,
         timeouts: AttemptTimeouts,
         times: AttemptTimes,
-    ) -> _Begun | MayRun:
+    ) -> _BegunAnswer | MayRun:
         """Send a request and wait for the first piece of its answer."""
         until = trio.current_time() + timeouts.first_seconds
         headers = self._dialect.upstream_headers(end_to_end_headers(request.headers), hand_over)
@@ -228,12 +228,12 @@
             replica_state.note_signals(answer_facts.signals, sent_at)
         piece = await _wait_until(until, connection.receive_piece, timeouts.should_abandon)
         times.began_at = trio.current_time()
-        return _Begun(answer, answer_facts, piece, until)
+        return _BegunAnswer(answer, answer_facts, piece, until)
 
     async def _finish(
         self,
         connection: HttpConnection,
-        begun: _Begun,
+        begun: _BegunAnswer,
         relay: StreamRelay | None,
         timeouts: AttemptTimeouts,
     ) -> Outcome:
@@ -252,7 +252,7 @@
     async def _pass_stream(
         self,
         connection: HttpConnection,
-        begun: _Begun,
+        begun: _BegunAnswer,
         relay: StreamRelay,
         timeouts: AttemptTimeouts,
     ) -> Outcome:
@@ -316,7 +316,7 @@
 
 
 async def _read_body(
-    connection: HttpConnection, begun: _Begun, should_abandon: Callable[[], bool]
+    connection: HttpConnection, begun: _BegunAnswer, should_abandon: Callable[[], bool]
 ) -> bytes:
     """Return the whole body of an answer; raise LinkLostError if it is too long."""
     body = bytearray()
--- a/libs/gateway/src/headcross_gateway/confirmedloads.py
+++ b/libs/gateway/src/headcross_gateway/confirmedloads.py
@@ -24,15 +24,15 @@
     """
 
     # When this entry first saw each version that was not among the first ones (monotonic).
-    came_at: dict[LoadedModel, float]
+    first_seen_at: dict[LoadedModel, float]
 
     def __init__(self, held: Iterable[LoadedModel]) -> None:
         """`held` are the versions that the replica held when this entry first learned of it."""
-        self.came_at = {}
+        self.first_seen_at = {}
         self._held_at_first = set(held)
         self._confirmed: set[LoadedModel] = set()
         self._suspect: set[LoadedModel] = set()
-        self._hears_daemon = False
+        self._receives_reports = False
 
     def record_report(self, load: ReplicaLoad, now: float) -> bool:
         """Record a daemon's report on this incarnation; return whether any load's status changed.
@@ -42,7 +42,7 @@
         """
         before = (self._confirmed, self._suspect)
         self.note_held(_loads(load.versions), now)
-        self._hears_daemon = True
+        self._receives_reports = True
         confirmed, suspect = _loads(load.confirmed), _loads(load.suspect)
         self._confirmed = (self._confirmed | confirmed) - suspect
         self._suspect = (self._suspect | suspect) - confirmed
@@ -52,23 +52,23 @@
         """Note the versions that the replica holds, by the list or by its daemon's report."""
         for load in held:
             if load not in self._held_at_first:
-                self.came_at.setdefault(load, now)
+                self.first_seen_at.setdefault(load, now)
 
-    def stop_hearing(self) -> None:
+    def rely_on_list(self) -> None:
         """Rely on the list alone, because this entry no longer subscribes to the daemon."""
-        self._hears_daemon = False
+        self._receives_reports = False
 
     def may_serve(self, model: str, version: int) -> bool:
         """Tell whether a version that the replica holds may take requests."""
         load = LoadedModel(model, version)
         if load in self._suspect:
             return False
-        return not self._hears_daemon or load in self._confirmed | self._held_at_first
+        return not self._receives_reports or load in self._confirmed | self._held_at_first
 
     def dump(self) -> dict[str, object]:
         """Return the state for the administration page and the log."""
         return {
-            "hears_daemon": self._hears_daemon,
+            "hears_daemon": self._receives_reports,
             "held_at_first": _names(self._held_at_first),
             "confirmed": _names(self._confirmed),
             "suspect": _names(self._suspect),
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -127,10 +127,10 @@
         """Return the versions that the replica at an IP address loaded in the last `seconds`."""
         now = monotonic()
         state = self._by_ip.get(ip)
-        came_at = state.loads.came_at if state is not None else {}
+        first_seen_at = state.loads.first_seen_at if state is not None else {}
         return [
             LoadedVersionNews(load.model, load.version, round(now - at, 3))
-            for load, at in came_at.items()
+            for load, at in first_seen_at.items()
             if now - at < seconds
         ]
 
@@ -156,7 +156,7 @@
         chosen = choose_subset(self._host, self._zone, replicas, lambda r: r.id in usable)
         for state in states:
             if state.in_subset and state.replica.id not in chosen and state.is_responsive():
-                state.loads.stop_hearing()
+                state.loads.rely_on_list()
             state.in_subset = state.replica.id in chosen
         self._subset_share = len(chosen) / len(states) if states else 1.0
 
--- a/libs/gateway/src/headcross_gateway/picking.py
+++ b/libs/gateway/src/headcross_gateway/picking.py
@@ -68,15 +68,15 @@
 
         `reserved` is the share of each replica's slots that must stay free for others.
         """
-        everyone = self._directory.serving(requirements.service)
-        informed = [state for state in everyone if state.in_subset]
-        if len(informed) < len(everyone):
+        all_states = self._directory.serving(requirements.service)
+        subset_states = [state for state in all_states if state.in_subset]
+        if len(subset_states) < len(all_states):
             # Only the list is known of replicas outside the subset, so they are the last resort.
-            fitting = self._fitting(informed, requirements, configuration)
-            sound = [
+            fitting = self._fitting(subset_states, requirements, configuration)
+            healthy = [
                 s for s in fitting if s.reported_reachable() and self._is_healthy(s, requirements)
             ]
-            with_room = [state for state in sound if state.has_room(reserved)]
+            with_room = [state for state in healthy if state.has_room(reserved)]
             if with_room:
                 return min(with_room, key=lambda state: self._cost(state, requirements))
         candidates = self.candidates(requirements, configuration)
@@ -87,8 +87,8 @@
         self, requirements: Requirements, configuration: Configuration
     ) -> list[ReplicaState]:
         """Return the replicas that could serve a request, including full ones."""
-        everyone = self._directory.serving(requirements.service)
-        fitting = self._fitting(everyone, requirements, configuration)
+        all_states = self._directory.serving(requirements.service)
+        fitting = self._fitting(all_states, requirements, configuration)
         reachable = [state for state in fitting if state.reported_reachable()] or fitting
         return [state for state in reachable if self._is_healthy(state, requirements)] or reachable
 
@@ -161,11 +161,11 @@
     def _cost(self, state: ReplicaState, requirements: Requirements) -> float:
         share = state.load() / state.replica.slots
         zone = 0.0 if state.replica.zone == self._zone else OTHER_ZONE_SHARE
-        told = state.fresh_load()
-        pace = max(1.0, told.pace) if told is not None else 1.0
-        silence = LATE_REPORT_SHARE if state.is_report_late() else 0.0
+        load = state.fresh_load()
+        pace = max(1.0, load.pace) if load is not None else 1.0
+        late_report = LATE_REPORT_SHARE if state.is_report_late() else 0.0
         unseen_end = _unseen_end_cost(state) if requirements.tried else 0.0
-        return share * pace + zone + silence + unseen_end + random.uniform(0.0, JITTER_SHARE)
+        return share * pace + zone + late_report + unseen_end + random.uniform(0.0, JITTER_SHARE)
 
 
 def _unseen_end_cost(state: ReplicaState) -> float:
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -132,7 +132,7 @@
         it would for another attempt.
         """
         now = monotonic()
-        if now < self.backoff_until or self._is_left_to_others():
+        if now < self.backoff_until or self._is_limited_outside_subset():
             return False
         if not self.backpressure.wants_request(self.own_share, now):
             return False
@@ -151,15 +151,12 @@
 
     def seconds_to_next(self) -> float:
         """Return the seconds until it accepts a request of this entry, 0 if it does now."""
-        if self._is_left_to_others():
+        if self._is_limited_outside_subset():
             return math.inf
         return self.backpressure.seconds_to_next(self.own_share, monotonic())
 
-    def _is_left_to_others(self) -> bool:
-        """Tell whether it is rate-limited and outside the subset.
-
-        The limit is shared among the entries that its daemon reports to, without this one.
-        """
+    def _is_limited_outside_subset(self) -> bool:
+        """Tell whether its limit is for other entries: those whose subset it is in share it."""
         return not self.in_subset and self.backpressure.limit.per_second is not None
 
     def is_usable(self, now: float) -> bool:
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -264,10 +264,10 @@
         return NotRun(NO_ROOM, self._no_room_detail(request), seconds)
 
     def _no_room_detail(self, request: Admitted) -> str:
-        kept = self._overload.reserved_share(request.service)
-        if not request.returning or not kept:
+        reserved = self._overload.reserved_share(request.service)
+        if not request.returning or not reserved:
             return "no replica has room"
-        return f"no replica has room beside {kept:.2f} of the places, kept for first tries"
+        return f"no replica has room beside {reserved:.2f} of the places, kept for first tries"
 
     async def _acquire_slot(
         self, request: Admitted, requirements: Requirements
--- a/libs/gateway/src/headcross_gateway/subsetting.py
+++ b/libs/gateway/src/headcross_gateway/subsetting.py
@@ -33,15 +33,15 @@
     Usable replicas come first, those of the entry's own zone before others. The rest fills up the
     subset, since it may become usable soon.
     """
-    everyone = list(replicas)
-    if len(everyone) <= SUBSET_SIZE:
-        return {replica.id for replica in everyone}
-    order = rendezvous_order(host, (replica.id for replica in everyone))
-    by_id = {replica.id: replica for replica in everyone}
+    all_replicas = list(replicas)
+    if len(all_replicas) <= SUBSET_SIZE:
+        return {replica.id for replica in all_replicas}
+    order = rendezvous_order(host, (replica.id for replica in all_replicas))
+    by_id = {replica.id: replica for replica in all_replicas}
     usable = [name for name in order if is_usable(by_id[name])]
-    near = [name for name in usable if by_id[name].zone == zone][:OWN_ZONE_SIZE]
-    far = [name for name in usable if by_id[name].zone != zone]
-    return set(_first_unique(SUBSET_SIZE, [near, far, usable, order]))
+    own_zone = [name for name in usable if by_id[name].zone == zone][:OWN_ZONE_SIZE]
+    other_zones = [name for name in usable if by_id[name].zone != zone]
+    return set(_first_unique(SUBSET_SIZE, [own_zone, other_zones, usable, order]))
 
 
 def every_other(addresses: Iterable[Address], round_number: int) -> list[Address]:
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -186,17 +186,17 @@
 def test_an_entry_that_does_not_ask_a_daemon_any_more_goes_by_the_list() -> None:
     loads = ConfirmedLoads([OLDER])
     loads.record_report(word(1), 1.0)
-    loads.stop_hearing()
+    loads.rely_on_list()
     assert loads.may_serve("m", 2)
 
 
 def test_an_entry_knows_since_when_a_version_is_held_that_came_in_its_sight() -> None:
     loads = ConfirmedLoads([OLDER])
     loads.record_report(word(1), 1.0)
-    assert not loads.came_at
+    assert not loads.first_seen_at
     loads.note_held([NEWER], 2.0)
     loads.record_report(word(2, confirmed=2), 3.0)
-    assert loads.came_at == {NEWER: 2.0}
+    assert loads.first_seen_at == {NEWER: 2.0}
 
 
 def replica_state() -> ReplicaState:
--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -4,7 +4,8 @@
 after it was sent, when a chunk has become corrupt; that cannot be prevented while the replica
 answers nothing or its daemon is dead. A replica does not verify its load, so neither the list nor
 the replica's report shows whether the load was complete. An entry that relied on these versions
-alone sent all but the first few requests to the bad load, until another version was loaded.
+alone, at one request every 0.1 s, sent all but the first few to the bad load until another version
+was loaded.
 """
 
 import hashlib
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -273,7 +273,7 @@
     assert last_report is not None
     old = replace(last_report, at=monotonic() - 2 * REPORT_VALID_SECONDS)
     for report in (None, old):
-        for share, expected_slots in ((0.0, 1), (0.5, 4), (1.0, 8)):  # of 8 places
+        for share, expected_slots in ((0.0, 1), (0.5, 4), (1.0, 8)):  # of 8 slots
             state = model_replica_state("r", 1, 0)
             state.last_report, state.own_share = report, share
             assert fill_slots(state) == expected_slots
--- a/tests/test_gateway_subsetting.py
+++ b/tests/test_gateway_subsetting.py
@@ -74,9 +74,9 @@
     replicas = fleet(zones, in_each)
     chosen = choose_subset("entry", "z0", replicas, usable)
     assert len(chosen) == min(SUBSET_SIZE, len(replicas))
-    near = sum(replica.id in chosen for replica in replicas if replica.zone == "z0")
+    own_zone = sum(replica.id in chosen for replica in replicas if replica.zone == "z0")
     if zones > 2 and len(replicas) > SUBSET_SIZE:
-        assert near == min(in_each, OWN_ZONE_SIZE)
+        assert own_zone == min(in_each, OWN_ZONE_SIZE)
 
 
 def test_entries_are_spread_over_the_replicas_and_keep_theirs_when_one_leaves() -> None:
