--- a/libs/gateway/src/headcross_gateway/weightsrules.py
+++ b/libs/gateway/src/headcross_gateway/weightsrules.py
@@ -16,18 +16,19 @@
 # until this process learns of a version and the time from sending a request to its first token.
 # With 0.9 and 1.1 s, requests began after the bound on 6 of 14 simulated days of a fleet.
 SEND_MARGIN_SECONDS: Final = 1.6
-# Requests that have not begun this long before the bound are withdrawn. It covers a delay of up to
-# 0.23 s between two answers of the store, and one of 0.36 s through a link that is full of chunks,
-# for a request and as well for the reset of its connection. Longer delays are not covered: a link
-# that holds packets back for seconds delivers a request after its reset.
+# Requests that have not begun this long before the bound are withdrawn. The margin covers known
+# delays: news of a version wait up to 0.23 s between two answers of the store, and a request, or
+# the reset of its connection, takes up to 0.36 s through a link that is full of chunks. Longer
+# delays are not covered: a link that holds packets back for seconds delivers a request after its
+# reset.
 WITHDRAWAL_MARGIN_SECONDS: Final = 0.8
 # In this window before requests stop, older versions take only requests that start soon: the load
 # up to which a replica takes them falls from the first share of its slots to the second.
 CLOSING_WINDOW_SECONDS: Final = 1.0
 CLOSING_LOAD_SHARES: Final = (0.86, 0.4)
-# How long a link may deliver a request after its entry withdrew it: links with too little
-# bandwidth hold one for 3 s and more. From this long before the bound, a link must prove that it
-# delivers before a request to an older version is sent over it.
+# How long after its withdrawal a link may still deliver a request: links with too little bandwidth
+# delay one by 3 s and more. From this long before the bound, a link must prove that it delivers
+# before a request to an older version is sent over it.
 MAX_LINK_HOLD_SECONDS: Final = 5.0
 # From this long before the bound, older versions are not tried at replicas whose link is known to
 # have delayed a request recently.
