--- a/libs/gateway/src/headcross_gateway/confirmedloads.py
+++ b/libs/gateway/src/headcross_gateway/confirmedloads.py
@@ -1,9 +1,9 @@
-"""Which versions of one replica may take requests, by whether their loads are known to be whole.
+"""Decides which versions of one replica may take requests, by whether their load is confirmed.
 
-The list and a replica's own report say which version it holds, and neither knows whether that was
-whole as it was loaded. The daemon beside it does. So a version that came to a replica while this
-entry knew it takes requests only once its daemon has confirmed the load, and one that the daemon
-found not to be whole takes none.
+The list and a replica's own report say which version it holds, but not whether the weights were
+complete and correct when they were loaded. The daemon on the replica's host checks that. So a
+version that a replica loaded after this entry first knew it takes requests only once its daemon
+has confirmed the load, and a version whose load the daemon found to be bad takes none.
 """
 
 from collections.abc import Iterable
@@ -13,61 +13,62 @@
 
 
 class ConfirmedLoads:
-    """The loads of one life of a replica, as one entry knows of them.
+    """The loads of one incarnation of a replica, as known to one entry.
 
     >>> loads = ConfirmedLoads([LoadedModel("m", 1)])
-    >>> loads.hear(ReplicaLoad("10.0.0.1:80", 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1), 5.0)
+    >>> load = ReplicaLoad("10.0.0.1:80", 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1)
+    >>> loads.record_report(load, 5.0)
     False
     >>> loads.may_serve("m", 1), loads.may_serve("m", 2)
     (True, False)
     """
 
-    # When versions came to it that it did not hold at first, as far as this entry saw (monotonic).
-    came_at: dict[LoadedModel, float]
+    # When this entry first saw each version that was not among the first ones (monotonic).
+    first_seen_at: dict[LoadedModel, float]
 
     def __init__(self, held: Iterable[LoadedModel]) -> None:
-        """Begin with the versions that the replica held when this entry first learned of it."""
-        self.came_at = {}
+        """`held` are the versions that the replica held when this entry first learned of it."""
+        self.first_seen_at = {}
         self._held_at_first = set(held)
         self._confirmed: set[LoadedModel] = set()
         self._suspect: set[LoadedModel] = set()
-        self._hears_daemon = False
+        self._receives_reports = False
 
-    def hear(self, load: ReplicaLoad, now: float) -> bool:
-        """Take the word of the daemon about this life; return whether a load was judged anew.
+    def record_report(self, load: ReplicaLoad, now: float) -> bool:
+        """Record a daemon's report on this incarnation; return whether any load's status changed.
 
-        A load stays suspect until the same version is confirmed: another process of the daemon
-        does not know what the one before it found.
+        A load stays suspect until the same version is confirmed, because a daemon that was
+        restarted does not know what the previous process found.
         """
         before = (self._confirmed, self._suspect)
         self.note_held(_loads(load.versions), now)
-        self._hears_daemon = True
+        self._receives_reports = True
         confirmed, suspect = _loads(load.confirmed), _loads(load.suspect)
         self._confirmed = (self._confirmed | confirmed) - suspect
         self._suspect = (self._suspect | suspect) - confirmed
         return before != (self._confirmed, self._suspect)
 
     def note_held(self, held: Iterable[LoadedModel], now: float) -> None:
-        """Take the list's word, or its daemon's, for what the replica holds."""
+        """Note the versions that the replica holds, by the list or by its daemon's report."""
         for load in held:
             if load not in self._held_at_first:
-                self.came_at.setdefault(load, now)
+                self.first_seen_at.setdefault(load, now)
 
-    def stop_hearing(self) -> None:
-        """Go by the list alone from now on, since this entry does not ask the daemon any more."""
-        self._hears_daemon = False
+    def rely_on_list(self) -> None:
+        """Rely on the list alone, because this entry no longer subscribes to the daemon."""
+        self._receives_reports = False
 
     def may_serve(self, model: str, version: int) -> bool:
         """Tell whether a version that the replica holds may take requests."""
         load = LoadedModel(model, version)
         if load in self._suspect:
             return False
-        return not self._hears_daemon or load in self._confirmed | self._held_at_first
+        return not self._receives_reports or load in self._confirmed | self._held_at_first
 
     def dump(self) -> dict[str, object]:
-        """Return the state."""
+        """Return the state for the administration page and the log."""
         return {
-            "hears_daemon": self._hears_daemon,
+            "hears_daemon": self._receives_reports,
             "held_at_first": _names(self._held_at_first),
             "confirmed": _names(self._confirmed),
             "suspect": _names(self._suspect),
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -1,4 +1,4 @@
-"""The replicas an entry may call: the list, which lags, and what is known of each in it."""
+"""Keeps the state of every listed replica at one entry, and the entry's subset of them."""
 
 import logging
 import math
@@ -16,19 +16,19 @@
 from headcross_gateway.replicastate import ReplicaState, draw_allowance
 from headcross_gateway.subsetting import choose_subset
 
-# Replicas whose entries lapsed while the store was away are used on for this part of the bound
-# on leaving ones: one that left meanwhile may get requests for as long as that.
-LAPSED_PART: Final = 0.6
-# A replica that did not answer, or whose daemon did not, is left out of the subset for so long.
-LEFT_OUT_SECONDS: Final = 5.0
+# Replicas whose list entries lapsed during an outage of the store stay in use for this share of
+# the bound on leaving replicas; one that left meanwhile may get requests for that long.
+LAPSED_USE_SHARE: Final = 0.6
+# How long a replica is excluded from the subset after it or its daemon did not answer.
+SUBSET_EXCLUSION_SECONDS: Final = 5.0
 
 logger = logging.getLogger(__name__)
 
 
 class Directory:
-    """All replicas in the list."""
+    """The replicas in the list, with the state that this entry keeps of each."""
 
-    # How many entries there are, this one among them, as far as this one knows.
+    # Estimated number of entries, including this one.
     entries: int
 
     def __init__(
@@ -40,24 +40,24 @@
         leaving_seconds: float = FactBounds().leaving,
     ) -> None:
         self.entries = max(1, entries)
-        self._lapsed_seconds = LAPSED_PART * leaving_seconds
+        self._lapsed_seconds = LAPSED_USE_SHARE * leaving_seconds
         self._facts = facts
         self._host = host
         self._zone = zone
-        # The part of the replicas with daemons that is in the subset.
+        # The share of the replicas with daemons that is in the subset.
         self._subset_share = 1.0
         self._states: dict[str, ReplicaState] = {}
         self._by_service: dict[str, list[ReplicaState]] = {}
         self._by_address: dict[str, ReplicaState] = {}
         self._by_ip: dict[str, ReplicaState] = {}
-        # When a daemon was first heard at each IP number of the list (monotonic).
+        # When the first report of a daemon came from each listed IP address (monotonic).
         self._first_heard_at: dict[str, float] = {}
 
     def update(self) -> list[Address]:
-        """Take the list of replicas as it is now; return where another incarnation has begun.
+        """Apply the current list of replicas; return addresses with a new incarnation.
 
-        Nothing that is known of an earlier incarnation holds for a later one, and what waits to be
-        sent to the earlier one is not sent any more.
+        A new incarnation gets a new state, since nothing known of the earlier one holds for it.
+        Requests that wait to be sent to the earlier one are not sent.
         """
         listed = self._facts.replicas
         for replica_id in set(self._states) - set(listed):
@@ -75,7 +75,7 @@
                 self._states[replica.id] = ReplicaState(replica, own_share=1 / self.entries)
             else:
                 state.replica = replica
-                if state.told is None:
+                if state.last_report is None:
                     state.own_share = 1 / self.entries
                 state.loads.note_held(replica.loaded, monotonic())
                 state.lapsed_until = None
@@ -83,14 +83,14 @@
         return begun
 
     def _drop(self, replica_id: str) -> None:
-        """Give up a replica that is not listed any more."""
+        """Remove a replica that is no longer listed."""
         state = self._states.pop(replica_id)
         state.gone = True
         fields = {"draining": state.is_leaving(), "in_flight": state.in_flight}
         logger.info("replica not listed", extra={"replica": replica_id, **fields})
 
     def _keep_lapsed(self, state: ReplicaState) -> bool:
-        """Tell whether a replica that is not listed any more is kept for a moment."""
+        """Tell whether a replica stays in use for now though its list entry has lapsed."""
         lapsed_at = self._facts.lapsed_at.get(state.replica.id)
         if lapsed_at is None:
             return False
@@ -108,64 +108,64 @@
         return self._by_service.get(service, [])
 
     def find(self, replica_id: str) -> ReplicaState | None:
-        """Return the replica of an id, None if it is not listed."""
+        """Return the replica with an id, None if it is not known."""
         return self._states.get(replica_id)
 
     def states(self) -> Iterable[ReplicaState]:
-        """Return every replica."""
+        """Return all known replicas."""
         return self._states.values()
 
-    def hear(self, load: ReplicaLoad) -> ReplicaState | None:
-        """Take the word of the daemon beside a replica; return the replica if it is known."""
+    def record_report(self, load: ReplicaLoad) -> ReplicaState | None:
+        """Record a load report of a replica's daemon; return the replica if it is known."""
         state = self._by_address.get(load.address)
         if state is not None:
-            state.hear(load, draw_allowance(load.listeners))
+            state.record_report(load, draw_allowance(load.listeners))
             self._first_heard_at.setdefault(state.replica.address.ip, monotonic())
         return state
 
-    def loaded_lately(self, ip: str, seconds: float) -> list[LoadedVersionNews]:
-        """Return what the replica at an IP number came to hold in the last seconds."""
+    def recently_loaded(self, ip: str, seconds: float) -> list[LoadedVersionNews]:
+        """Return the versions that the replica at an IP address loaded in the last `seconds`."""
         now = monotonic()
         state = self._by_ip.get(ip)
-        came_at = state.loads.came_at if state is not None else {}
+        first_seen_at = state.loads.first_seen_at if state is not None else {}
         return [
             LoadedVersionNews(load.model, load.version, round(now - at, 3))
-            for load, at in came_at.items()
+            for load, at in first_seen_at.items()
             if now - at < seconds
         ]
 
     def first_heard_age(self, ip: str) -> float | None:
-        """Return the seconds since a daemon was first heard at an IP number, None if never."""
+        """Return the seconds since the first report from an IP address, None if there is none."""
         heard_at = self._first_heard_at.get(ip)
         return round(monotonic() - heard_at, 3) if heard_at is not None else None
 
-    def hears_most_daemons(self) -> bool:
-        """Tell whether at least half of the subset's daemons were heard, or there are none."""
+    def has_most_reports(self) -> bool:
+        """Tell whether at least half of the subset's daemons have reported; true if none exist."""
         states = [state for state in self._with_daemons() if state.in_subset]
-        return 2 * sum(state.told is not None for state in states) >= len(states)
+        return 2 * sum(state.last_report is not None for state in states) >= len(states)
 
     def choose_subset(self) -> None:
-        """Choose anew which replicas to keep informed of, from what is known now."""
+        """Choose the subset of replicas whose load reports this entry receives."""
         states = self._with_daemons()
         now = monotonic()
         for state in states:
-            if not state.seems_alive():
-                state.left_out_until = now + LEFT_OUT_SECONDS
+            if not state.is_responsive():
+                state.excluded_until = now + SUBSET_EXCLUSION_SECONDS
         usable = {s.replica.id for s in states if s.is_usable(now)}
         replicas = [state.replica for state in states]
         chosen = choose_subset(self._host, self._zone, replicas, lambda r: r.id in usable)
         for state in states:
-            if state.in_subset and state.replica.id not in chosen and state.seems_alive():
-                state.loads.stop_hearing()
+            if state.in_subset and state.replica.id not in chosen and state.is_responsive():
+                state.loads.rely_on_list()
             state.in_subset = state.replica.id in chosen
         self._subset_share = len(chosen) / len(states) if states else 1.0
 
     def subset_daemons(self) -> list[Address]:
-        """Return the addresses of the subset's replicas, beside each of which a daemon stands."""
+        """Return the addresses of the replicas in the subset that have daemons."""
         return [state.replica.address for state in self._with_daemons() if state.in_subset]
 
     def other_daemons(self) -> list[Address]:
-        """Return the addresses of the replicas outside of the subset that have daemons."""
+        """Return the addresses of the replicas outside the subset that have daemons."""
         return [state.replica.address for state in self._with_daemons() if not state.in_subset]
 
     def replicas_with_daemons(self) -> list[Replica]:
@@ -173,22 +173,22 @@
         return [state.replica for state in self._with_daemons()]
 
     def estimate_entries(self) -> int | None:
-        """Return how many entries there are, from how many each daemon heard tells its load to.
+        """Estimate the number of entries from the listener counts that daemons report.
 
-        None while no daemon was heard lately.
+        None if there is no recent report.
 
-        Where every entry is informed of every replica these are all; otherwise each daemon has its
-        part of them. The mean over the daemons counts, rounded up: by the daemon heard last, 11
-        entries seemed to be 8 in one second and 12 in the next.
+        Without subsetting each daemon reports to every entry; otherwise to a share of them. The
+        estimate is the mean over the daemons, rounded up: by the last report alone, 11 entries
+        were estimated as 8 in one second and 12 in the next.
         """
-        told = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
-        listeners = [load.listeners for load in told if load is not None]
+        loads = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
+        listeners = [load.listeners for load in loads if load is not None]
         if not listeners:
             return None
         return max(1, math.ceil(statistics.mean(listeners) / self._subset_share))
 
     def _with_daemons(self) -> list[ReplicaState]:
-        """Return the replicas that a daemon of this system stands beside."""
+        """Return the replicas of services with weights; these have a daemon on their host."""
         configuration = self._facts.configuration
         if configuration is None:
             return []
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -17,7 +17,7 @@
 from headcross_gateway.admitted import Admitted
 from headcross_gateway.attempts import AttemptTimes
 from headcross_gateway.lossnews import SharedLosses
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
+from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, CompleteAnswer
 from headcross_gateway.replicalosses import UNCONFIRMED_LOSS_SECONDS, Evidence, LossKey
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestidentity import RequestIdentity
@@ -70,7 +70,7 @@
         """Record how an attempt ended; `outcome` is None if it was cancelled."""
         attempt.ended_at = self._clock()
         match outcome:
-            case Whole() | Streamed():
+            case CompleteAnswer() | Streamed():
                 self._note_answer(attempt)
                 self._forget(attempt)
             case DidNotRun():
@@ -180,9 +180,9 @@
 
 def _is_alive_since(state: ReplicaState, moment: float) -> bool:
     """Return whether a replica's daemon has reached this incarnation since `moment`."""
-    report = state.told
+    report = state.last_report
     if report is None or report.at < moment or not report.load.reachable:
         return False
     # A later incarnation starts without weights; not every one reports when it started.
     held_before = {loaded.model for loaded in state.replica.loaded}
-    return not state.is_between_lives() and held_before <= report.load.versions.keys()
+    return not state.has_conflicting_incarnations() and held_before <= report.load.versions.keys()
--- a/libs/gateway/src/headcross_gateway/picking.py
+++ b/libs/gateway/src/headcross_gateway/picking.py
@@ -1,8 +1,8 @@
-"""Which replica a request goes to.
+"""Picks the replica for a request.
 
-Among those that may serve it at all, the one with the fewest requests for its size; another zone
-costs as much as a few requests. The known load is some hundred milliseconds old and several
-entries choose at once, so a little chance keeps them from choosing alike.
+Of the replicas that may serve it, the one with the lowest load per slot is picked; a replica in
+another zone costs as much as a few requests. Known loads are some hundred milliseconds old and
+several entries pick at once, so a small random cost keeps them from picking the same replica.
 """
 
 import math
@@ -18,41 +18,43 @@
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.weightsrules import WeightsRules
 
-# A replica of another zone is taken when it has this share of its places freer.
+# A replica in another zone is picked if its load per slot is lower by at least this share.
 OTHER_ZONE_SHARE: Final = 0.22
-CHANCE_SHARE: Final = 0.04
-# A replica whose daemon was heard before and is late now may be behind a slow or broken link.
-SILENT_SHARE: Final = 0.5
-# A request that has run without an answer is not to meet a second replica that has ended unseen:
-# where no daemon speaks for a replica, the time since its last answer counts, up to so much.
-DOUBTED_SECONDS: Final = 1.6
-DOUBTED_SHARE: Final = 0.5
-# Shortly before the bound on its version, a replica must have been heard of so lately.
-SOON_TOLD_SECONDS: Final = 0.5
-# A while before the bound, it must not have been silent to a request for so long. A link that is
-# too narrow holds requests back for 2 to 3 s, and delivers them although they were given up; in
-# between it lets some through, and its daemon's words go the other way.
-CALM_SECONDS: Final = 3.0
+JITTER_SHARE: Final = 0.04
+# Cost of a replica whose daemon's report is late; its link may be slow or broken.
+LATE_REPORT_SHARE: Final = 0.5
+# A request that may have run already should not reach a second replica that has ended unnoticed.
+# For a replica without a recent report, the cost of that risk grows with the time since its last
+# answer, up to this time.
+UNSEEN_END_SECONDS: Final = 1.6
+UNSEEN_END_SHARE: Final = 0.5
+# Shortly before the bound on its version, a replica needs a load report at most this old.
+CLOSING_REPORT_SECONDS: Final = 0.5
+# Near the bound, a replica must not have left a request without data for at least this long. A
+# link with too little bandwidth delays requests by 2 to 3 s and delivers them although they were
+# withdrawn. Some requests pass it in between, and load reports travel in the other direction, so
+# neither shows that the link delivers in time.
+LINK_TRUST_SECONDS: Final = 3.0
 
 
 @dataclass(frozen=True, slots=True)
-class Wish:
-    """What a request needs of a replica."""
+class Requirements:
+    """What a request requires of a replica."""
 
     service: str
     model: str | None
-    exact_version: int | None  # set when a stream goes on that began with this version
-    tried: Collection[str]  # replicas that had their chance
+    exact_version: int | None  # set to resume a stream that began on this version
+    tried: Collection[str]  # ids of replicas not to try again
     may_run_again: bool
 
     @property
     def is_particular(self) -> bool:
-        """Whether other requests may find a place where this one finds none."""
+        """Whether other requests of the service may get a slot where this one gets none."""
         return self.exact_version is not None or bool(self.tried)
 
 
 class Picker:
-    """Chooses replicas for one entry."""
+    """Picks replicas for one entry."""
 
     def __init__(self, zone: str, directory: Directory, rules: WeightsRules) -> None:
         self._zone = zone
@@ -60,59 +62,70 @@
         self._rules = rules
 
     def pick(
-        self, wish: Wish, configuration: Configuration, reserved: float = 0.0
+        self, requirements: Requirements, configuration: Configuration, reserved: float = 0.0
     ) -> ReplicaState | None:
-        """Return the best replica that has room, or None.
+        """Return the cheapest replica that has room, or None.
 
-        `reserved` is the part of each replica's places that must be free for others.
+        `reserved` is the share of each replica's slots that must stay free for others.
         """
-        everyone = self._directory.serving(wish.service)
-        informed = [state for state in everyone if state.in_subset]
-        if len(informed) < len(everyone):
-            # Of a replica outside of the subset nothing is known but the list: it comes last.
-            fitting = self._fitting(informed, wish, configuration)
-            sound = [s for s in fitting if s.told_reachable() and self._is_healthy(s, wish)]
-            with_room = [state for state in sound if state.has_room(reserved)]
+        all_states = self._directory.serving(requirements.service)
+        subset_states = [state for state in all_states if state.in_subset]
+        if len(subset_states) < len(all_states):
+            # Only the list is known of replicas outside the subset, so they are the last resort.
+            fitting = self._fitting(subset_states, requirements, configuration)
+            healthy = [
+                s for s in fitting if s.reported_reachable() and self._is_healthy(s, requirements)
+            ]
+            with_room = [state for state in healthy if state.has_room(reserved)]
             if with_room:
-                return min(with_room, key=lambda state: self._cost(state, wish))
-        candidates = self.candidates(wish, configuration)
+                return min(with_room, key=lambda state: self._cost(state, requirements))
+        candidates = self.candidates(requirements, configuration)
         with_room = [state for state in candidates if state.has_room(reserved)]
-        return min(with_room, key=lambda state: self._cost(state, wish), default=None)
+        return min(with_room, key=lambda state: self._cost(state, requirements), default=None)
 
-    def candidates(self, wish: Wish, configuration: Configuration) -> list[ReplicaState]:
-        """Return the replicas that could serve a request, full ones too."""
-        everyone = self._directory.serving(wish.service)
-        fitting = self._fitting(everyone, wish, configuration)
-        reachable = [state for state in fitting if state.told_reachable()] or fitting
-        return [state for state in reachable if self._is_healthy(state, wish)] or reachable
-
-    def seconds_to_opening(self, wish: Wish, configuration: Configuration) -> float:
-        """Return after how many seconds a replica wants a request, infinite if none may serve it.
-
-        It is 0 where only a lack of room keeps it away: a place may come free at any moment.
+    def candidates(
+        self, requirements: Requirements, configuration: Configuration
+    ) -> list[ReplicaState]:
+        """Return the replicas that could serve a request, including full ones."""
+        all_states = self._directory.serving(requirements.service)
+        fitting = self._fitting(all_states, requirements, configuration)
+        reachable = [state for state in fitting if state.reported_reachable()] or fitting
+        return [state for state in reachable if self._is_healthy(state, requirements)] or reachable
+
+    def seconds_to_opening(
+        self, requirements: Requirements, configuration: Configuration
+    ) -> float:
+        """Return the seconds until a replica accepts a request, infinite if none may serve it.
+
+        0 if the replica is only full: a slot may be released at any time.
         """
-        candidates = self.candidates(wish, configuration)
+        candidates = self.candidates(requirements, configuration)
         return min((state.seconds_to_next() for state in candidates), default=math.inf)
 
     def _fitting(
-        self, states: Iterable[ReplicaState], wish: Wish, configuration: Configuration
+        self,
+        states: Iterable[ReplicaState],
+        requirements: Requirements,
+        configuration: Configuration,
     ) -> list[ReplicaState]:
-        """Return those that hold the right weights, are not leaving and had no chance yet."""
-        service = configuration.services.get(wish.service)
-        fitting = [s for s in states if s.replica.id not in wish.tried and not s.takes_nothing()]
-        if service is not None and service.weights is not None and wish.model is not None:
-            lowest = self._rules.lowest_allowed(wish.model)
-            fitting = [s for s in fitting if _version_fits(s, wish, lowest)]
-            fitting = [s for s in fitting if self._begins_in_time(s, wish.model)]
-            if wish.exact_version is None:
-                fitting = [s for s in fitting if self._starts_soon(s, wish.model)]
+        """Return the replicas that are available, untried and hold suitable weights."""
+        service = configuration.services.get(requirements.service)
+        fitting = [
+            s for s in states if s.replica.id not in requirements.tried and not s.is_unavailable()
+        ]
+        if service is not None and service.weights is not None and requirements.model is not None:
+            lowest = self._rules.lowest_allowed(requirements.model)
+            fitting = [s for s in fitting if _version_fits(s, requirements, lowest)]
+            fitting = [s for s in fitting if self._begins_in_time(s, requirements.model)]
+            if requirements.exact_version is None:
+                fitting = [s for s in fitting if self._starts_soon(s, requirements.model)]
         return fitting
 
     def _begins_in_time(self, state: ReplicaState, model: str) -> bool:
-        """Tell whether a request would begin before the bound on its version, as far as is known.
+        """Tell whether a request is expected to begin before the bound on its version.
 
-        That holds for a stream that goes on as well: a full link may deliver it after its
-        withdrawal, past the bound.
+        This applies to resumed streams too: a full link may deliver one after its withdrawal, past
+        the bound.
         """
         version = state.version_of(model)
         if version is None:
@@ -122,61 +135,64 @@
         return state.waits.expected() <= self._rules.seconds_to_begin(model, version)
 
     def _starts_soon(self, state: ReplicaState, model: str) -> bool:
-        """Tell whether a replica is known to be empty enough, or its version need not be hurried.
+        """Tell whether a replica is known to have a low enough load to start a request soon.
 
-        A stream that goes on is lost without a place, so it may wait where others may not.
+        Always true while its version is not near its bound. Not applied to resumed streams: these
+        fail without a slot, so they may wait where others may not.
         """
         version = state.version_of(model)
-        fullest = self._rules.fullest(model, version) if version is not None else None
-        if fullest is None:
+        max_load_share = (
+            self._rules.max_load_share(model, version) if version is not None else None
+        )
+        if max_load_share is None:
             return True
-        known = state.told_age() < SOON_TOLD_SECONDS and not state.health.failures
-        return known and state.load() < fullest * state.replica.slots
+        known = state.report_age() < CLOSING_REPORT_SECONDS and not state.health.failures
+        return known and state.load() < max_load_share * state.replica.slots
 
     @staticmethod
-    def _is_healthy(state: ReplicaState, wish: Wish) -> bool:
-        """Tell whether it does not rest, or may be tried after a rest."""
-        if state.health.resting():
+    def _is_healthy(state: ReplicaState, requirements: Requirements) -> bool:
+        """Tell whether it is not ejected, or may get a trial request after an ejection."""
+        if state.health.is_ejected():
             return False
         if not state.health.needs_trial():
             return True
-        return wish.may_run_again and not state.health.on_trial
+        return requirements.may_run_again and not state.health.on_trial
 
-    def _cost(self, state: ReplicaState, wish: Wish) -> float:
+    def _cost(self, state: ReplicaState, requirements: Requirements) -> float:
         share = state.load() / state.replica.slots
         zone = 0.0 if state.replica.zone == self._zone else OTHER_ZONE_SHARE
-        told = state.fresh_load()
-        pace = max(1.0, told.pace) if told is not None else 1.0
-        silence = SILENT_SHARE if state.told_late() else 0.0
-        doubt = _doubt(state) if wish.tried else 0.0
-        return share * pace + zone + silence + doubt + random.uniform(0.0, CHANCE_SHARE)
+        load = state.fresh_load()
+        pace = max(1.0, load.pace) if load is not None else 1.0
+        late_report = LATE_REPORT_SHARE if state.is_report_late() else 0.0
+        unseen_end = _unseen_end_cost(state) if requirements.tried else 0.0
+        return share * pace + zone + late_report + unseen_end + random.uniform(0.0, JITTER_SHARE)
 
 
-def _doubt(state: ReplicaState) -> float:
-    """Return what the chance costs that a replica has ended unseen."""
+def _unseen_end_cost(state: ReplicaState) -> float:
+    """Return the cost of the risk that a replica has ended unnoticed."""
     if state.fresh_load() is not None:
         return 0.0
-    return DOUBTED_SHARE * min(1.0, state.health.answered_age() / DOUBTED_SECONDS)
+    return UNSEEN_END_SHARE * min(1.0, state.health.answered_age() / UNSEEN_END_SECONDS)
 
 
 def _link_is_trusted(state: ReplicaState) -> bool:
-    """Tell whether nothing is known to have been held lately on a replica's link.
+    """Tell whether no recent delay on a replica's link is known.
 
-    One that holds requests back delivers them even after their connection's reset.
+    A link that delays requests delivers them even after the reset of their connection.
     """
-    return state.health.silent_age() >= CALM_SECONDS and state.may_deliver()
+    return state.health.silent_age() >= LINK_TRUST_SECONDS and state.is_delivering()
 
 
-def _version_fits(state: ReplicaState, wish: Wish, lowest: int) -> bool:
-    assert wish.model is not None
-    version = state.version_of(wish.model)
+def _version_fits(state: ReplicaState, requirements: Requirements, lowest: int) -> bool:
+    assert requirements.model is not None
+    version = state.version_of(requirements.model)
     if version is None:
         return False
-    if wish.exact_version is not None and version != wish.exact_version:
+    if requirements.exact_version is not None and version != requirements.exact_version:
         return False
     return version >= lowest
 
 
-def wish_of(facts: RequestFacts, service: str, may_run_again: bool) -> Wish:
-    """Return what a request needs before anything was tried."""
-    return Wish(service, facts.model, None, (), may_run_again)
+def requirements_of(facts: RequestFacts, service: str, may_run_again: bool) -> Requirements:
+    """Return the requirements of a request before its first attempt."""
+    return Requirements(service, facts.model, None, (), may_run_again)
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -1,8 +1,8 @@
-"""A request from its arrival to its answer.
+"""Handles a caller's request from its arrival to its answer.
 
-Straight down: what the request says and which route it takes; a place at a replica; attempts, as
-far as the route, the budget and the time allow; the answer, or a refusal that says whether the
-request may have run. What an entry gives up on is answered at once.
+The steps in order: read the request and find its route; acquire a slot at a replica; make attempts
+as far as the route, the retry budget and the deadline allow; send the answer, or a refusal that
+says whether the request may have run. A request that the entry gives up on is answered at once.
 """
 
 import math
@@ -43,18 +43,18 @@
 from headcross_gateway.budget import RetryBudget
 from headcross_gateway.containment import Containment
 from headcross_gateway.linkproofs import LinkProofs
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, Whole
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.overload import (
     MAX_RETRY_AFTER_SECONDS,
     MIN_RETRY_AFTER_SECONDS,
     Overload,
 )
-from headcross_gateway.picking import Wish, wish_of
+from headcross_gateway.picking import Requirements, requirements_of
 from headcross_gateway.refusedrequests import fingerprint_of
-from headcross_gateway.relay import StreamRelay, passed_headers
+from headcross_gateway.relay import StreamRelay, end_to_end_headers
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestlog import (
-    WeightsPlacedOn,
+    AttemptWeights,
     log_attempt,
     log_caller_gone,
     log_completed,
@@ -64,10 +64,10 @@
 from headcross_gateway.unbegun import UnbegunAttempts
 from headcross_gateway.weightsrules import WeightsRules
 
-# A request that may have run goes first to its second place.
-RUN_AGAIN_PRIORITY: Final = -1
-# When a caller is told to come back whom another entry will serve.
-COME_BACK_SOON_SECONDS: Final = 0.02
+# Queue priority of a request that may have run: ahead of all others.
+RERUN_PRIORITY: Final = -1
+# Retry-after time that a draining entry gives; another entry will serve the caller.
+DRAINING_RETRY_AFTER_SECONDS: Final = 0.02
 
 Observe = Callable[[str, str, float], None]  # service, verdict, seconds
 
@@ -75,9 +75,9 @@
 class RequestPath:
     """Serves callers' requests at one entry."""
 
-    # Requests by verdict and reason.
+    # Number of requests by verdict and reason.
     counts: Counter[str]
-    # Requests being served now.
+    # Number of requests being served now.
     in_flight: int
     budget: RetryBudget
     attempts: Attempts
@@ -99,7 +99,7 @@
         self.budget = budget
         self.unbegun = UnbegunAttempts(rules)
         self.attempts = Attempts(dialect, self.unbegun, LinkProofs(rules, dialect))
-        self._last_moment: float | None = None
+        self._drain_deadline: float | None = None
         self._facts = facts
         self._dialect = dialect
         self._admission = admission
@@ -110,7 +110,7 @@
         self._observe = observe
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one request of a caller."""
+        """Serve one request: answer it, or refuse it with a reason."""
         request = self._admit(exchange)
         if not isinstance(request, Admitted):
             self._count_refused(request.refusal)
@@ -122,7 +122,7 @@
             with trio.move_on_at(request.deadline) as scope:
                 verdict = await self._serve(request)
             if scope.cancelled_caught:
-                verdict = _too_late(request)
+                verdict = _deadline_verdict(request)
             await self._conclude(request, verdict)
         except trio.Cancelled:
             self.counts["caller-gone"] += 1
@@ -131,14 +131,14 @@
         finally:
             self.in_flight -= 1
 
-    def end_by(self, moment: float) -> None:
-        """Take nothing from now on that may not be answered by a moment on trio's clock."""
-        self._last_moment = moment
+    def refuse_ending_after(self, moment: float) -> None:
+        """Refuse new requests whose deadline is after `moment` (trio's clock)."""
+        self._drain_deadline = moment
 
     # Admission.
 
     def _admit(self, exchange: Exchange) -> Admitted | NotAdmitted:
-        """Find what a request asks for and whether it may."""
+        """Find the route, team and deadline of a request; return why if it is not admitted."""
         now = trio.current_time()
         request = exchange.request
         facts = self._dialect.read_request(request.headers)
@@ -157,15 +157,13 @@
         seconds = route.timeout_seconds
         if facts.deadline_seconds is not None:
             seconds = min(seconds, facts.deadline_seconds)
-        if self._last_moment is not None and now + seconds > self._last_moment:
-            refusal = NotRun(DRAINING, "this entry stops", COME_BACK_SOON_SECONDS)
+        if self._drain_deadline is not None and now + seconds > self._drain_deadline:
+            refusal = NotRun(DRAINING, "this entry stops", DRAINING_RETRY_AFTER_SECONDS)
             return NotAdmitted(refusal, facts.id)
         relay = StreamRelay(exchange, facts.resume_after) if route.repetition.is_stream else None
         service = route.pick_service()
         fingerprint = _fingerprint_of(request, facts)
-        returning = fingerprint is not None and self._overload.refused.was_refused(
-            fingerprint, now
-        )
+        returning = fingerprint is not None and self._overload.refused.was_refused(fingerprint, now)
         self.budget.earn(service)
         self._overload.note_request(service, returning=returning)
         return Admitted(
@@ -185,61 +183,72 @@
     # Attempts.
 
     async def _serve(self, request: Admitted) -> Verdict:
-        wish = wish_of(request.facts, request.service, request.route.repetition.may_run_again)
+        requirements = requirements_of(
+            request.facts, request.service, request.route.repetition.may_run_again
+        )
         last: Refusal | None = None
         while True:
             refusal = self._containment.refusal_of(request)
             if refusal is not None:
-                return self._last_word(request, self._worse(last, refusal))
-            wish = replace(
-                wish, tried=frozenset(request.tried), exact_version=request.bound_version
+                return self._final_refusal(request, self._stronger_refusal(last, refusal))
+            requirements = replace(
+                requirements, tried=frozenset(request.tried), exact_version=request.bound_version
             )
-            place = await self._take_place(request, wish)
-            if place is None:
-                opening = self._admission.seconds_to_opening(wish, request.configuration)
+            replica_state = await self._acquire_slot(request, requirements)
+            if replica_state is None:
+                opening = self._admission.seconds_to_opening(requirements, request.configuration)
                 if not request.runs:
                     self._overload.note_refused(
                         request.service, returning=request.returning, for_room=opening < math.inf
                     )
-                return self._last_word(request, self._no_room(request, last, opening))
+                return self._final_refusal(request, self._no_room_refusal(request, last, opening))
             if self._containment.refusal_of(request) is not None:
-                self._admission.give_back(place)
+                self._admission.release_slot(replica_state)
                 continue
-            weights = self._weights_of(request, place)
-            expected_version = _version_to_expect(request, place)
+            weights = self._weights_of(request, replica_state)
+            expected_version = _version_to_expect(request, replica_state)
             times = AttemptTimes()
             placed_at = trio.current_time()
             try:
-                outcome = await self._attempt(request, place, expected_version, times)
+                outcome = await self._attempt(request, replica_state, expected_version, times)
             finally:
-                self._admission.give_back(place)
-            place.learn(outcome, bound=expected_version is not None)
-            log_attempt(request, place, outcome, weights, times)
-            if isinstance(outcome, Whole | Streamed):
+                self._admission.release_slot(replica_state)
+            replica_state.record_outcome(outcome, bound=expected_version is not None)
+            log_attempt(request, replica_state, outcome, weights, times)
+            if isinstance(outcome, CompleteAnswer | Streamed):
                 seconds = trio.current_time() - placed_at
                 self._overload.note_answer(request.service, seconds)
             if not isinstance(outcome, DidNotRun):
-                # One that refused may have room in a moment; one that ran it had its chance.
-                request.tried.add(place.replica.id)
+                # A replica that refused may have room shortly, so it is not excluded. One that may
+                # have run the request is not tried again.
+                request.tried.add(replica_state.replica.id)
             match outcome:
-                case Whole():
+                case CompleteAnswer():
                     if not self._retries.should_repeat_failure(request, outcome):
-                        return await self._pass_whole(request, outcome)
+                        return await self._forward_complete(request, outcome)
                     request.failed_answer = outcome
                 case Streamed():
                     return Completed(200)
                 case DidNotRun(reason=reason, detail=detail):
-                    last = self._worse(last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS))
+                    last = self._stronger_refusal(last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS))
                     if not self._retries.may_go_on_after_refusal(request, outcome):
-                        opening = self._admission.seconds_to_opening(wish, request.configuration)
-                        return self._last_word(request, self._no_room(request, last, opening))
+                        opening = self._admission.seconds_to_opening(
+                            requirements, request.configuration
+                        )
+                        return self._final_refusal(
+                            request, self._no_room_refusal(request, last, opening)
+                        )
                 case MayRun(reason=reason, detail=detail):
                     last = MayHaveRun(reason, detail)
                     if not self._retries.may_run_again(request):
-                        return self._last_word(request, last)
+                        return self._final_refusal(request, last)
+
+    def _no_room_refusal(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
+        """Return the refusal of a request that found no slot.
 
-    def _no_room(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
-        """Return what a request is told that finds no place; none opens for some seconds."""
+        `opening` is the time until a replica accepts a request, in seconds; infinite if none may
+        serve it.
+        """
         if isinstance(last, MayHaveRun):
             return last
         if opening == math.inf:
@@ -252,24 +261,26 @@
         if opening > 0:
             detail = f"no replica wants a request for another {opening:.2f} s"
             return NotRun(NO_ROOM, detail, seconds)
-        return NotRun(NO_ROOM, self._why_no_room(request), seconds)
+        return NotRun(NO_ROOM, self._no_room_detail(request), seconds)
 
-    def _why_no_room(self, request: Admitted) -> str:
-        kept = self._overload.reserved_share(request.service)
-        if not request.returning or not kept:
+    def _no_room_detail(self, request: Admitted) -> str:
+        reserved = self._overload.reserved_share(request.service)
+        if not request.returning or not reserved:
             return "no replica has room"
-        return f"no replica has room beside {kept:.2f} of the places, kept for first tries"
+        return f"no replica has room beside {reserved:.2f} of the places, kept for first tries"
 
-    async def _take_place(self, request: Admitted, wish: Wish) -> ReplicaState | None:
+    async def _acquire_slot(
+        self, request: Admitted, requirements: Requirements
+    ) -> ReplicaState | None:
         now = trio.current_time()
         priority = request.priority
         returning = request.returning and not request.tried
-        opening = self._admission.seconds_to_opening(wish, request.configuration)
+        opening = self._admission.seconds_to_opening(requirements, request.configuration)
         any_serves = opening < math.inf
         wait = self._wait_seconds(request, returning, any_serves)
         if request.tried:
-            # It has run somewhere: without a place it fails for good, so it goes first.
-            until, priority = now + RUN_AGAIN_WAIT_SECONDS, RUN_AGAIN_PRIORITY
+            # It may have run: without a slot it fails for good, so it goes first.
+            until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
         elif request.refusals or request.unreached:
             until = now + wait
         else:
@@ -277,8 +288,8 @@
         until = min(until, request.deadline)
         last = self._overload.queues_last(returning=returning)
         order = QueueOrder(priority, last, request.deadline)
-        return await self._admission.take_place(
-            wish, request.configuration, order, until, returning=returning
+        return await self._admission.acquire_slot(
+            requirements, request.configuration, order, until, returning=returning
         )
 
     def _wait_seconds(self, request: Admitted, returning: bool, any_serves: bool) -> float:
@@ -289,27 +300,27 @@
             request.service, aim, request.remaining, any_serves=any_serves
         )
 
-    def _weights_of(self, request: Admitted, place: ReplicaState) -> WeightsPlacedOn:
-        """Return the weights that a replica holds for a request, and how long they may be used."""
+    def _weights_of(self, request: Admitted, replica_state: ReplicaState) -> AttemptWeights:
+        """Return the weights of a replica for a request, and how long they may take requests."""
         model = request.facts.model
-        version = place.version_of(model) if model is not None else None
+        version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
-            return WeightsPlacedOn(None, float("inf"))
-        return WeightsPlacedOn(version, self._rules.seconds_left(model, version))
+            return AttemptWeights(None, float("inf"))
+        return AttemptWeights(version, self._rules.seconds_left(model, version))
 
     async def _attempt(
         self,
         request: Admitted,
-        place: ReplicaState,
+        replica_state: ReplicaState,
         expected_version: int | None,
         times: AttemptTimes,
     ) -> Outcome:
-        health = place.health
+        health = replica_state.health
         health.on_trial = health.needs_trial()
         relay = request.relay
         resume_after = relay.last_id if relay is not None else None
         hand_over = HandOver(
-            replica=place.replica.id,
+            replica=replica_state.replica.id,
             remaining_seconds=request.remaining,
             team=request.team.name if request.team is not None else None,
             priority=request.priority,
@@ -317,15 +328,15 @@
             resume_after=resume_after,
         )
         request.runs += 1
-        attempt = self._containment.watch.begin(request, place, times)
+        attempt = self._containment.watch.begin(request, replica_state, times)
         outcome: Outcome | None = None
         try:
             outcome = await self.attempts.make(
                 request.exchange.request,
                 request.facts,
-                place,
+                replica_state,
                 hand_over,
-                self._retries.timeouts_for(request, place),
+                self._retries.timeouts_for(request, replica_state),
                 relay,
                 fresh=not request.route.repetition.may_run_again,
                 times=times,
@@ -338,24 +349,24 @@
     # The end.
 
     @staticmethod
-    def _worse(last: Refusal | None, now: NotRun) -> Refusal:
-        """Once a request may have run, no later refusal takes that back."""
+    def _stronger_refusal(last: Refusal | None, now: NotRun) -> Refusal:
+        """Return the refusal to report: once a request may have run, that verdict stays."""
         return last if isinstance(last, MayHaveRun) else now
 
-    def _last_word(self, request: Admitted, last: Refusal) -> Verdict:
+    def _final_refusal(self, request: Admitted, last: Refusal) -> Verdict:
         if request.relay is not None and request.relay.started:
             return MayHaveRun(STREAM_BROKEN, last.detail)
         return last
 
-    async def _pass_whole(self, request: Admitted, outcome: Whole) -> Verdict:
+    async def _forward_complete(self, request: Admitted, outcome: CompleteAnswer) -> Verdict:
         if request.relay is not None and request.relay.started:
             return MayHaveRun(STREAM_BROKEN, f"status {outcome.answer.status} while resuming")
-        headers = passed_headers(outcome.answer.headers)
+        headers = end_to_end_headers(outcome.answer.headers)
         await request.exchange.respond(outcome.answer.status, headers, outcome.body)
         return Completed(outcome.answer.status)
 
     async def _conclude(self, request: Admitted, verdict: Verdict) -> None:
-        """Give the caller the last word, if it does not have it."""
+        """Count and log the verdict; send the answer if it has not been sent yet."""
         seconds = trio.current_time() - request.arrived_at
         self._observe(request.service, verdict_name(verdict), seconds)
         if isinstance(verdict, Completed):
@@ -369,7 +380,7 @@
         if request.exchange.started:
             await request.exchange.abort()
         elif request.failed_answer is not None:
-            await self._pass_whole(request, request.failed_answer)
+            await self._forward_complete(request, request.failed_answer)
         else:
             await send_refusal(request.exchange, self._dialect, verdict, request.facts.id)
 
@@ -377,22 +388,22 @@
         self.counts[f"{verdict_name(refusal)} {refusal.reason.code}"] += 1
 
 
-def _version_to_expect(request: Admitted, place: ReplicaState) -> int | None:
-    """Return the version without which a replica must not run a request, None if any will do."""
+def _version_to_expect(request: Admitted, replica_state: ReplicaState) -> int | None:
+    """Return the weights version that a replica must hold to run a request, None if any may."""
     if request.bound_version is not None or request.facts.model is None:
         return request.bound_version
-    return place.version_to_expect(request.facts.model)
+    return replica_state.version_to_expect(request.facts.model)
 
 
 def _fingerprint_of(request: Request, facts: RequestFacts) -> int | None:
-    """Return what tells a request from others, None if it does not say what its prompt is."""
+    """Return the fingerprint of a request, None if it does not state its prompt."""
     if facts.prompt is None:
         return None
     return fingerprint_of(request.header("host") or "", request.target, facts.key, facts.prompt)
 
 
-def _too_late(request: Admitted) -> Verdict:
-    """Return the verdict on a request whose time is up."""
+def _deadline_verdict(request: Admitted) -> Verdict:
+    """Return the verdict on a request whose deadline has passed."""
     if request.relay is not None and request.relay.started:
         return MayHaveRun(STREAM_BROKEN, "the time is up")
     if request.runs:
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -9,11 +9,11 @@
 
 from headcross_gateway.admission import Admission
 from headcross_gateway.admitted import Admitted
-from headcross_gateway.attempts import Patience
+from headcross_gateway.attempts import AttemptTimeouts
 from headcross_gateway.budget import RetryBudget
 from headcross_gateway.containment import Containment
-from headcross_gateway.outcomes import DidNotRun, Whole
-from headcross_gateway.picking import wish_of
+from headcross_gateway.outcomes import DidNotRun, CompleteAnswer
+from headcross_gateway.picking import requirements_of
 from headcross_gateway.replicastate import ReplicaState
 
 # Refusals by replicas after which a request is still sent elsewhere; each is an arrival at a
@@ -38,13 +38,13 @@
         self._budget = budget
         self._containment = containment
 
-    def timeouts_for(self, request: Admitted, state: ReplicaState) -> Patience:
+    def timeouts_for(self, request: Admitted, state: ReplicaState) -> AttemptTimeouts:
         """Return how long a request waits for a silent replica; forever if it may not move."""
         if (
             not request.route.repetition.may_run_again
             or request.runs >= request.route.max_attempts
         ):
-            return Patience(float("inf"), float("inf"))
+            return AttemptTimeouts(float("inf"), float("inf"))
 
         def should_abandon() -> bool:
             return self._containment.is_clear(request) and self._take_retry_to_leave(
@@ -52,8 +52,8 @@
             )
 
         if request.relay is not None:
-            return Patience(STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, should_abandon)
-        return Patience(REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, should_abandon)
+            return AttemptTimeouts(STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, should_abandon)
+        return AttemptTimeouts(REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, should_abandon)
 
     def _take_retry_to_leave(self, request: Admitted, state: ReplicaState) -> bool:
         """Take a retry for a request that leaves a silent replica; False if it has to stay.
@@ -62,7 +62,7 @@
         would be lost to a mere pause of its replica, which may still continue. If a saturated link
         silences many replicas at once, only as many requests leave as there are retries.
         """
-        wish = wish_of(request.facts, request.service, may_run_again=True)
+        wish = requirements_of(request.facts, request.service, may_run_again=True)
         tried = frozenset({*request.tried, state.replica.id})
         wish = replace(wish, tried=tried, exact_version=request.bound_version)
         opening = self._admission.seconds_to_opening(wish, request.configuration)
@@ -73,7 +73,7 @@
         request.retry_paid = self._budget.spend(request.service)
         return request.retry_paid
 
-    def should_repeat_failure(self, request: Admitted, outcome: Whole) -> bool:
+    def should_repeat_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
         """Return whether a failure answered by a replica is retried; takes the retry."""
         return outcome.failed and self.may_run_again(request)
 
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -179,24 +179,24 @@
 ) -> None:
     loads = ConfirmedLoads([OLDER])
     for each in messages:
-        loads.hear(each, 1.0)
+        loads.record_report(each, 1.0)
     assert loads.may_serve("m", version) == serves
 
 
 def test_an_entry_without_a_subscription_uses_the_list() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(load_of(1), 1.0)
-    loads.stop_hearing()
+    loads.record_report(load_of(1), 1.0)
+    loads.rely_on_list()
     assert loads.may_serve("m", 2)
 
 
 def test_an_entry_records_when_it_first_saw_a_new_version_loaded() -> None:
     loads = ConfirmedLoads([OLDER])
-    loads.hear(load_of(1), 1.0)
-    assert not loads.came_at
+    loads.record_report(load_of(1), 1.0)
+    assert not loads.first_seen_at
     loads.note_held([NEWER], 2.0)
-    loads.hear(load_of(2, confirmed=2), 3.0)
-    assert loads.came_at == {NEWER: 2.0}
+    loads.record_report(load_of(2, confirmed=2), 3.0)
+    assert loads.first_seen_at == {NEWER: 2.0}
 
 
 def replica_state() -> ReplicaState:
@@ -207,25 +207,25 @@
 
 def test_an_unconfirmed_version_is_loaded_but_not_served() -> None:
     state = replica_state()
-    state.hear(load_of(2), 1)
+    state.record_report(load_of(2), 1)
     assert state.held_version("m") == 2
     assert state.version_of("m") is None
-    state.hear(load_of(2, confirmed=2), 1)
+    state.record_report(load_of(2, confirmed=2), 1)
     assert state.version_of("m") == 2
 
 
 def test_a_message_about_another_incarnation_confirms_nothing() -> None:
     state = replica_state()
-    state.hear(load_of(1), 1)
-    state.hear(load_of(2, confirmed=2, started_ms=8), 1)
+    state.record_report(load_of(1), 1)
+    state.record_report(load_of(2, confirmed=2, started_ms=8), 1)
     assert not state.loads.may_serve("m", 2)
 
 
 def test_requests_name_the_expected_version_while_a_daemon_is_silent() -> None:
     state = replica_state()
-    state.hear(load_of(1), 1)
+    state.record_report(load_of(1), 1)
     assert state.version_to_expect("m") is None
-    assert state.told is not None
-    state.told.at -= 1.0
+    assert state.last_report is not None
+    state.last_report.at -= 1.0
     assert state.version_to_expect("m") == 1
     assert replica_state().version_to_expect("m") is None
--- a/tests/test_gateway_lapsed.py
+++ b/tests/test_gateway_lapsed.py
@@ -1,4 +1,4 @@
-"""Replicas whose entries lapse while the store is away: used while they answer, then given up."""
+"""Tests replicas whose list entries lapse in a store outage: used while they answer, then not."""
 
 from pathlib import Path
 
@@ -7,7 +7,7 @@
 from headcross_base.addresses import Address
 from headcross_base.clocks import monotonic
 from headcross_facts.facts import LAPSE_SECONDS, Facts
-from headcross_gateway.directory import LAPSED_PART, Directory
+from headcross_gateway.directory import LAPSED_USE_SHARE, Directory
 from headcross_gateway.replicastate import ReplicaState
 from headcross_platform import names
 from headcross_platform.store import MetadataStore
@@ -27,7 +27,7 @@
 
 
 class Clock:
-    """The clock of all modules that matter here."""
+    """Replaces the clock of the modules under test."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch) -> None:
         self.now = monotonic()
@@ -36,14 +36,14 @@
         monkeypatch.setattr("headcross_gateway.replicastate.monotonic", lambda: self.now)
 
 
-def told(directory: Directory, *, reachable: bool = True) -> None:
-    """Let the daemon beside the model replica speak."""
+def report_load(directory: Directory, *, reachable: bool = True) -> None:
+    """Record a load report for the model replica."""
     address = str(MODEL_REPLICA.address)
-    directory.hear(ReplicaLoad(address, 1, reachable, False, {"m": 1}, 0, 0, 0.0, 1.0, 1))
+    directory.record_report(ReplicaLoad(address, 1, reachable, False, {"m": 1}, 0, 0, 0.0, 1.0, 1))
 
 
-def known(*replicas: Replica) -> tuple[Facts, Directory]:
-    """Return what an entry knows once a list of replicas is there."""
+def directory_listing(*replicas: Replica) -> tuple[Facts, Directory]:
+    """Return the facts and directory of an entry that has received a list of replicas."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     facts.take_listing(Topic.REPLICAS, Listing((), 1), 0.0, "store")
     facts.replicas.update({replica.id: replica for replica in replicas})
@@ -56,55 +56,57 @@
 
 
 def lapse(facts: Facts, directory: Directory, replica: Replica) -> None:
-    """Let the entry of a replica be gone."""
+    """Remove the list entry of a replica."""
     gone = Item(f"{names.REPLICA_PREFIX}{replica.id}", 2, None)
     facts.take_changes(Topic.REPLICAS, Changes((gone,), 2))
     directory.update()
 
 
 def state_of(directory: Directory) -> ReplicaState | None:
-    """Return the one replica that is known."""
+    """Return the only known replica, None if there is none."""
     return next(iter(directory.states()), None)
 
 
-def test_one_whose_daemon_says_that_it_answers_is_used_until_it_should_be_listed_again(
+def test_a_lapsed_replica_that_its_daemon_reaches_is_used_for_a_limited_time(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock(monkeypatch)
-    facts, directory = known(MODEL_REPLICA)
+    facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, MODEL_REPLICA)
     state = state_of(directory)
-    assert state is not None and state.is_gone()  # nobody says that it lives
-    told(directory)
+    assert state is not None and state.is_gone()  # no report says that it is reachable
+    report_load(directory)
     assert not state.is_gone()
-    told(directory, reachable=False)
+    report_load(directory, reachable=False)
     assert state.is_gone()
-    clock.now += LAPSED_PART * LEAVING_SECONDS
-    told(directory)
+    clock.now += LAPSED_USE_SHARE * LEAVING_SECONDS
+    report_load(directory)
     assert state.is_gone()
     directory.update()
     assert state_of(directory) is None
 
 
-def test_one_that_answered_requests_is_used_until_one_fails(
+def test_a_lapsed_replica_that_answered_requests_is_used_until_one_fails(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     Clock(monkeypatch)
-    facts, directory = known(PLAIN_REPLICA)
+    facts, directory = directory_listing(PLAIN_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, PLAIN_REPLICA)
     state = state_of(directory)
     assert state is not None and state.is_gone()
-    state.health.succeeded()
+    state.health.note_success()
     assert not state.is_gone()
-    state.health.failed(certain=False)
+    state.health.note_failure(certain=False)
     assert state.is_gone()
 
 
-def test_one_that_is_listed_again_is_one_like_any_other(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_lapsed_replica_that_is_listed_again_is_used_normally(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock = Clock(monkeypatch)
-    facts, directory = known(MODEL_REPLICA)
+    facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     lapse(facts, directory, MODEL_REPLICA)
     facts.replicas[MODEL_REPLICA.id] = MODEL_REPLICA
@@ -114,31 +116,33 @@
     assert state is not None and not state.is_gone()
 
 
-def test_one_that_goes_while_the_store_serves_gets_nothing_more_at_once(
+def test_a_replica_unlisted_while_the_store_serves_gets_no_more_requests(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Some replicas never say that they leave: their entry goes, and they serve on for a while."""
+    """Some replicas leave unannounced: their entry is removed while they still serve."""
     clock = Clock(monkeypatch)
-    facts, directory = known(MODEL_REPLICA)
+    facts, directory = directory_listing(MODEL_REPLICA)
     facts.note_failure(Topic.REPLICAS)
     clock.now += LAPSE_SECONDS
-    told(directory)
+    report_load(directory)
     lapse(facts, directory, MODEL_REPLICA)
     assert state_of(directory) is None
 
 
-def test_one_that_said_it_leaves_is_not_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_draining_replica_is_not_kept_when_its_entry_lapses(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     Clock(monkeypatch)
     draining = Replica("i-model", "lm", Address("127.0.0.1", 1), "z", 8, draining=True)
-    facts, directory = known(draining)
+    facts, directory = directory_listing(draining)
     facts.note_failure(Topic.REPLICAS)
-    told(directory)
+    report_load(directory)
     lapse(facts, directory, draining)
     assert state_of(directory) is None
 
 
-async def test_requests_are_served_while_entries_that_lapsed_come_back(tmp_path: Path) -> None:
-    """All entries had lapsed: nobody was served from the store's return until they were back."""
+async def test_requests_are_served_while_lapsed_entries_are_listed_again(tmp_path: Path) -> None:
+    """Guards against refusals from the store's return until lapsed entries are listed again."""
     async with small_site(tmp_path, models=0) as site:
         entry = site.callers("entry0")
         for _ in range(4):
@@ -150,7 +154,7 @@
         for replica in replicas_of(site, PLAIN_SERVICE):
             site.unlist(site.replicas[replica.id])
         site.store.set_mood(Mood.WELL)
-        # The state tells when the news are here; the log line may be one too many in its second.
+        # Wait for the state rather than a log line, which rate limiting may suppress.
         with trio.fail_after(15):
             while (await site.state("entry0"))["replicas"]:
                 assert (await ask(entry, "/again/x")).status == 200
--- a/tests/test_loss_watch.py
+++ b/tests/test_loss_watch.py
@@ -57,7 +57,7 @@
         """Let the daemon report whether it reaches the replica, and the weights held there."""
         versions = {"m": 1} if holds and reachable else {}
         load = ReplicaLoad("10.0.0.1:7004", 1, reachable, False, versions, 0, 0, 0.0, 1.0, 1)
-        self.state.hear(load, 1)
+        self.state.record_report(load, 1)
 
     def pass_time(self, seconds: float) -> None:
         """Advance the clock, and check the replicas."""
