--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -25,7 +25,7 @@
 from headcross_gateway.weightsrules import ENDING_SECONDS, WeightsRules
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import LoadedModel
-from headcross_renewal.mirrors import knowing_digests, replicas_in_region_of
+from headcross_renewal.mirrors import replicas_in_region_of, replicas_with_digests
 from headcross_renewal.plan import plan_of
 from headcross_wire.httpserver import Exchange, HttpServer, ServerLimits
 from headcross_wire.peermessages import (
@@ -308,7 +308,7 @@
         settings = self.process.settings
         replicas = self._directory.replicas_with_daemons()
         near = replicas_in_region_of(settings.zone, replicas, settings.zones)
-        known = knowing_digests(near, goal)
+        known = replicas_with_digests(near, goal)
         return [Address(r.address.ip, settings.peers.control_port) for r in known]
 
     def _other_entries(self) -> list[Address]:
--- a/libs/daemon/src/headcross_daemon/mirrorparts.py
+++ b/libs/daemon/src/headcross_daemon/mirrorparts.py
@@ -10,7 +10,7 @@
 from headcross_base.addresses import Address, parse_address
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import LoadedModel
-from headcross_renewal.digestbook import DigestBook
+from headcross_renewal.digestregistry import DigestRegistry
 from headcross_renewal.mirroring import Mirror
 from headcross_renewal.mirrors import SwarmPorts
 from headcross_renewal.sources import DEFAULT_CHUNK_BYTES, OriginSource
@@ -77,7 +77,7 @@
             self._store,
             self._swarm,
             origin,
-            DigestBook(origin, process.node, daemons, settings.ip, daemons_for_digests),
+            DigestRegistry(origin, process.node, daemons, settings.ip, daemons_for_digests),
             rate,
             settings.bounds.weights_seconds,
         )
@@ -99,7 +99,7 @@
         `entries` is how many entries share the work, this one among them; `plan` is what daemons
         need of the configuration, and `sent_ms` is told back by the daemons.
         """
-        self._mirror.sharers = entries
+        self._mirror.mirror_count = entries
         place = self._place_told(stopping)
         asked = set(random.sample(daemons, min(DAEMONS_ASKED, len(daemons))))
         host = self._settings.host
@@ -121,14 +121,14 @@
 
     def known(self) -> list[MirrorPlace]:
         """Return the mirrors heard of lately, this one among them."""
-        return self._mirror.book.known()
+        return self._mirror.registry.known()
 
     def hear(self, incoming: Incoming) -> bool:
         """Take a message if it is for the mirror; return whether it was."""
         match incoming.message:
             case KnownMirrors(mirrors=mirrors):
                 for mirror in mirrors:
-                    self._mirror.book.hear(mirror)
+                    self._mirror.registry.record(mirror)
             case KnownDigests() as known:
                 self._mirror.digests.receive(known)
             case AskDigests() as question:
@@ -144,5 +144,5 @@
             "swarm": dict(self._swarm.counts),
             "uploads": {"sent": self._swarm.uploads.sent, "refused": self._swarm.uploads.refused},
             "origin_bytes": sum(self._importer.received_bytes.values()),
-            "mirrors": [mirror.ip for mirror in self._mirror.book.known()],
+            "mirrors": [mirror.ip for mirror in self._mirror.registry.known()],
         }
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -12,18 +12,18 @@
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import LoadedModel, Replica, Topic
 from headcross_renewal.confirmation import Standing
-from headcross_renewal.digestbook import DigestBook
-from headcross_renewal.fetching import Fetching, Place
-from headcross_renewal.goalchoice import GoalChoice
+from headcross_renewal.digestregistry import DigestRegistry
+from headcross_renewal.fetching import DaemonLocation, Fetcher
+from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.loading import Loading
 from headcross_renewal.mirrors import (
-    MirrorBook,
+    MirrorRegistry,
     SwarmPorts,
-    knowing_digests,
     replicas_in_region_of,
+    replicas_with_digests,
 )
 from headcross_renewal.orders import Orders
-from headcross_renewal.plan import DAEMONS_ASKED, PlanBook, listing_order, seek_plan
+from headcross_renewal.plan import DAEMONS_ASKED, PlanRegistry, listing_order, obtain_plan
 from headcross_renewal.renewer import Renewer
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import DEFAULT_CHUNK_BYTES, OriginSource
@@ -92,7 +92,7 @@
         uplink = LinkRate(rate * UPLINK_PART, LINK_BURST_BYTES)
         self._downlink = downlink
         self._uplink = uplink
-        self._plans = PlanBook(facts)
+        self._plans = PlanRegistry(facts)
         origin = OriginSource(
             self._plans.origin,
             adapter.origin,
@@ -110,7 +110,7 @@
             downlink,
             SMALL_WEIGHTS,
         )
-        place = Place(
+        place = DaemonLocation(
             host=settings.ip,
             region_of_zone=settings.zones,
             replica_address=str(address),
@@ -118,9 +118,9 @@
             ports=SwarmPorts(settings.peers.control_port, settings.peers.swarm_port),
             link_bytes_per_second=rate * LEAST_DOWNLINK_PART,
         )
-        self._mirrors = MirrorBook()
+        self._mirrors = MirrorRegistry()
         self._losses = LossKeeper()
-        self._book = DigestBook(
+        self._book = DigestRegistry(
             origin, self.process.node, self._daemons, settings.ip, self._daemons_for_digests
         )
         self._orders = Orders(str(address), facts, adapter.replica, self._reporter)
@@ -132,7 +132,7 @@
             self._orders,
             settings.bounds.weights_seconds,
         )
-        choice = GoalChoice(
+        choice = GoalSelector(
             settings.replica.service,
             place.link_bytes_per_second,
             facts,
@@ -142,7 +142,7 @@
             self._loading,
             self._plans,
         )
-        fetching = Fetching(
+        fetching = Fetcher(
             place,
             self._store,
             self._swarm,
@@ -228,7 +228,7 @@
         """Seek the plan whenever it is wanted."""
         while True:
             await self._plan_wanted.wait()
-            await seek_plan(
+            await obtain_plan(
                 self._plans,
                 self.process.node,
                 self._plan_tellers,
@@ -270,7 +270,7 @@
             self._plan_wanted.set()
             return
         age = self.process.facts.topics[Topic.CONTROL].age()
-        if age > CONFIGURATION_FRESH_SECONDS and not self._plans.told_lately():
+        if age > CONFIGURATION_FRESH_SECONDS and not self._plans.received_recently():
             self.process.follower.list_now(Topic.CONTROL)
 
     def _daemons(self) -> list[Address]:
@@ -279,7 +279,7 @@
 
     def _daemons_for_digests(self, goal: LoadedModel) -> list[Address]:
         """Return the daemons of this region that know a version's digests, or are to read them."""
-        return self._daemons_of(knowing_digests(self._region_replicas(), goal))
+        return self._daemons_of(replicas_with_digests(self._region_replicas(), goal))
 
     def _region_replicas(self) -> list[Replica]:
         """Return the replicas of this service in this region."""
@@ -296,11 +296,11 @@
                 if subscription.wants_load:
                     self._reporter.listen(subscription.host, incoming.reply, subscription.sent_ms)
                 if subscription.plan is not None:
-                    self._plans.hear(subscription.plan)
+                    self._plans.receive(subscription.plan)
                 hear_versions(self.process.facts, subscription.named)
                 self._hear_of_earlier_process(subscription)
                 if subscription.mirror is not None:
-                    self._mirrors.hear(subscription.mirror)
+                    self._mirrors.record(subscription.mirror)
                 if subscription.wants_losses:
                     self._losses.answer(incoming.reply)
                 if subscription.wants_mirrors:
@@ -314,7 +314,7 @@
                 if known_plan is not None:
                     incoming.reply(KnownPlan(known_plan), None)
             case KnownPlan(plan=plan):
-                self._plans.hear(plan)
+                self._plans.receive(plan)
             case AskDigests() as question:
                 self._book.answer(question, incoming.reply)
             case KnownDigests() as known:
--- a/libs/renewal/src/headcross_renewal/__init__.py
+++ b/libs/renewal/src/headcross_renewal/__init__.py
@@ -1,1 +1,1 @@
-"""Bringing the replica beside a daemon to the weights that the operators named."""
+"""Updates of a daemon's replica to the weight versions that operators name."""
--- a/libs/renewal/src/headcross_renewal/confirming.py
+++ b/libs/renewal/src/headcross_renewal/confirming.py
@@ -8,11 +8,11 @@
 from headcross_ports.replicas import ChunkDigests, ReplicaControl
 
 from headcross_renewal.confirmation import key_of
-from headcross_renewal.digestbook import DigestBook
+from headcross_renewal.digestregistry import DigestRegistry
 from headcross_renewal.indoubt import InDoubt
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
-from headcross_renewal.staging import find_bad
+from headcross_renewal.staging import find_corrupt_chunks
 
 # Digests of the held version are waited for so long at a time.
 DIGESTS_SECONDS: Final = 1.0
@@ -25,7 +25,7 @@
     """The read-backs of one replica's loads."""
 
     def __init__(
-        self, replica: ReplicaControl, reporter: Reporter, book: DigestBook, in_doubt: InDoubt
+        self, replica: ReplicaControl, reporter: Reporter, book: DigestRegistry, in_doubt: InDoubt
     ) -> None:
         self._replica = replica
         self._reporter = reporter
@@ -54,7 +54,7 @@
             digests = await self._book.obtain(held)
         if digests is None:
             return None
-        bad = await find_bad(self._replica, held.model, digests.digests)
+        bad = await find_corrupt_chunks(self._replica, held.model, digests.digests)
         fields = {"held": weights_name(held), "bad": None if bad is None else sorted(bad)}
         logger.info("load read back", extra=fields)
         return bad
--- a/libs/renewal/src/headcross_renewal/fetching.py
+++ b/libs/renewal/src/headcross_renewal/fetching.py
@@ -1,4 +1,4 @@
-"""Bringing a version's chunks to this host, from other daemons, mirrors and the origin."""
+"""Fetches the chunks of a version to this host from other daemons, mirrors and the origin."""
 
 import logging
 from dataclasses import dataclass
@@ -12,140 +12,142 @@
 from headcross_weights.chunkstore import ChunkStore, StoredArtifact
 from headcross_weights.swarm import Swarm
 
-from headcross_renewal.digestbook import DigestBook
-from headcross_renewal.goalchoice import GoalChoice
+from headcross_renewal.digestregistry import DigestRegistry
+from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.loading import Loading
-from headcross_renewal.mirrors import MirrorBook, SwarmPorts, has_loaded, swarm_hosts
+from headcross_renewal.mirrors import MirrorRegistry, SwarmPorts, has_loaded, swarm_hosts
 from headcross_renewal.sources import OriginSource, manifest_of, weights_name
 
 RETRY_SECONDS: Final = 0.3
-# Room for another version is looked for again after this.
-NO_ROOM_SECONDS: Final = 0.5
-# A transfer that brought nothing for so long begins anew if other hosts have come meanwhile.
+# Interval between attempts to admit a version that does not fit into memory.
+ADMIT_RETRY_SECONDS: Final = 0.5
+# A transfer without a new chunk for this long is restarted if its participants have changed, and
+# ended if an older version is more complete.
 STALLED_SECONDS: Final = 0.7
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(frozen=True, slots=True)
-class Place:
-    """Where this daemon stands, and how others reach it."""
+class DaemonLocation:
+    """The location and addresses of a daemon and its replica."""
 
-    host: str  # its IP number, which names it in the swarm
+    host: str  # IP address of the daemon, its name in the swarm
     region_of_zone: dict[str, str]
     replica_address: str
     service: str
     ports: SwarmPorts
-    link_bytes_per_second: float  # that weights may take at least
+    link_bytes_per_second: float  # least rate that the link leaves for weights
 
 
-class Fetching:
-    """The transfers to one host."""
+class Fetcher:
+    """Runs the transfers of weights to one host."""
 
     def __init__(
         self,
-        place: Place,
+        location: DaemonLocation,
         store: ChunkStore,
         swarm: Swarm,
         origin: OriginSource,
-        book: DigestBook,
-        mirrors: MirrorBook,
+        digests: DigestRegistry,
+        mirrors: MirrorRegistry,
         loading: Loading,
-        choice: GoalChoice,
+        choice: GoalSelector,
     ) -> None:
-        self._place = place
+        self._location = location
         self._store = store
         self._swarm = swarm
         self._origin = origin
-        self._book = book
+        self._digests = digests
         self._mirrors = mirrors
         self._loading = loading
         self._choice = choice
         self._pinned: set[str] = set()
 
     def open_links(self) -> None:
-        """Open links to the other hosts, for the next version."""
+        """Open links to other hosts ahead of the next transfer."""
         self._swarm.update_hosts(self._hosts())
         self._swarm.open_links()
 
     async def admit(self, goal: LoadedModel) -> StoredArtifact:
-        """Return the place for a version's chunks."""
-        digests = await self._book.obtain(goal)
+        """Return the store's artifact for a version, waiting until memory allows it."""
+        digests = await self._digests.obtain(goal)
         self._origin.use_chunk_bytes(digests.chunk_bytes)
         manifest, body, digest = manifest_of(digests)
         self._pinned.add(digest)
-        self._store.pin(self._place.host, self._pinned)
+        self._store.pin(self._location.host, self._pinned)
         while True:
             admitted = self._store.admit(digest, manifest, body)
             if not isinstance(admitted, Failure):
                 return admitted.value
-            logger.error("no memory for weights", extra={"reason": admitted.detail})
+            logger.error("not enough memory to store weights", extra={"reason": admitted.detail})
             self._pinned = {digest}
-            self._store.pin(self._place.host, self._pinned)
-            await trio.sleep(NO_ROOM_SECONDS)
+            self._store.pin(self._location.host, self._pinned)
+            await trio.sleep(ADMIT_RETRY_SECONDS)
 
-    async def admit_beside(self, goal: LoadedModel) -> StoredArtifact | None:
-        """Return the place for a version that is not the goal; None if there is no room for it."""
-        manifest, body, digest = manifest_of(await self._book.obtain(goal))
-        self._store.pin(f"{self._place.host} beside", {digest})
+    async def admit_secondary(self, goal: LoadedModel) -> StoredArtifact | None:
+        """Return the store's artifact for a version besides the goal; None if memory is short."""
+        manifest, body, digest = manifest_of(await self._digests.obtain(goal))
+        self._store.pin(f"{self._location.host} beside", {digest})
         admitted = self._store.admit(digest, manifest, body)
         if isinstance(admitted, Failure):
-            logger.error("no memory for weights", extra={"reason": admitted.detail})
+            logger.error("not enough memory to store weights", extra={"reason": admitted.detail})
             return None
         return admitted.value
 
     async def fetch(self, goal: LoadedModel, stored: StoredArtifact) -> bool:
-        """Fetch a version whole; return False if it cannot be had and an older one can."""
+        """Fetch all chunks of a version; return False if an older version is preferred instead."""
         artifact = Artifact(name=weights_name(goal), digest=stored.digest)
         while not stored.whole:
-            wanting = self._wanting(goal)
+            participants = self._participants(goal)
             self._swarm.update_hosts(self._hosts())
             async with trio.open_nursery() as nursery:
                 nursery.start_soon(
-                    self._give_up_when_others_have_it, goal, stored, wanting, nursery.cancel_scope
+                    self._cancel_when_stalled, goal, stored, participants, nursery.cancel_scope
                 )
-                outcome = await self._swarm.fetch(artifact, wanting, 1)
+                outcome = await self._swarm.fetch(artifact, participants, 1)
                 if isinstance(outcome, Failure):
                     logger.warning("weights not fetched", extra={"reason": outcome.detail})
                     await trio.sleep(RETRY_SECONDS)
                 nursery.cancel_scope.cancel()
-            if not stored.whole and self._choice.older_is_closer(goal, stored):
-                self._choice.withhold(goal)
+            if not stored.whole and self._choice.is_older_more_complete(goal, stored):
+                self._choice.defer(goal)
                 return False
         return True
 
-    async def _give_up_when_others_have_it(
+    async def _cancel_when_stalled(
         self,
         goal: LoadedModel,
         stored: StoredArtifact,
-        wanting: list[str],
+        participants: list[str],
         scope: trio.CancelScope,
     ) -> None:
-        """End a transfer that does not get on, to look anew what may be had from whom."""
+        """Cancel a stalled transfer if its participants changed or an older version is better."""
         while True:
             missing = len(stored.missing)
             await trio.sleep(STALLED_SECONDS)
             if len(stored.missing) != missing:
                 continue
-            others = set(self._wanting(goal)) != set(wanting)
-            if others or self._choice.older_is_closer(goal, stored):
-                logger.info("transfer begun anew", extra={"goal": weights_name(goal)})
+            changed = set(self._participants(goal)) != set(participants)
+            if changed or self._choice.is_older_more_complete(goal, stored):
+                logger.info("stalled transfer cancelled", extra={"goal": weights_name(goal)})
                 scope.cancel()
                 return
 
     def _hosts(self) -> HostList:
-        place = self._place
+        location = self._location
         return swarm_hosts(
-            self._loading.peers(), self._mirrors.known(), place.region_of_zone, place.ports
+            self._loading.peers(), self._mirrors.known(), location.region_of_zone, location.ports
         )
 
-    def _wanting(self, goal: LoadedModel) -> list[str]:
-        """Return who takes part in bringing a version in from the origin.
+    def _participants(self, goal: LoadedModel) -> list[str]:
+        """Return the hosts that take part in the transfer of a version.
 
-        Once replicas hold the version, they alone are asked: the origin need not send it again.
+        Once other replicas hold the version, these are the only ones, so that the origin need not
+        send it again.
         """
         holders = [r.address.ip for r in self._loading.peers() if has_loaded(r, goal)]
-        others = [ip for ip in holders if ip != self._place.host]
+        others = [ip for ip in holders if ip != self._location.host]
         if others:
             return others
         return [
--- a/libs/renewal/src/headcross_renewal/goalchoice.py
+++ b/libs/renewal/src/headcross_renewal/goalchoice.py
@@ -1,7 +1,7 @@
-"""Which version a replica should be brought to now, and which others are worth it meanwhile.
+"""Selects the version that a replica should be updated to (the goal).
 
-The newest named version, but for moments in which it cannot be had: then an older one that would
-still serve for a while is gone on with.
+The goal is the newest named version. While that one is unavailable, it is an older version that
+would still serve for some time.
 """
 
 import logging
@@ -12,23 +12,22 @@
 from headcross_ports.published import LoadedModel, Topic
 from headcross_weights.chunkstore import ChunkStore, StoredArtifact
 
-from headcross_renewal.digestbook import DigestBook
+from headcross_renewal.digestregistry import DigestRegistry
 from headcross_renewal.loading import Loading
-from headcross_renewal.plan import PlanBook
+from headcross_renewal.plan import PlanRegistry
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import manifest_of, weights_name
-from headcross_renewal.versionchoice import Bringing
+from headcross_renewal.versionchoice import FetchEstimate
 
 FIRST_VERSION: Final = 1
-# While digests cannot be had for so long, or chunks do not come, an older version goes first for
-# a moment.
-WITHHELD_SECONDS: Final = 1.5
+# A version whose digests or chunks are unavailable yields to an older one for this long.
+DEFERRAL_SECONDS: Final = 1.5
 
 logger = logging.getLogger(__name__)
 
 
-class GoalChoice:
-    """The choice of versions for one replica."""
+class GoalSelector:
+    """Selects the goal of one replica."""
 
     def __init__(
         self,
@@ -37,24 +36,30 @@
         facts: Facts,
         reporter: Reporter,
         store: ChunkStore,
-        book: DigestBook,
+        digests: DigestRegistry,
         loading: Loading,
-        plans: PlanBook,
+        plans: PlanRegistry,
     ) -> None:
-        """Make a choice over a link that gives weights so many bytes a second at least."""
+        """Select for a replica of `service`.
+
+        `link_bytes_per_second` is the least rate that the link leaves for weights.
+        """
         self._service = service
         self._link_bytes_per_second = link_bytes_per_second
         self._facts = facts
         self._reporter = reporter
         self._store = store
-        self._book = book
+        self._digests = digests
         self._loading = loading
         self._plans = plans
-        # Versions that could not be had lately, with the moment until which others go first.
-        self._withheld: dict[LoadedModel, float] = {}
+        # Versions that were unavailable lately, and until when others are preferred (monotonic).
+        self._deferred_until: dict[LoadedModel, float] = {}
 
     def choose(self) -> LoadedModel | None:
-        """Return the version that the replica should be brought to now."""
+        """Return the version that the replica should be updated to now.
+
+        Returns None while the list of replicas or the model is not known.
+        """
         if not self._facts.topics[Topic.REPLICAS].known:
             return None
         model = self._model()
@@ -62,87 +67,88 @@
             return None
         named = [LoadedModel(model, n.version) for n in self._facts.versions.get(model, [])]
         if not named:
-            return self._goal_without_name(model)
+            return self._goal_from_replicas(model)
         newest = named[-1]
-        if not self._is_withheld(newest):
+        if not self._is_deferred(newest):
             return newest
-        worth = [goal for goal in named[:-1] if self._is_worth_going_on_with(goal)]
+        worth = [goal for goal in named[:-1] if self._is_worth_resuming(goal)]
         return worth[-1] if worth else newest
 
-    def is_worth_bringing(self, goal: LoadedModel, *, delays_newer: bool) -> bool:
-        """Tell whether an older version is worth finishing; not if nothing is known of it yet."""
-        digests = self._book.settled.get(goal)
+    def is_worth_fetching(self, goal: LoadedModel, *, delays_newer: bool) -> bool:
+        """Return whether finishing an older version is worthwhile; False without its digests."""
+        digests = self._digests.settled.get(goal)
         if digests is None:
             return False
         held = self._store.get(manifest_of(digests)[2])
         missing = len(held.missing) if held is not None else len(digests.digests)
-        bringing = self._bringing(goal, missing * digests.chunk_bytes)
-        return bringing.is_worth_it(monotonic(), delays_newer=delays_newer)
+        estimate = self._estimate(goal, missing * digests.chunk_bytes)
+        return estimate.is_worthwhile(monotonic(), delays_newer=delays_newer)
 
-    def older_is_closer(self, goal: LoadedModel, stored: StoredArtifact) -> bool:
-        """Tell whether more of an older version that is still wanted is here."""
+    def is_older_more_complete(self, goal: LoadedModel, stored: StoredArtifact) -> bool:
+        """Return whether an older version that is still wanted is more complete in the store."""
         named = [n.version for n in self._facts.versions.get(goal.model, [])]
         for version in named:
             older = LoadedModel(goal.model, version)
-            if version >= goal.version or not self._is_under_way(older):
+            if version >= goal.version or not self._is_obtainable(older):
                 continue
-            held = self._store.get(manifest_of(self._book.settled[older])[2])
+            held = self._store.get(manifest_of(self._digests.settled[older])[2])
             if held is not None and held.progress > stored.progress:
                 return True
         return False
 
     def is_outdated(self, goal: LoadedModel) -> bool:
-        """Tell whether a newer version is here whole, so that this one need not be loaded."""
+        """Return whether a newer version is complete in the store, so `goal` need not load."""
         newest = self._facts.newest_version(goal.model)
         if newest is None or newest <= goal.version:
             return False
-        digests = self._book.settled.get(LoadedModel(goal.model, newest))
+        digests = self._digests.settled.get(LoadedModel(goal.model, newest))
         held = self._store.get(manifest_of(digests)[2]) if digests is not None else None
         return held is not None and held.whole
 
-    def withhold(self, goal: LoadedModel) -> None:
-        """Leave a version alone for a moment, if there is an older one to go on with."""
-        self._withheld[goal] = monotonic() + WITHHELD_SECONDS
+    def defer(self, goal: LoadedModel) -> None:
+        """Prefer older versions for `DEFERRAL_SECONDS`, if one of them is worthwhile."""
+        self._deferred_until[goal] = monotonic() + DEFERRAL_SECONDS
         logger.info("version cannot be had", extra={"goal": weights_name(goal)})
 
-    def version_held(self, model: str) -> int:
-        """Return the version that the replica serves, 0 if none."""
+    def held_version(self, model: str) -> int:
+        """Return the newest version of a model that the replica has loaded, 0 if none."""
         report = self._reporter.report
         loaded = report.loaded if report is not None else ()
         return max((held.version for held in loaded if held.model == model), default=0)
 
-    def _goal_without_name(self, model: str) -> LoadedModel:
-        """Return the version that others serve, where the operators named none."""
+    def _goal_from_replicas(self, model: str) -> LoadedModel:
+        """Return the newest version held by a listed replica or this one, or `FIRST_VERSION`."""
         listed = [m.version for r in self._loading.peers() for m in r.loaded if m.model == model]
         report = self._reporter.report
         held = [m.version for m in report.loaded if m.model == model] if report else []
         return LoadedModel(model, max([*listed, *held], default=FIRST_VERSION))
 
-    def _is_withheld(self, goal: LoadedModel) -> bool:
-        return self._withheld.get(goal, 0.0) > monotonic()
+    def _is_deferred(self, goal: LoadedModel) -> bool:
+        return self._deferred_until.get(goal, 0.0) > monotonic()
 
-    def _is_worth_going_on_with(self, goal: LoadedModel) -> bool:
-        """Tell whether an older version is worth bringing in while the newest cannot be had.
+    def _is_worth_resuming(self, goal: LoadedModel) -> bool:
+        """Return whether an older version is worthwhile while the newest is unavailable.
 
-        Others may have one whose digests are not known here yet, so these are asked for.
+        A version whose digests are not known here counts as complete: other hosts may have it, and
+        selecting it makes this daemon request the digests.
         """
-        if self._is_withheld(goal) or self._reporter.holds(goal):
+        if self._is_deferred(goal) or self._reporter.holds(goal):
             return False
-        if goal in self._book.settled:
-            return self.is_worth_bringing(goal, delays_newer=False)
-        return self._bringing(goal, 0).is_worth_it(monotonic(), delays_newer=False)
+        if goal in self._digests.settled:
+            return self.is_worth_fetching(goal, delays_newer=False)
+        return self._estimate(goal, 0).is_worthwhile(monotonic(), delays_newer=False)
 
-    def _bringing(self, goal: LoadedModel, missing_bytes: int) -> Bringing:
-        return Bringing(
+    def _estimate(self, goal: LoadedModel, missing_bytes: int) -> FetchEstimate:
+        return FetchEstimate(
             missing_bytes,
             self._link_bytes_per_second,
             self._loading.serves_until(goal.model, goal.version),
-            self._loading.serves_until(goal.model, self.version_held(goal.model)),
+            self._loading.serves_until(goal.model, self.held_version(goal.model)),
         )
 
-    def _is_under_way(self, goal: LoadedModel) -> bool:
-        """Tell whether an older version is wanted still and can be had."""
-        return goal in self._book.settled and not self._reporter.holds(goal)
+    def _is_obtainable(self, goal: LoadedModel) -> bool:
+        """Return whether a version has settled digests and is not loaded yet."""
+        return goal in self._digests.settled and not self._reporter.holds(goal)
 
     def _model(self) -> str | None:
         report = self._reporter.report
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -15,12 +15,12 @@
 
 from headcross_renewal.mirrors import has_loaded
 from headcross_renewal.orders import Load, Orders
-from headcross_renewal.polling import until
+from headcross_renewal.polling import poll_until
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import Staging
 from headcross_renewal.turns import earlier_groups, group_of, latest_start
-from headcross_renewal.versionchoice import LEAVE_SECONDS, serves_until
+from headcross_renewal.versionchoice import ROUTING_MARGIN_SECONDS, serves_until
 
 TURN_CHECK_SECONDS: Final = 0.05
 TURN_AT_START_SECONDS: Final = 2.0
@@ -71,7 +71,7 @@
 
     async def drain_ahead(self, goal: LoadedModel, stored: StoredArtifact) -> None:
         """Send requests elsewhere shortly before the transfer ends, if this one loads first."""
-        await until(lambda: stored.progress >= DRAIN_PROGRESS)
+        await poll_until(lambda: stored.progress >= DRAIN_PROGRESS)
         report = self._reporter.report
         peers = self.peers()
         spared = sum(bool(replica.loaded) for replica in peers) >= ENOUGH_REPLICAS
@@ -152,7 +152,7 @@
             # It is not known how long ago it was named; the others may have started just now too.
             return named.seen_at + TURN_AT_START_SECONDS
         # The last group loads at the latest when entries leave the old version.
-        return named.seen_at + self._bound - LEAVE_SECONDS
+        return named.seen_at + self._bound - ROUTING_MARGIN_SECONDS
 
     async def _wait_loaded(self, goal: LoadedModel) -> None:
         until = monotonic() + ORDER_SECONDS
--- a/libs/renewal/src/headcross_renewal/mirrors.py
+++ b/libs/renewal/src/headcross_renewal/mirrors.py
@@ -1,7 +1,7 @@
-"""Which hosts take part in moving weights: the daemons beside replicas, and the mirrors.
+"""Determines which hosts take part in transfers of weights: the replicas' daemons and the mirrors.
 
-Daemons are found by the list of replicas. Mirrors are in no list: each tells every daemon about
-itself once a second, and asks a few of them which others they heard of.
+Daemons are known from the list of replicas. Mirrors are not listed: each one announces itself to
+every daemon once a second, and asks a few daemons which other mirrors they know.
 """
 
 from collections.abc import Iterable
@@ -13,45 +13,46 @@
 from headcross_ports.published import LoadedModel, Replica
 from headcross_wire.peermessages import MirrorPlace
 
-# A mirror that nobody heard of for so long is no longer counted on.
-HEARD_SECONDS: Final = 3.0
+# A mirror without an announcement for this long is dropped.
+MIRROR_EXPIRY_SECONDS: Final = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class SwarmPorts:
-    """Where processes listen; the same on all machines."""
+    """The ports that processes listen on, the same on all hosts."""
 
     control: int
     swarm: int
 
 
-class MirrorBook:
-    """The mirrors that one process heard of lately."""
+class MirrorRegistry:
+    """The mirrors that were announced to this process recently."""
 
     def __init__(self) -> None:
-        self._heard_at: dict[MirrorPlace, float] = {}
+        self._last_heard_at: dict[MirrorPlace, float] = {}
 
-    def hear(self, place: MirrorPlace) -> None:
-        """Note that a mirror is there."""
-        self._heard_at[place] = monotonic()
+    def record(self, place: MirrorPlace) -> None:
+        """Record an announcement of a mirror, received now."""
+        self._last_heard_at[place] = monotonic()
 
     def known(self) -> list[MirrorPlace]:
-        """Return the mirrors heard of lately, in an order of their own.
+        """Return the mirrors that have not expired, sorted by IP address.
 
-        >>> book = MirrorBook()
-        >>> book.hear(MirrorPlace("10.0.0.2", "a")); book.hear(MirrorPlace("10.0.0.1", "a"))
-        >>> [place.ip for place in book.known()]
+        >>> registry = MirrorRegistry()
+        >>> registry.record(MirrorPlace("10.0.0.2", "a"))
+        >>> registry.record(MirrorPlace("10.0.0.1", "a"))
+        >>> [place.ip for place in registry.known()]
         ['10.0.0.1', '10.0.0.2']
         """
-        horizon = monotonic() - HEARD_SECONDS
-        self._heard_at = {p: at for p, at in self._heard_at.items() if at >= horizon}
-        return sorted(self._heard_at, key=lambda place: place.ip)
+        horizon = monotonic() - MIRROR_EXPIRY_SECONDS
+        self._last_heard_at = {p: at for p, at in self._last_heard_at.items() if at >= horizon}
+        return sorted(self._last_heard_at, key=lambda place: place.ip)
 
 
-def hand_out_seconds(
+def upload_seconds(
     weights_bytes: int, daemons: int, mirrors: int, bytes_per_second: float
 ) -> float:
-    """Return how long a mirror sends until its share of the daemons has a version.
+    """Return how many seconds one mirror needs to send a version to its share of the daemons.
 
     >>> hand_out_seconds(2_000_000, daemons=6, mirrors=3, bytes_per_second=1_000_000)
     4.0
@@ -65,7 +66,7 @@
     region_of_zone: dict[str, str],
     ports: SwarmPorts,
 ) -> HostList:
-    """Return all that may take part in a transfer, each under its IP number."""
+    """Return all hosts that may take part in a transfer, each named by its IP address."""
     hosts: dict[str, Host] = {}
     for mirror in mirrors:
         control = f"{mirror.ip}:{ports.control}"
@@ -93,7 +94,7 @@
 
 
 def has_loaded(replica: Replica, goal: LoadedModel) -> bool:
-    """Tell whether a replica serves a version, or a newer one."""
+    """Return whether a replica has loaded a version or a newer one of the same model."""
     return any(
         loaded.model == goal.model and loaded.version >= goal.version for loaded in replica.loaded
     )
@@ -102,7 +103,7 @@
 def replicas_in_region_of(
     zone: str, replicas: Iterable[Replica], region_of_zone: dict[str, str]
 ) -> list[Replica]:
-    """Return the replicas of a zone's region.
+    """Return the replicas in the region that a zone belongs to.
 
     >>> replicas_in_region_of("a", [], {"a": "r"})
     []
@@ -111,11 +112,11 @@
     return [replica for replica in replicas if region_of_zone.get(replica.zone) == region]
 
 
-def knowing_digests(replicas: Iterable[Replica], goal: LoadedModel) -> list[Replica]:
-    """Return the replicas whose daemons know a version's digests, or all if none is known to.
+def replicas_with_digests(replicas: Iterable[Replica], goal: LoadedModel) -> list[Replica]:
+    """Return the replicas whose daemons have a version's digests, or all if none is known to.
 
-    A daemon whose replica serves the version has them. One that was just added has not, and asking
-    it cost other added replicas 0.35 s.
+    A daemon has the digests if its replica serves the version. A daemon that was just added does
+    not have them, and asking it delays other added replicas by 0.35 s.
     """
     everyone = list(replicas)
     return [replica for replica in everyone if has_loaded(replica, goal)] or everyone
--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -19,7 +19,7 @@
 from headcross_weights.chunkstore import StoredArtifact
 
 from headcross_renewal.indoubt import READ_BACK_SECONDS, InDoubt, SentOrder
-from headcross_renewal.polling import CHECK_SECONDS, until
+from headcross_renewal.polling import POLL_INTERVAL_SECONDS, poll_until
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import Staging
@@ -69,11 +69,11 @@
 
     async def wait_may_stage(self, goal: LoadedModel) -> None:
         """Wait until chunks of a version may be put beside the replica."""
-        await until(lambda: self._may_stage(goal, monotonic()))
+        await poll_until(lambda: self._may_stage(goal, monotonic()))
 
     async def wait_may_order(self, goal: LoadedModel) -> None:
         """Wait until no chunk of another version can land beside the replica any more."""
-        await until(lambda: self._may_order(goal, monotonic()))
+        await poll_until(lambda: self._may_order(goal, monotonic()))
 
     def _may_stage(self, goal: LoadedModel, now: float) -> bool:
         # What lies there may have to show yet that the load before was whole.
@@ -134,7 +134,7 @@
         self._reporter.leave()
         report = await self._reporter.refresh()
         if report is None or report.busy_loading or self._reporter.holds(load.goal):
-            await trio.sleep(CHECK_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
             return False
         if self.in_doubt.see(report):
             return False  # it need not be repeated
@@ -204,4 +204,4 @@
         logger.info("chunks read back", extra=fields)
         if whole:
             return began
-        await trio.sleep(CHECK_SECONDS)
+        await trio.sleep(POLL_INTERVAL_SECONDS)
--- a/libs/renewal/src/headcross_renewal/polling.py
+++ b/libs/renewal/src/headcross_renewal/polling.py
@@ -1,16 +1,16 @@
-"""Waiting for conditions that no single event tells."""
+"""Polling for conditions that no single event signals."""
 
 from collections.abc import Callable
 from typing import Final
 
 import trio
 
-CHECK_SECONDS: Final = 0.05
+POLL_INTERVAL_SECONDS: Final = 0.05
 
 
-async def until(holds: Callable[[], bool]) -> None:
-    """Wait until something holds, by looking at it again and again."""
+async def poll_until(condition: Callable[[], bool]) -> None:
+    """Return once `condition()` is true, checking it every `POLL_INTERVAL_SECONDS`."""
     while True:
-        if holds():
+        if condition():
             return
-        await trio.sleep(CHECK_SECONDS)
+        await trio.sleep(POLL_INTERVAL_SECONDS)
--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -19,8 +19,8 @@
 from headcross_weights.chunkstore import StoredArtifact
 
 from headcross_renewal.confirmation import key_of
-from headcross_renewal.digestbook import DigestBook
-from headcross_renewal.fetching import Fetching
+from headcross_renewal.digestregistry import DigestRegistry
+from headcross_renewal.fetching import Fetcher
 from headcross_renewal.indoubt import InDoubt
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
@@ -43,8 +43,8 @@
         facts: Facts,
         replica: ReplicaControl,
         reporter: Reporter,
-        fetching: Fetching,
-        book: DigestBook,
+        fetching: Fetcher,
+        book: DigestRegistry,
         in_doubt: InDoubt,
     ) -> None:
         self._facts = facts
@@ -137,17 +137,17 @@
     async def _adopt(self, goal: LoadedModel, copy: StagedCopy) -> int:
         """Take the chunks of a version that lay beside the replica; return how many did."""
         digests = await self._book.obtain(goal)
-        if not copy.of_version(digests.digests):
+        if not copy.matching_chunks(digests.digests):
             if len(copy.indexes) < len(digests.digests):
                 self._in_doubt.nothing_from_before()
             return 0
-        stored = await self._fetching.admit_beside(goal)
+        stored = await self._fetching.admit_secondary(goal)
         return self._staging(goal).take(stored, copy) if stored is not None else 0
 
     async def _admit(self, goal: LoadedModel) -> StoredArtifact | None:
         """Return the place for a version, None without its digests or room for it."""
         with trio.move_on_after(DIGESTS_SECONDS):
-            return await self._fetching.admit_beside(goal)
+            return await self._fetching.admit_secondary(goal)
         return None
 
     async def _keep_whole(self, goal: LoadedModel, stored: StoredArtifact) -> None:
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -20,13 +20,13 @@
 from headcross_weights.chunkstore import StoredArtifact
 
 from headcross_renewal.confirming import Confirming
-from headcross_renewal.digestbook import DigestBook
-from headcross_renewal.fetching import Fetching
-from headcross_renewal.goalchoice import GoalChoice
+from headcross_renewal.digestregistry import DigestRegistry
+from headcross_renewal.fetching import Fetcher
+from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.loading import Loading
 from headcross_renewal.mirrors import has_loaded
 from headcross_renewal.orders import Orders
-from headcross_renewal.plan import PlanBook
+from headcross_renewal.plan import PlanRegistry
 from headcross_renewal.recovery import Recovery
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import OriginSource, weights_name
@@ -62,12 +62,12 @@
         replica: ReplicaControl,
         reporter: Reporter,
         origin: OriginSource,
-        book: DigestBook,
-        choice: GoalChoice,
-        fetching: Fetching,
+        book: DigestRegistry,
+        choice: GoalSelector,
+        fetching: Fetcher,
         loading: Loading,
         orders: Orders,
-        plans: PlanBook,
+        plans: PlanRegistry,
         set_link_use: Callable[[int | None], None],
         set_busy: Callable[[bool], None],
     ) -> None:
@@ -160,7 +160,7 @@
             newer = LoadedModel(goal.model, newest)
             if not await self._can_be_had(newer):
                 continue
-            if self._choice.is_worth_bringing(goal, delays_newer=True):
+            if self._choice.is_worth_fetching(goal, delays_newer=True):
                 continue
             fields = {"goal": weights_name(goal), "newest": newest, "step": self.step}
             logger.info("version superseded", extra=fields)
@@ -222,7 +222,7 @@
 
     def _is_idle(self, goal: LoadedModel, report: ReplicaReport) -> bool:
         """Tell whether the replica serves nothing, or soon nothing: its bound ends first."""
-        held = self._choice.version_held(goal.model)
+        held = self._choice.held_version(goal.model)
         named = self._facts.versions.get(goal.model, [])
         skipped = [n.version for n in named if held < n.version < goal.version]
         return not held or bool(skipped)
@@ -232,7 +232,7 @@
         with trio.move_on_after(DIGESTS_SECONDS):
             await self._book.obtain(goal)
             return True
-        self._choice.withhold(goal)
+        self._choice.defer(goal)
         return False
 
     async def _stage_as_they_come(
--- a/libs/renewal/src/headcross_renewal/sources.py
+++ b/libs/renewal/src/headcross_renewal/sources.py
@@ -1,7 +1,7 @@
-"""The origin of weights, as the swarm reads it, and the manifests made from its digests.
+"""Adapts the origin of weights to the swarm, and builds manifests from chunk digests.
 
-The origin tells the digests of a version's chunks. Every daemon makes the same manifest of them,
-so that the digest of that manifest names the version in the swarm.
+The origin supplies the digests of a version's chunks. Every host builds the same manifest from
+them, so the digest of that manifest identifies the version in the swarm.
 """
 
 from collections.abc import Callable
@@ -17,30 +17,30 @@
 from headcross_ports.replicas import ChunkDigests, WeightsOrigin
 from headcross_weights.manifest import MANIFEST_FORMAT, Manifest, ManifestFile
 
-# All chunks of a version count as ranges of one file.
+# A manifest presents the chunks of a version as ranges of a single file.
 FILE_NAME: Final = "weights"
 SEPARATOR: Final = "@"
-# Until a version's digests tell how large its chunks are.
+# Used until the digests of a version supply its chunk size.
 DEFAULT_CHUNK_BYTES: Final = 32 * 1024
 
 
 def weights_name(goal: LoadedModel) -> str:
     """Return the name of a version in the swarm.
 
-    >>> weights_name(LoadedModel("m", 2)), read_weights_name("m@2")
+    >>> weights_name(LoadedModel("m", 2)), parse_weights_name("m@2")
     ('m@2', LoadedModel(model='m', version=2))
     """
     return f"{goal.model}{SEPARATOR}{goal.version}"
 
 
-def read_weights_name(name: str) -> LoadedModel:
-    """Return the version that a name means."""
+def parse_weights_name(name: str) -> LoadedModel:
+    """Return the version that a swarm name refers to; raise ValueError if it has no number."""
     model, _, version = name.rpartition(SEPARATOR)
     return LoadedModel(model, int(version))
 
 
 def manifest_of(digests: ChunkDigests) -> tuple[Manifest, bytes, str]:
-    """Return the manifest of a version, its bytes and their digest."""
+    """Return the manifest of a version, its encoded bytes and the digest of those bytes."""
     size = digests.chunk_bytes * len(digests.digests)
     file = ManifestFile(FILE_NAME, size, list(digests.digests))
     manifest = Manifest(MANIFEST_FORMAT, digests.chunk_bytes, [file])
@@ -49,10 +49,10 @@
 
 
 class OriginSource:
-    """The origin that the newest known configuration names."""
+    """A swarm source that reads from the origin in the newest known configuration."""
 
     name: str
-    # Whether its last answer was one.
+    # Whether the last read succeeded.
     answers: bool
 
     def __init__(
@@ -66,48 +66,48 @@
         self.name = "origin"
         self.answers = True
         self._may_send_chunks = may_send_chunks
-        # Called when it gives no digests or chunk: its address may be another by now.
+        # Called when a read fails: the address of the origin may have changed.
         self._on_failure = on_failure
         self._find_address = find_address
         self._origin = origin
         self._chunk_bytes = chunk_bytes
 
     def use_chunk_bytes(self, chunk_bytes: int) -> None:
-        """Take ranges as chunks of this size from now on."""
+        """Set the chunk size in bytes by which offsets map to chunk indexes."""
         self._chunk_bytes = chunk_bytes
 
     async def read_digests(self, goal: LoadedModel) -> Ok[ChunkDigests] | Failure:
-        """Return the digests of a version."""
+        """Read the chunk digests of a version from the origin."""
         address = self._find_address()
         if address is None:
             self._on_failure()
             return Failure(SOURCE_FAILED, "no configuration names an origin")
         outcome = await self._origin.read_digests(address, goal.model, goal.version)
-        self._note_answer(outcome)
+        self._record_outcome(outcome)
         return outcome
 
     async def read_manifest(self, weights: str) -> Ok[bytes] | TryLater | Failure:
-        """Return the bytes of a manifest."""
-        outcome = await self.read_digests(read_weights_name(weights))
+        """Return the encoded manifest of a version, built from digests read at the origin."""
+        outcome = await self.read_digests(parse_weights_name(weights))
         return outcome if isinstance(outcome, Failure) else Ok(manifest_of(outcome.value)[1])
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
     ) -> Ok[bytes] | TryLater | Failure:
-        """Return the chunk at an offset."""
+        """Read the chunk that begins at a byte offset, within a time limit in seconds."""
         address = self._find_address()
         if address is None:
             self._on_failure()
             return Failure(SOURCE_FAILED, "no configuration names an origin")
         if not self._may_send_chunks():
             return Failure(SOURCE_FAILED, "the replica may hold these chunks already")
-        goal = read_weights_name(weights)
+        goal = parse_weights_name(weights)
         index = offset // self._chunk_bytes
         outcome = await self._origin.read_chunk(address, goal.model, goal.version, index, seconds)
-        self._note_answer(outcome)
+        self._record_outcome(outcome)
         return outcome
 
-    def _note_answer(self, outcome: object) -> None:
+    def _record_outcome(self, outcome: object) -> None:
         self.answers = not isinstance(outcome, Failure)
         if not self.answers:
             self._on_failure()
--- a/libs/renewal/src/headcross_renewal/staging.py
+++ b/libs/renewal/src/headcross_renewal/staging.py
@@ -1,7 +1,7 @@
-"""Chunks beside the replica: what lies there, what has to be put there, what was verified.
+"""Stages chunks at the replica and verifies the staged copy.
 
-A replica keeps one copy of each model and checks nothing. Chunks may turn bad after they were put
-there, so all are read back and verified right before an order.
+A replica keeps one staged copy of each model and verifies nothing. Chunks may become corrupt after
+they were staged, so all of them are read back and verified right before an order to load.
 """
 
 import logging
@@ -29,20 +29,22 @@
 
 @dataclass(frozen=True, slots=True)
 class StagedCopy:
-    """What lay beside a replica as it was read, unverified."""
+    """Chunks that were staged at a replica when it was read, unverified."""
 
-    indexes: frozenset[int]  # of all chunks there
-    chunks: Mapping[int, bytes]  # those that could be read
+    indexes: frozenset[int]  # of all staged chunks
+    chunks: Mapping[int, bytes]  # those that could be read, by index
 
-    def of_version(self, digests: Sequence[str]) -> Mapping[int, bytes]:
-        """Return the chunks that have the digests of a version."""
+    def matching_chunks(self, digests: Sequence[str]) -> Mapping[int, bytes]:
+        """Return the chunks that match a version's digests, by index."""
         return {
-            index: data for index, data in self.chunks.items() if _belongs(data, index, digests)
+            index: data
+            for index, data in self.chunks.items()
+            if _matches_digest(data, index, digests)
         }
 
 
 class Staging:
-    """The staged copy of one model, as it is to be for one version."""
+    """Brings the staged copy of one model to one version."""
 
     def __init__(self, goal: LoadedModel, replica: ReplicaControl, in_doubt: InDoubt) -> None:
         self._goal = goal
@@ -51,16 +53,16 @@
         self._in_doubt = in_doubt
 
     async def adopt(self, stored: StoredArtifact) -> int:
-        """Take those staged chunks that belong to a version; return how many lie there."""
+        """Copy the staged chunks that match a version to the store; return how many match."""
         copy = await read_staged(self._replica, self._model)
         return self.take(stored, copy) if copy is not None else 0
 
     def take(self, stored: StoredArtifact, copy: StagedCopy) -> int:
-        """Take the chunks of a version from what was read; return how many lay there.
+        """Add the chunks in `copy` that match a version to the store; return how many match.
 
-        Where a chunk is missing, an earlier process of this daemon has no order open.
+        If a chunk is missing at the replica, no order of an earlier daemon process is open.
         """
-        found = copy.of_version([place.digest for place in stored.places])
+        found = copy.matching_chunks([place.digest for place in stored.places])
         for index, data in found.items():
             stored.add(index, data)
         if len(found) == len(stored.places):
@@ -72,11 +74,14 @@
         return len(found)
 
     async def put(self, stored: StoredArtifact, indexes: list[int]) -> None:
-        """Put chunks that are here beside the replica."""
+        """Stage the given chunks at the replica, retrying until each is taken."""
         await _in_parallel(indexes, partial(self._put, stored))
 
     async def verify(self, stored: StoredArtifact) -> bool:
-        """Read every chunk back; put those that are bad once more. True if none was."""
+        """Read every staged chunk back, and stage those that are corrupt again.
+
+        Return True if all were read and none was corrupt.
+        """
         bad: list[int] = []
         unread: list[int] = []
         digests = [place.digest for place in stored.places]
@@ -85,12 +90,12 @@
             data = await self._replica.read_chunk(self._model, index)
             if isinstance(data, Failure):
                 unread.append(index)
-            elif data.value is None or not _belongs(data.value, index, digests):
+            elif data.value is None or not _matches_digest(data.value, index, digests):
                 bad.append(index)
                 await self._put_once(stored, index)
 
-        # One after the other, a replica that takes 0.1 s for each could never be read back within
-        # the time for which a read-back holds.
+        # Reading sequentially from a replica that takes 0.1 s per chunk would take longer than a
+        # read-back stays valid.
         await _in_parallel(range(len(stored.places)), check)
         if bad:
             fields = {"model": self._model, "chunks": sorted(bad)}
@@ -104,11 +109,11 @@
             await trio.sleep(RETRY_SECONDS)
 
     async def _put_once(self, stored: StoredArtifact, index: int) -> bool:
-        """Put a chunk if it is here; return whether nothing is left to do."""
+        """Stage a chunk; return False if that failed, True if it is staged or not in the store."""
         data = stored.chunk(index)
         if data is None:
             return True
-        # A put that is cut short may land later, over a chunk of another version.
+        # A cancelled put may still take effect later and overwrite a chunk of another version.
         with trio.CancelScope(shield=True):
             outcome = await self._replica.stage_chunk(self._model, index, data)
             self._in_doubt.last_put_at = monotonic()
@@ -120,7 +125,7 @@
 
 
 async def read_staged(replica: ReplicaControl, model: str) -> StagedCopy | None:
-    """Read what lies beside a replica, None if it does not tell what does."""
+    """Read the staged chunks of a model; return None if the replica does not list them."""
     held = await replica.staged_chunks(model)
     if isinstance(held, Failure):
         return None
@@ -135,10 +140,10 @@
     return StagedCopy(held.value, chunks)
 
 
-async def find_bad(
+async def find_corrupt_chunks(
     replica: ReplicaControl, model: str, digests: Sequence[str]
 ) -> frozenset[int] | None:
-    """Return which staged chunks do not have these digests, None if some could not be read."""
+    """Return the indexes of staged chunks that do not match, or None if any read failed."""
     bad: set[int] = set()
     unread = False
 
@@ -147,7 +152,7 @@
         data = await replica.read_chunk(model, index)
         if isinstance(data, Failure):
             unread = True
-        elif data.value is None or not _belongs(data.value, index, digests):
+        elif data.value is None or not _matches_digest(data.value, index, digests):
             bad.add(index)
 
     await _in_parallel(range(len(digests)), check)
@@ -155,7 +160,7 @@
 
 
 async def _in_parallel(indexes: Iterable[int], act: Callable[[int], Awaitable[None]]) -> None:
-    """Do something for each of some chunks, a few at a time, in their order."""
+    """Call `act` for each index, starting in order, with up to `WORKERS` calls at a time."""
     waiting = iter(indexes)
 
     async def work() -> None:
@@ -167,6 +172,6 @@
             nursery.start_soon(work)
 
 
-def _belongs(data: bytes, index: int, digests: Sequence[str]) -> bool:
-    """Tell whether a chunk is the one that a version has at an index."""
+def _matches_digest(data: bytes, index: int, digests: Sequence[str]) -> bool:
+    """Return whether the data is the chunk at `index` of the version with these digests."""
     return index < len(digests) and digest_of(data) == digests[index]
--- a/libs/renewal/src/headcross_renewal/versionchoice.py
+++ b/libs/renewal/src/headcross_renewal/versionchoice.py
@@ -1,8 +1,8 @@
-"""Whether a version of weights is still worth bringing in once a newer one is named.
+"""Decides whether fetching a version of weights still pays off once a newer one is named.
 
-Each named version ends the older ones a fixed time after its name, so a version that a newer one
-follows serves for a while at most, and bringing it in holds the newer one up. Answers the load of
-versions that are named in quick succession, or while the origin is away.
+Naming a version ends service from the older ones a fixed time later. A version that has been
+superseded therefore serves only for a limited time, and fetching it delays the newer one. This
+matters when versions are named in quick succession, or while the origin is unreachable.
 """
 
 from collections.abc import Sequence
@@ -11,34 +11,36 @@
 
 from headcross_facts.facts import VersionNotice
 
-# Requests leave an older version so long before its bound (as entries do, see weightsrules).
-LEAVE_SECONDS: Final = 1.6
-# From the order to load until the replica serves: draining, verifying, loading. Measured on a
-# replica of 2 MiB: 0.3 to 0.5 s.
-LOAD_SECONDS: Final = 0.4
+# An older version is taken to serve no requests from this long before its bound, because entries
+# stop routing to it then (see weightsrules).
+ROUTING_MARGIN_SECONDS: Final = 1.6
+# From the order to load until the replica serves: draining, verifying and loading take 0.3 to
+# 0.5 s with 2 MiB of weights.
+ESTIMATED_LOAD_SECONDS: Final = 0.4
 
 
 @dataclass(frozen=True, slots=True)
-class Bringing:
-    """What bringing one version here would take, and what it would be good for."""
+class FetchEstimate:
+    """The estimated cost and benefit of fetching one version."""
 
     missing_bytes: int
-    bytes_per_second: float  # of the link that they come over
+    bytes_per_second: float  # rate of the link for weights
     serves_until: float  # monotonic; infinite for the newest version
-    held_serves_until: float  # the same of the version that the replica holds now
+    held_serves_until: float  # the same for the version that the replica holds now
 
     def ready_at(self, now: float) -> float:
-        """Return when the replica would serve it."""
-        return now + self.missing_bytes / self.bytes_per_second + LOAD_SECONDS
+        """Return when the replica would begin to serve the version (monotonic)."""
+        return now + self.missing_bytes / self.bytes_per_second + ESTIMATED_LOAD_SECONDS
 
     def gained_seconds(self, now: float) -> float:
-        """Return for how long it would serve when the version that is held does not."""
+        """Return how many seconds it would serve after the held version ends."""
         return self.serves_until - max(self.ready_at(now), self.held_serves_until)
 
-    def is_worth_it(self, now: float, *, delays_newer: bool) -> bool:
-        """Tell whether more service is gained than the newer version is held up for.
+    def is_worthwhile(self, now: float, *, delays_newer: bool) -> bool:
+        """Return whether the service gained outweighs the delay of the newer version.
 
-        While the newer one cannot be had anyway, any gain is worth it.
+        If `delays_newer` is false, because the newer version is unavailable anyway, any gain is
+        enough.
 
         >>> nearly_here = Bringing(400_000, 400_000.0, serves_until=4.0, held_serves_until=0.5)
         >>> nearly_here.is_worth_it(0.0, delays_newer=True)
@@ -56,11 +58,12 @@
 def serves_until(version: int, notices: Sequence[VersionNotice], bound_seconds: float) -> float:
     """Return until when a version takes requests (monotonic); infinite while it is the newest.
 
-    `notices` are those of its model, and `bound_seconds` is the bound on older versions.
+    `notices` are the notices of its model. An older version must stop serving within
+    `bound_seconds` of a newer one being named.
 
     >>> notices = [VersionNotice(2, 10.0, False), VersionNotice(3, 13.0, False)]
     >>> [serves_until(version, notices, 8.0) for version in (1, 2, 3)]
     [16.4, 19.4, inf]
     """
     newer = [notice.seen_at for notice in notices if notice.version > version]
-    return min(newer, default=float("inf")) + bound_seconds - LEAVE_SECONDS
+    return min(newer, default=float("inf")) + bound_seconds - ROUTING_MARGIN_SECONDS
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -12,9 +12,14 @@
 from headcross_base.errors import Failure, Ok
 from headcross_ports.published import LoadedModel, Replica
 from headcross_ports.replicas import ChunkDigests
-from headcross_renewal import digestbook
-from headcross_renewal.digestbook import ANSWERS_NEEDED, READERS, DigestBook, reader_order
-from headcross_renewal.mirrors import knowing_digests
+from headcross_renewal import digestregistry
+from headcross_renewal.digestregistry import (
+    ANSWERS_NEEDED,
+    READERS_PER_STEP,
+    DigestRegistry,
+    reader_order,
+)
+from headcross_renewal.mirrors import replicas_with_digests
 from headcross_renewal.sources import OriginSource
 from headcross_wire.peermessages import AskDigests, KnownDigests, PeerMessage
 from headcross_wire.peernode import PeerNode
@@ -56,7 +61,7 @@
         self.silent: set[str] = set()
         addresses = [Address(ip, 1) for ip in self.daemons]
         self.books = {
-            ip: DigestBook(
+            ip: DigestRegistry(
                 cast(OriginSource, HostView(self.origin, ip)),
                 cast(PeerNode, _Node(self, ip)),
                 lambda: addresses,
@@ -101,7 +106,7 @@
 @pytest.fixture(autouse=True)
 def virtual_time(autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch) -> None:
     """Let `monotonic` follow trio's clock; tests ask for the clock themselves, or it is unused."""
-    monkeypatch.setattr(digestbook, "monotonic", trio.current_time)
+    monkeypatch.setattr(digestregistry, "monotonic", trio.current_time)
 
 
 @pytest.mark.parametrize(("daemons", "entries"), [(15, 5), (60, 35), (1, 0), (2, 1)])
@@ -112,7 +117,7 @@
     region = Region(daemons, entries)
     seconds = await region.obtain_all()
     assert all(book.settled[GOAL] == DIGESTS for book in region.books.values())
-    readers = reader_order(GOAL, region.daemons)[:READERS]
+    readers = reader_order(GOAL, region.daemons)[:READERS_PER_STEP]
     assert region.origin.reads == Counter(dict.fromkeys(readers, ANSWERS_NEEDED))
     assert seconds <= ANSWERS_NEEDED * READ_SECONDS + 0.001
 
@@ -122,7 +127,7 @@
 ) -> None:
     """Daemons whose list of replicas was not here yet divided by the number of readers."""
     readings = itertools.count()
-    monkeypatch.setattr(digestbook, "monotonic", lambda: next(readings) * 1e-6)
+    monkeypatch.setattr(digestregistry, "monotonic", lambda: next(readings) * 1e-6)
     region = Region(0, 1)
     await region.obtain_all()
     assert region.origin.reads == Counter({region.entries[0]: ANSWERS_NEEDED})
@@ -133,15 +138,15 @@
 ) -> None:
     region = Region(15, 5)
     order = reader_order(GOAL, region.daemons)
-    region.silent = set(order[:READERS])
+    region.silent = set(order[:READERS_PER_STEP])
     seconds = await region.obtain_all()
-    assert region.origin.reads.keys() <= set(order[READERS:])
+    assert region.origin.reads.keys() <= set(order[READERS_PER_STEP:])
     assert seconds < 1.0
     # Where one of the first lives, only the two behind them stand in.
     region = Region(15, 5)
     region.silent = {order[0]}
     seconds = await region.obtain_all()
-    assert region.origin.reads.keys() <= set(order[1 : 2 * READERS]) and seconds < 0.6
+    assert region.origin.reads.keys() <= set(order[1 : 2 * READERS_PER_STEP]) and seconds < 0.6
 
 
 async def test_what_is_asked_for_and_never_settled_takes_a_bounded_memory() -> None:
@@ -154,13 +159,13 @@
         return True
 
     for version in range(2, 1000):
-        for host in range(digestbook.MAX_ASKERS + 10):
+        for host in range(digestregistry.MAX_REQUESTERS + 10):
             book.answer(AskDigests(f"m@{version}", str(host)), reply)
-    remembered = sum(len(askers) for askers in book._askers.values())
-    assert remembered <= digestbook.MAX_ASKERS * digestbook.MAX_VERSIONS_ASKED
+    remembered = sum(len(askers) for askers in book._requesters.values())
+    assert remembered <= digestregistry.MAX_REQUESTERS * digestregistry.MAX_REQUESTED_VERSIONS
     # Each process that asked is told once.
     book.receive(KnownDigests("m@2", DIGESTS.chunk_bytes, list(DIGESTS.digests)))
-    assert len(told) == digestbook.MAX_ASKERS
+    assert len(told) == digestregistry.MAX_REQUESTERS
 
 
 def test_daemons_whose_replicas_serve_a_version_are_asked_for_its_digests_first() -> None:
@@ -172,9 +177,9 @@
 
     listed = [replica("10.0.0.1", 0), replica("10.0.0.2", 1), replica("10.0.0.3", 2)]
     for version, knowing in ((1, ["10.0.0.2", "10.0.0.3"]), (2, ["10.0.0.3"])):
-        asked = knowing_digests(listed, LoadedModel("m", version))
+        asked = replicas_with_digests(listed, LoadedModel("m", version))
         assert [each.address.ip for each in asked] == knowing
-    assert knowing_digests(listed, LoadedModel("m", 3)) == listed
+    assert replicas_with_digests(listed, LoadedModel("m", 3)) == listed
 
 
 async def test_digests_come_from_wherever_they_are_known_while_the_origin_is_away(
--- a/tests/test_goal_choice.py
+++ b/tests/test_goal_choice.py
@@ -11,7 +11,7 @@
 from headcross_ports.published import LoadedModel, Topic
 from headcross_ports.replicas import ChunkDigests, ReplicaReport
 from headcross_renewal import goalchoice
-from headcross_renewal.goalchoice import WITHHELD_SECONDS, GoalChoice
+from headcross_renewal.goalchoice import DEFERRAL_SECONDS, GoalSelector
 from headcross_renewal.versionchoice import serves_until
 from headcross_weights.chunkstore import ChunkStore
 from hypothesis import given
@@ -48,7 +48,7 @@
             loading,
             SimpleNamespace(newest=lambda: None),
         ]
-        self.choice = GoalChoice("lm", 1e6, *cast(Any, parts))
+        self.choice = GoalSelector("lm", 1e6, *cast(Any, parts))
 
     def name(self, version: int) -> None:
         """Take the news that a version was named just now."""
@@ -76,7 +76,7 @@
     known.now += 0.5
     known.name(3)
     assert known.chosen() == 3
-    known.choice.withhold(LoadedModel(MODEL, 3))
+    known.choice.defer(LoadedModel(MODEL, 3))
     assert known.chosen() == 2
 
 
@@ -84,10 +84,10 @@
     known.name(2)
     known.now += 0.5
     known.name(3)
-    known.choice.withhold(LoadedModel(MODEL, 3))
-    known.choice.withhold(LoadedModel(MODEL, 2))
+    known.choice.defer(LoadedModel(MODEL, 3))
+    known.choice.defer(LoadedModel(MODEL, 2))
     assert known.chosen() == 3
-    known.now += WITHHELD_SECONDS + 0.1
+    known.now += DEFERRAL_SECONDS + 0.1
     assert known.chosen() == 3
 
 
@@ -96,7 +96,7 @@
     known.now += 0.5
     known.name(3)
     known.now += BOUND_SECONDS
-    known.choice.withhold(LoadedModel(MODEL, 3))
+    known.choice.defer(LoadedModel(MODEL, 3))
     assert known.chosen() == 3
 
 
@@ -122,8 +122,8 @@
                     known.settled[LoadedModel(MODEL, newest)] = DIGESTS
                 case "withhold":
                     chosen = known.chosen()
-                    known.choice.withhold(LoadedModel(MODEL, chosen))
-                    withheld[chosen] = known.now + WITHHELD_SECONDS
+                    known.choice.defer(LoadedModel(MODEL, chosen))
+                    withheld[chosen] = known.now + DEFERRAL_SECONDS
                 case "wait":
                     known.now += 0.4
             newest = known.notices[-1].version
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -19,7 +19,7 @@
 from headcross_ports.published import LoadedModel, Replica
 from headcross_renewal.mirroring import Mirror
 from headcross_renewal.mirrors import SwarmPorts
-from headcross_renewal.turns import GROUPS, earlier_groups, group_of
+from headcross_renewal.turns import GROUP_COUNT, earlier_groups, group_of
 from headcross_weights.chunkchoice import choose_chunk, is_link_slow
 from headcross_weights.chunkstore import ChunkStore, StoredArtifact
 from headcross_weights.imports import Importer
@@ -186,12 +186,12 @@
     groups = {r.id: group_of(str(r.address), goal, replicas) for r in replicas}
     assert all(group is not None for group in groups.values())
     sizes = Counter(groups.values())
-    assert max(sizes.values()) <= -(-len(replicas) // GROUPS)
+    assert max(sizes.values()) <= -(-len(replicas) // GROUP_COUNT)
     for zone in set(zones):
         members = [groups[r.id] for r in replicas if r.zone == zone]
-        assert max(Counter(members).values()) <= -(-len(members) // GROUPS)
+        assert max(Counter(members).values()) <= -(-len(members) // GROUP_COUNT)
     assert not earlier_groups(0, goal, replicas)
-    assert len(earlier_groups(GROUPS, goal, replicas)) == len(replicas)
+    assert len(earlier_groups(GROUP_COUNT, goal, replicas)) == len(replicas)
 
 
 async def test_a_mirrors_lanes_are_paced_by_the_askers_and_apart() -> None:
@@ -279,7 +279,7 @@
 
     missing = cast(Any, None)
     mirror = Mirror({}, SwarmPorts(1, 2), facts, missing, missing, missing, missing, 2.5e6, 8.0)
-    mirror.sharers = 10
+    mirror.mirror_count = 10
     decided = []
     for count in (40, 45, 50, 47, 55, 70, 75, 70, 50, 47):
         have_replicas(count)
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -24,16 +24,16 @@
 from headcross_ports.replicas import ChunkDigests
 from headcross_renewal import indoubt
 from headcross_renewal.confirmation import Confirmation
-from headcross_renewal.fetching import Fetching, Place
-from headcross_renewal.goalchoice import GoalChoice
+from headcross_renewal.fetching import DaemonLocation, Fetcher
+from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.indoubt import InDoubt
 from headcross_renewal.loading import Loading
-from headcross_renewal.mirrors import MirrorBook, SwarmPorts
+from headcross_renewal.mirrors import MirrorRegistry, SwarmPorts
 from headcross_renewal.orders import Orders
 from headcross_renewal.recovery import Recovery
 from headcross_renewal.renewer import Renewer
 from headcross_renewal.reporting import Reporter
-from headcross_renewal.sources import read_weights_name
+from headcross_renewal.sources import parse_weights_name
 from headcross_weights.chunkstore import ChunkStore, StoredArtifact
 from headcross_wire.peermessages import PeerMessage, ReplicaLoad
 from hypothesis import given, settings
@@ -70,7 +70,7 @@
         """Fill the store with a version."""
         stored = self._store.get(artifact.digest)
         assert stored is not None
-        version = read_weights_name(artifact.name).version
+        version = parse_weights_name(artifact.name).version
         seconds = self._generator.uniform(0.2, 4.0) / CHUNKS
         for index in sorted(stored.missing):
             await trio.sleep(seconds)
@@ -131,11 +131,11 @@
     store = ChunkStore(1 << 20)
     loading = Loading(str(ADDRESS), SERVICE, facts, reporter, given_orders, BOUND_SECONDS)
     plans = cast(Any, Plans())
-    place = Place(ADDRESS.ip, {"z": "r"}, str(ADDRESS), SERVICE, SwarmPorts(1, 2), 1e6)
+    place = DaemonLocation(ADDRESS.ip, {"z": "r"}, str(ADDRESS), SERVICE, SwarmPorts(1, 2), 1e6)
     book = cast(Any, Book(first_digests_seconds))
-    choice = GoalChoice(SERVICE, 1e6, facts, reporter, store, book, loading, plans)
+    choice = GoalSelector(SERVICE, 1e6, facts, reporter, store, book, loading, plans)
     swarm = cast(Any, Swarm(store, generator))
-    fetching = Fetching(place, store, swarm, plans, book, MirrorBook(), loading, choice)
+    fetching = Fetcher(place, store, swarm, plans, book, MirrorRegistry(), loading, choice)
     renewer = Renewer(
         facts,
         replica,
--- a/tests/test_renewal_plan.py
+++ b/tests/test_renewal_plan.py
@@ -17,13 +17,13 @@
 from headcross_ports.replicas import ReplicaControl, ReplicaReport
 from headcross_renewal import reporting
 from headcross_renewal.plan import (
-    FIRST_LISTING_SECONDS,
-    LIST_AGAIN_SECONDS,
+    FIRST_LISTING_DELAY_SECONDS,
+    LISTING_RETRY_SECONDS,
     LISTING_STEP_SECONDS,
-    PlanBook,
+    PlanRegistry,
     listing_order,
+    obtain_plan,
     plan_of,
-    seek_plan,
 )
 from headcross_renewal.reporting import LISTENERS_AT_ONCE, Reporter
 from headcross_wire.peermessages import AskPlan, PeerMessage, ReplicaLoad, WeightsPlan
@@ -49,12 +49,12 @@
 
 def test_the_plan_names_the_models_and_the_origin_of_the_newest_configuration_known() -> None:
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
-    book = PlanBook(facts)
+    book = PlanRegistry(facts)
     assert book.newest() is None and book.origin() is None
     facts.configuration = configuration(3, Address("10.0.0.3", 80))
     assert book.newest() == WeightsPlan(3, {"lm": "m"}, "10.0.0.3:80")
-    book.hear(plan_of(configuration(5, Address("10.0.0.5", 80))))
-    book.hear(plan_of(configuration(4, Address("10.0.0.4", 80))))  # late on its way
+    book.receive(plan_of(configuration(5, Address("10.0.0.5", 80))))
+    book.receive(plan_of(configuration(4, Address("10.0.0.4", 80))))  # late on its way
     assert book.origin() == Address("10.0.0.5", 80)
     facts.configuration = configuration(6, Address("10.0.0.6", 80))
     assert book.origin() == Address("10.0.0.6", 80)
@@ -114,7 +114,7 @@
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
     entries = [Address("10.0.0.1", 1), Address("10.0.0.2", 1)]
     listed: list[float] = []
-    book = PlanBook(Facts(MetadataStore(Address("127.0.0.1", 1))))
+    book = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
 
     class Node:
         """Answers for the entries once they have a configuration."""
@@ -125,7 +125,7 @@
             """Take a question; answer at once."""
             assert address in entries and isinstance(message, AskPlan)
             if trio.current_time() >= self.answers_at:
-                book.hear(WeightsPlan(1, {"lm": "m"}, ""))
+                book.receive(WeightsPlan(1, {"lm": "m"}, ""))
             return True
 
     node = cast(PeerNode, Node())
@@ -137,19 +137,21 @@
     async with trio.open_nursery() as nursery:
         for number in range(100):
             rank = number // 5
-            nursery.start_soon(seek_plan, book, node, lambda: entries, lambda r=rank: r, list_now)
+            nursery.start_soon(
+                obtain_plan, book, node, lambda: entries, lambda r=rank: r, list_now
+            )
     assert book.newest() is not None
-    assert len(listed) == 5 * (1 + int((2.0 - FIRST_LISTING_SECONDS) / LISTING_STEP_SECONDS))
+    assert len(listed) == 5 * (1 + int((2.0 - FIRST_LISTING_DELAY_SECONDS) / LISTING_STEP_SECONDS))
     # Without an entry it is listed, and not again and again.
-    silent = PlanBook(Facts(MetadataStore(Address("127.0.0.1", 1))))
+    silent = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
     listed.clear()
     with trio.move_on_after(60):
-        await seek_plan(silent, node, list, lambda: 0, list_now)
-    assert 60 / (2 * LIST_AGAIN_SECONDS) - 2 <= len(listed) <= 60 / LIST_AGAIN_SECONDS + 1
+        await obtain_plan(silent, node, list, lambda: 0, list_now)
+    assert 60 / (2 * LISTING_RETRY_SECONDS) - 2 <= len(listed) <= 60 / LISTING_RETRY_SECONDS + 1
     # The first of a region's order lists soon.
     listed.clear()
     with trio.move_on_after(1):
-        await seek_plan(silent, node, list, lambda: 0, list_now)
+        await obtain_plan(silent, node, list, lambda: 0, list_now)
     assert len(listed) == 1
 
 
@@ -165,7 +167,7 @@
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
     hosts = [f"10.0.0.{number}" for number in range(1, 16)]
     order = listing_order(hosts)
-    books = {ip: PlanBook(Facts(MetadataStore(Address("127.0.0.1", 1)))) for ip in hosts}
+    books = {ip: PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1)))) for ip in hosts}
     listing_seconds = 1.1  # of half a megabyte over 3.8 Mbit/s
     listed: list[str] = []
     plan = WeightsPlan(1, {"lm": "m"}, "10.0.0.99:1")
@@ -180,14 +182,14 @@
             """Take a question; answer at once."""
             assert isinstance(message, AskPlan)
             if books[address.ip].newest() is not None:
-                books[self._ip].hear(plan)
+                books[self._ip].receive(plan)
             return True
 
     async with trio.open_nursery() as nursery:
 
         async def list_configuration(ip: str) -> None:
             await trio.sleep(listing_seconds)
-            books[ip].hear(plan)
+            books[ip].receive(plan)
 
         def begin_listing(ip: str) -> None:
             listed.append(ip)
@@ -195,7 +197,7 @@
 
         for ip in hosts:
             nursery.start_soon(
-                seek_plan,
+                obtain_plan,
                 books[ip],
                 cast(PeerNode, Node(ip)),
                 lambda: [Address(first, 1) for first in order[:2]],
@@ -215,7 +217,7 @@
     """With a slow store, added replicas waited for two answers of it, one after the other."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
-    book = PlanBook(Facts(MetadataStore(Address("127.0.0.1", 1))))
+    book = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
 
     class Node:
         """Answers at once."""
@@ -223,7 +225,7 @@
         def send(self, address: Address, message: PeerMessage) -> bool:
             """Take a question."""
             assert isinstance(message, AskPlan)
-            book.hear(WeightsPlan(1, {"lm": "m"}, ""))
+            book.receive(WeightsPlan(1, {"lm": "m"}, ""))
             return True
 
     def list_now() -> None:
@@ -231,7 +233,7 @@
 
     entries = [Address("10.0.0.1", 1)]
     with trio.fail_after(1):
-        await seek_plan(book, cast(PeerNode, Node()), lambda: entries, lambda: None, list_now)
+        await obtain_plan(book, cast(PeerNode, Node()), lambda: entries, lambda: None, list_now)
 
 
 async def test_a_daemon_whose_origin_moved_finds_it_by_listing(tmp_path: Path) -> None:
--- a/tests/test_version_choice.py
+++ b/tests/test_version_choice.py
@@ -9,9 +9,9 @@
 from headcross_platform.store import MetadataStore
 from headcross_ports.configuration import CallerLimits, Configuration, Service, WeightsLayout
 from headcross_ports.published import LoadedModel, Replica, Topic
-from headcross_renewal.mirroring import LEAST_GAIN_SECONDS, Mirror
+from headcross_renewal.mirroring import MIN_SERVICE_SECONDS, Mirror
 from headcross_renewal.mirrors import SwarmPorts
-from headcross_renewal.versionchoice import Bringing, serves_until
+from headcross_renewal.versionchoice import FetchEstimate, serves_until
 
 BOUND_SECONDS = 10.3
 LINK_BYTES = 400_000.0  # a second, for weights, of a link of 3.8 Mbit/s
@@ -30,25 +30,25 @@
     serve nothing any more; nothing was served for 9 s.
     """
     notices = [VersionNotice(2, 0.0, False), VersionNotice(3, 3.0, False)]
-    bringing = Bringing(
+    estimate = FetchEstimate(
         int(missing_share * WEIGHTS_BYTES),
         LINK_BYTES,
         serves_until(2, notices, BOUND_SECONDS),
         serves_until(1, notices, BOUND_SECONDS),
     )
-    assert bringing.is_worth_it(8.5, delays_newer=True) == worth
+    assert estimate.is_worthwhile(8.5, delays_newer=True) == worth
 
 
 def test_a_version_that_serves_no_longer_than_the_one_held_is_left() -> None:
     """Both were learned of when the store came back: the older one would have gained 0.1 s."""
     notices = [VersionNotice(2, 0.0, False), VersionNotice(3, 0.1, False)]
-    bringing = Bringing(
+    estimate = FetchEstimate(
         WEIGHTS_BYTES // 10,
         LINK_BYTES,
         serves_until(2, notices, BOUND_SECONDS),
         serves_until(1, notices, BOUND_SECONDS),
     )
-    assert not bringing.is_worth_it(1.0, delays_newer=True)
+    assert not estimate.is_worthwhile(1.0, delays_newer=True)
 
 
 def mirror_with(notices: list[VersionNotice], held: int) -> Mirror:
@@ -67,7 +67,7 @@
 
 
 @pytest.mark.parametrize(
-    ("gap", "versions"), [(0.1, [3]), (LEAST_GAIN_SECONDS, [2, 3]), (3.0, [2, 3])]
+    ("gap", "versions"), [(0.1, [3]), (MIN_SERVICE_SECONDS, [2, 3]), (3.0, [2, 3])]
 )
 def test_a_mirror_leaves_a_version_that_the_next_one_follows_at_once(
     gap: float, versions: list[int]
