--- a/libs/renewal/src/headcross_renewal/mirrors.py
+++ b/libs/renewal/src/headcross_renewal/mirrors.py
@@ -54,7 +54,7 @@
 ) -> float:
     """Return how many seconds one mirror needs to send a version to its share of the daemons.
 
-    >>> hand_out_seconds(2_000_000, daemons=6, mirrors=3, bytes_per_second=1_000_000)
+    >>> upload_seconds(2_000_000, daemons=6, mirrors=3, bytes_per_second=1_000_000)
     4.0
     """
     return weights_bytes * daemons / max(1, mirrors) / bytes_per_second
--- a/libs/renewal/src/headcross_renewal/versionchoice.py
+++ b/libs/renewal/src/headcross_renewal/versionchoice.py
@@ -42,13 +42,13 @@
         If `delays_newer` is false, because the newer version is unavailable anyway, any gain is
         enough.
 
-        >>> nearly_here = Bringing(400_000, 400_000.0, serves_until=4.0, held_serves_until=0.5)
-        >>> nearly_here.is_worth_it(0.0, delays_newer=True)
+        >>> near = FetchEstimate(400_000, 400_000.0, serves_until=4.0, held_serves_until=0.5)
+        >>> near.is_worthwhile(0.0, delays_newer=True)
         True
-        >>> half_here = Bringing(1_000_000, 400_000.0, serves_until=4.0, held_serves_until=0.5)
-        >>> half_here.is_worth_it(0.0, delays_newer=True)
+        >>> half = FetchEstimate(1_000_000, 400_000.0, serves_until=4.0, held_serves_until=0.5)
+        >>> half.is_worthwhile(0.0, delays_newer=True)
         False
-        >>> half_here.is_worth_it(0.0, delays_newer=False)
+        >>> half.is_worthwhile(0.0, delays_newer=False)
         True
         """
         cost = self.ready_at(now) - now if delays_newer else 0.0
