--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -1,4 +1,4 @@
-"""Digests of versions: who reads them from the origin, and how the others learn them."""
+"""Tests of which processes read a version's digests, and how the others receive them."""
 
 import itertools
 from collections import Counter
@@ -30,29 +30,29 @@
 
 
 class Origin:
-    """Hands out digests, and counts who reads them."""
+    """An origin that counts reads of digests by reader."""
 
     def __init__(self) -> None:
         self.reads: Counter[str] = Counter()
-        self.away = False
+        self.unreachable = False
 
 
 class HostView:
-    """The origin as one process reads it."""
+    """The origin as seen by one process."""
 
     def __init__(self, origin: Origin, ip: str) -> None:
         self._origin = origin
         self._ip = ip
 
     async def read_digests(self, goal: LoadedModel) -> Ok[ChunkDigests] | Failure:
-        """Return the digests."""
+        """Return the digests, or a failure while the origin is unreachable."""
         self._origin.reads[self._ip] += 1
         await trio.sleep(READ_SECONDS)
-        return Failure(SOURCE_FAILED, "away") if self._origin.away else Ok(DIGESTS)
+        return Failure(SOURCE_FAILED, "away") if self._origin.unreachable else Ok(DIGESTS)
 
 
 class Region:
-    """The processes of one region, with their books."""
+    """The processes of one region, with their digest registries."""
 
     def __init__(self, daemons: int, entries: int) -> None:
         self.origin = Origin()
@@ -60,7 +60,7 @@
         self.entries = [f"10.0.1.{number}" for number in range(1, entries + 1)]
         self.silent: set[str] = set()
         addresses = [Address(ip, 1) for ip in self.daemons]
-        self.books = {
+        self.registries = {
             ip: DigestRegistry(
                 cast(OriginSource, HostView(self.origin, ip)),
                 cast(PeerNode, _Node(self, ip)),
@@ -72,40 +72,40 @@
         }
 
     async def obtain_all(self) -> float:
-        """Have all that are not silent obtain the digests; return how long that took."""
+        """Obtain the digests in every process that is not silent; return the seconds taken."""
         started_at = trio.current_time()
         async with trio.open_nursery() as nursery:
-            for ip, book in self.books.items():
+            for ip, registry in self.registries.items():
                 if ip not in self.silent:
-                    nursery.start_soon(book.obtain, GOAL)
+                    nursery.start_soon(registry.obtain, GOAL)
         return trio.current_time() - started_at
 
 
 class _Node:
-    """Carries messages within the region."""
+    """Delivers messages within the region."""
 
     def __init__(self, region: Region, ip: str) -> None:
         self._region = region
         self._ip = ip
 
     def send(self, address: Address, message: PeerMessage) -> bool:
-        """Deliver a question at once."""
+        """Deliver a request at once."""
         assert isinstance(message, AskDigests)
         if address.ip in self._region.silent:
             return True
 
         def reply(answer: PeerMessage, payload: bytes | None) -> bool:
             assert isinstance(answer, KnownDigests) and payload is None
-            self._region.books[self._ip].receive(answer)
+            self._region.registries[self._ip].receive(answer)
             return True
 
-        self._region.books[address.ip].answer(message, reply)
+        self._region.registries[address.ip].answer(message, reply)
         return True
 
 
 @pytest.fixture(autouse=True)
 def virtual_time(autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let `monotonic` follow trio's clock; tests ask for the clock themselves, or it is unused."""
+    """Let `monotonic` follow trio's clock, which tests must request themselves to use it."""
     monkeypatch.setattr(digestregistry, "monotonic", trio.current_time)
 
 
@@ -113,10 +113,10 @@
 async def test_two_daemons_of_a_region_read_digests_and_all_others_learn_them_from_these(
     autojump_clock: trio.testing.MockClock, daemons: int, entries: int
 ) -> None:
-    """54 processes read 0.5 MB of digests, and new weights began 0.1 s to 0.9 s late for it."""
+    """If all 54 processes read digests (0.5 MB), new weights begin 0.1 s to 0.9 s late."""
     region = Region(daemons, entries)
     seconds = await region.obtain_all()
-    assert all(book.settled[GOAL] == DIGESTS for book in region.books.values())
+    assert all(registry.settled[GOAL] == DIGESTS for registry in region.registries.values())
     readers = reader_order(GOAL, region.daemons)[:READERS_PER_STEP]
     assert region.origin.reads == Counter(dict.fromkeys(readers, ANSWERS_NEEDED))
     assert seconds <= ANSWERS_NEEDED * READ_SECONDS + 0.001
@@ -125,7 +125,7 @@
 async def test_a_process_that_knows_no_daemon_of_its_region_reads_the_origin_itself(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """Daemons whose list of replicas was not here yet divided by the number of readers."""
+    """With an empty list of replicas, selecting a reader to ask must not divide by zero."""
     readings = itertools.count()
     monkeypatch.setattr(digestregistry, "monotonic", lambda: next(readings) * 1e-6)
     region = Region(0, 1)
@@ -133,7 +133,7 @@
     assert region.origin.reads == Counter({region.entries[0]: ANSWERS_NEEDED})
 
 
-async def test_the_next_in_order_read_when_the_first_are_silent(
+async def test_the_next_daemons_in_order_read_when_the_first_are_silent(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     region = Region(15, 5)
@@ -142,34 +142,34 @@
     seconds = await region.obtain_all()
     assert region.origin.reads.keys() <= set(order[READERS_PER_STEP:])
     assert seconds < 1.0
-    # Where one of the first lives, only the two behind them stand in.
+    # If one of the first is alive, only the two daemons after them read as well.
     region = Region(15, 5)
     region.silent = {order[0]}
     seconds = await region.obtain_all()
     assert region.origin.reads.keys() <= set(order[1 : 2 * READERS_PER_STEP]) and seconds < 0.6
 
 
-async def test_what_is_asked_for_and_never_settled_takes_a_bounded_memory() -> None:
+async def test_requests_for_digests_that_are_never_settled_use_bounded_memory() -> None:
     region = Region(1, 0)
-    book = region.books[region.daemons[0]]
-    told: list[PeerMessage] = []
+    registry = region.registries[region.daemons[0]]
+    answers: list[PeerMessage] = []
 
     def reply(answer: PeerMessage, payload: bytes | None) -> bool:
-        told.append(answer)
+        answers.append(answer)
         return True
 
     for version in range(2, 1000):
         for host in range(digestregistry.MAX_REQUESTERS + 10):
-            book.answer(AskDigests(f"m@{version}", str(host)), reply)
-    remembered = sum(len(askers) for askers in book._requesters.values())
+            registry.answer(AskDigests(f"m@{version}", str(host)), reply)
+    remembered = sum(len(requesters) for requesters in registry._requesters.values())
     assert remembered <= digestregistry.MAX_REQUESTERS * digestregistry.MAX_REQUESTED_VERSIONS
-    # Each process that asked is told once.
-    book.receive(KnownDigests("m@2", DIGESTS.chunk_bytes, list(DIGESTS.digests)))
-    assert len(told) == digestregistry.MAX_REQUESTERS
+    # Each waiting process gets one answer.
+    registry.receive(KnownDigests("m@2", DIGESTS.chunk_bytes, list(DIGESTS.digests)))
+    assert len(answers) == digestregistry.MAX_REQUESTERS
 
 
 def test_daemons_whose_replicas_serve_a_version_are_asked_for_its_digests_first() -> None:
-    """Added replicas asked other added ones, and had their weights 0.35 s later."""
+    """Added replicas that ask other added ones receive their weights 0.35 s later."""
 
     def replica(ip: str, version: int) -> Replica:
         loaded = (LoadedModel("m", version),) if version else ()
@@ -182,12 +182,12 @@
     assert replicas_with_digests(listed, LoadedModel("m", 3)) == listed
 
 
-async def test_digests_come_from_wherever_they_are_known_while_the_origin_is_away(
+async def test_digests_come_from_a_daemon_that_has_them_while_the_origin_is_unreachable(
     autojump_clock: trio.testing.MockClock,
 ) -> None:
     region = Region(6, 2)
-    region.origin.away = True
-    region.books[region.daemons[3]].settled[GOAL] = DIGESTS
+    region.origin.unreachable = True
+    region.registries[region.daemons[3]].settled[GOAL] = DIGESTS
     with trio.fail_after(10):
         await region.obtain_all()
-    assert all(book.settled[GOAL] == DIGESTS for book in region.books.values())
+    assert all(registry.settled[GOAL] == DIGESTS for registry in region.registries.values())
--- a/tests/test_goal_choice.py
+++ b/tests/test_goal_choice.py
@@ -1,4 +1,4 @@
-"""Which version a daemon brings in, by what it knows and what cannot be had; without a network."""
+"""Tests of which version a daemon selects as goal, without a network."""
 
 from dataclasses import dataclass, field
 from types import SimpleNamespace
@@ -23,8 +23,8 @@
 
 
 @dataclass
-class Known:
-    """What a daemon knows whose replica holds version 1, and the choice that goes by it."""
+class DaemonState:
+    """The state of a daemon whose replica holds version 1, with its goal selector."""
 
     now: float = 100.0
     notices: list[VersionNotice] = field(default_factory=list)
@@ -51,92 +51,92 @@
         self.choice = GoalSelector("lm", 1e6, *cast(Any, parts))
 
     def name(self, version: int) -> None:
-        """Take the news that a version was named just now."""
+        """Record that a version is named now."""
         self.notices.append(VersionNotice(version, self.now, False))
 
     def chosen(self) -> int:
-        """Return the version that is to be brought in."""
+        """Return the version that is selected."""
         goal = self.choice.choose()
         assert goal is not None
         return goal.version
 
 
 @pytest.fixture
-def known(monkeypatch: pytest.MonkeyPatch) -> Known:
-    daemon = Known()
+def state(monkeypatch: pytest.MonkeyPatch) -> DaemonState:
+    daemon = DaemonState()
     monkeypatch.setattr(goalchoice, "monotonic", lambda: daemon.now)
     return daemon
 
 
-def test_an_older_version_is_asked_for_though_none_of_it_was_heard_of_in_time(
-    known: Known,
+def test_an_older_version_without_known_digests_is_selected(
+    state: DaemonState,
 ) -> None:
-    """Version 2 was named while the daemon was busy, then version 3, with the origin away."""
-    known.name(2)
-    known.now += 0.5
-    known.name(3)
-    assert known.chosen() == 3
-    known.choice.defer(LoadedModel(MODEL, 3))
-    assert known.chosen() == 2
-
-
-def test_an_older_version_that_cannot_be_had_either_gives_way(known: Known) -> None:
-    known.name(2)
-    known.now += 0.5
-    known.name(3)
-    known.choice.defer(LoadedModel(MODEL, 3))
-    known.choice.defer(LoadedModel(MODEL, 2))
-    assert known.chosen() == 3
-    known.now += DEFERRAL_SECONDS + 0.1
-    assert known.chosen() == 3
-
-
-def test_an_older_version_that_would_serve_no_more_is_not_asked_for(known: Known) -> None:
-    known.name(2)
-    known.now += 0.5
-    known.name(3)
-    known.now += BOUND_SECONDS
-    known.choice.defer(LoadedModel(MODEL, 3))
-    assert known.chosen() == 3
+    """Versions 2 and 3 are named before any digests are known; the origin is unreachable."""
+    state.name(2)
+    state.now += 0.5
+    state.name(3)
+    assert state.chosen() == 3
+    state.choice.defer(LoadedModel(MODEL, 3))
+    assert state.chosen() == 2
+
+
+def test_an_older_version_that_is_unavailable_too_is_not_selected(state: DaemonState) -> None:
+    state.name(2)
+    state.now += 0.5
+    state.name(3)
+    state.choice.defer(LoadedModel(MODEL, 3))
+    state.choice.defer(LoadedModel(MODEL, 2))
+    assert state.chosen() == 3
+    state.now += DEFERRAL_SECONDS + 0.1
+    assert state.chosen() == 3
+
+
+def test_an_older_version_past_its_bound_is_not_selected(state: DaemonState) -> None:
+    state.name(2)
+    state.now += 0.5
+    state.name(3)
+    state.now += BOUND_SECONDS
+    state.choice.defer(LoadedModel(MODEL, 3))
+    assert state.chosen() == 3
 
 
 EVENTS = st.lists(st.sampled_from(["name", "settle", "withhold", "wait"]), max_size=20)
 
 
 @given(EVENTS)
-def test_while_the_newest_version_cannot_be_had_an_older_one_that_serves_longer_is_chosen(
+def test_while_the_newest_version_is_unavailable_an_older_one_that_serves_longer_is_selected(
     events: list[str],
 ) -> None:
-    """Names, digests and losses of the origin come in any order."""
+    """Versions are named, digests settled and versions deferred in any order."""
     with pytest.MonkeyPatch.context() as patch:
-        known = Known()
-        patch.setattr(goalchoice, "monotonic", lambda: known.now)
-        known.name(2)
-        withheld: dict[int, float] = {}
+        state = DaemonState()
+        patch.setattr(goalchoice, "monotonic", lambda: state.now)
+        state.name(2)
+        deferred_until: dict[int, float] = {}
         for event in events:
-            newest = known.notices[-1].version
+            newest = state.notices[-1].version
             match event:
                 case "name":
-                    known.name(newest + 1)
+                    state.name(newest + 1)
                 case "settle":
-                    known.settled[LoadedModel(MODEL, newest)] = DIGESTS
+                    state.settled[LoadedModel(MODEL, newest)] = DIGESTS
                 case "withhold":
-                    chosen = known.chosen()
-                    known.choice.defer(LoadedModel(MODEL, chosen))
-                    withheld[chosen] = known.now + DEFERRAL_SECONDS
+                    chosen = state.chosen()
+                    state.choice.defer(LoadedModel(MODEL, chosen))
+                    deferred_until[chosen] = state.now + DEFERRAL_SECONDS
                 case "wait":
-                    known.now += 0.4
-            newest = known.notices[-1].version
-            chosen = known.chosen()
-            if withheld.get(newest, 0.0) <= known.now:
+                    state.now += 0.4
+            newest = state.notices[-1].version
+            chosen = state.chosen()
+            if deferred_until.get(newest, 0.0) <= state.now:
                 assert chosen == newest
                 continue
-            served = serves_until(1, known.notices, BOUND_SECONDS)
+            served = serves_until(1, state.notices, BOUND_SECONDS)
             useful = [
                 notice.version
-                for notice in known.notices[:-1]
-                if withheld.get(notice.version, 0.0) <= known.now
-                and serves_until(notice.version, known.notices, BOUND_SECONDS)
-                > max(served, known.now + 0.5)
+                for notice in state.notices[:-1]
+                if deferred_until.get(notice.version, 0.0) <= state.now
+                and serves_until(notice.version, state.notices, BOUND_SECONDS)
+                > max(served, state.now + 0.5)
             ]
             assert chosen in ([useful[-1]] if useful else [newest, *range(2, newest)])
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -1,4 +1,4 @@
-"""Mirrors of weights and turns of loading: who brings chunks in, whom to ask, who loads when."""
+"""Tests of mirrors, of the sources that chunks are requested from, and of the loading groups."""
 
 import signal
 from collections import Counter
@@ -43,7 +43,7 @@
 
 
 async def uploads_of(site: Machines, role: str) -> int:
-    """Return how many chunks the processes of a role have sent."""
+    """Return how many chunks all processes of a role have uploaded."""
     sent = 0
     for name, machine in site.machines.items():
         if machine.role == role:
@@ -53,7 +53,7 @@
     return sent
 
 
-async def test_new_weights_come_through_mirrors_and_daemons_links_are_spared(
+async def test_mirrors_upload_more_chunks_of_new_weights_than_daemons(
     tmp_path: Path,
 ) -> None:
     async with small_site(
@@ -72,7 +72,7 @@
 
 
 async def test_an_entry_with_a_narrow_link_leaves_weights_to_the_daemons(tmp_path: Path) -> None:
-    """Daemons turn to mirrors first: one that cannot keep up would hold all of them back."""
+    """Daemons ask mirrors first, so a mirror that is too slow would delay all of them."""
     async with small_site(
         tmp_path, models=3, entries=1, daemons=True, link_mbits=1.0, entry_link_mbits=0.25
     ) as site:
@@ -83,7 +83,7 @@
         assert not await uploads_of(site, "entry")
 
 
-async def test_daemons_bring_weights_in_by_themselves_when_all_mirrors_stand_still(
+async def test_daemons_fetch_weights_without_mirrors_when_all_mirrors_are_stopped(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=3, entries=2, daemons=True) as site:
@@ -118,21 +118,21 @@
         assert any(line["message"] == "weights not mirrored" for line in lines)
 
 
-def test_one_late_mirror_is_enough_to_call_the_own_link_slow() -> None:
-    """Its link is wide; chunks that wait are in the asker's own (VERSION, a squeezed link)."""
+def test_one_late_mirror_marks_the_own_link_as_slow() -> None:
+    """A mirror's link is wide, so late chunks are held up in the requester's own narrow link."""
     pace = SMALL_WEIGHTS
     mirror = NeighbourView("mirror", lambda message: True, pace, is_mirror=True)
     other = NeighbourView("other", lambda message: True, pace)
     views = {"mirror": mirror, "other": other}
     mirror.in_flight[0] = monotonic() - 2 * pace.slow_request
     assert is_link_slow(views, monotonic())
-    # Chunks of others that come on time show that it is the mirror that stands still.
+    # Chunks of other hosts that arrive in time show that the mirror has stalled.
     other.in_flight[1] = monotonic()
     other.received(1)
     assert not is_link_slow(views, monotonic())
 
 
-def test_chunks_are_asked_of_mirrors_first() -> None:
+def test_chunks_are_requested_from_mirrors_first() -> None:
     stored = StoredArtifact("d", Manifest(1, 1, [ManifestFile("f", 8, ["0" * 64] * 8)]), b"")
     pace = SMALL_WEIGHTS
     views = {
@@ -150,7 +150,7 @@
     assert choice is not None and not choice[0].is_mirror
 
 
-def test_a_mirror_brings_each_chunk_in_and_others_stand_in_for_it() -> None:
+def test_one_mirror_imports_each_chunk_and_other_hosts_are_its_backups() -> None:
     def host(name: str, role: Role, region: str) -> Host:
         return Host(name, role, region, region, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 
@@ -163,7 +163,7 @@
         first = [name for name, duty in duties.items() if duty.rank == 0 and not duty.from_peer]
         assert len(first) == 1 and first[0] in ("m0", "m1", "m2")
         home = next(each.region for each in mirrors if each.name == first[0])
-        # In the other region a mirror brings it in from there; behind both stand daemons.
+        # A mirror of the other region fetches the chunk from there; daemons are backups of both.
         crossing = [name for name, duty in duties.items() if duty.rank == 0 and duty.from_peer]
         assert len(crossing) == 1 and crossing[0].startswith("m")
         for each in daemons:
@@ -171,13 +171,13 @@
             assert duty.from_peer == (each.region != home)
             assert duty.rank is None or duty.rank >= 1
         assert sum(duties[each.name].rank is not None for each in daemons) >= WATCH_DEPTH - 1
-    # Without mirrors everything is as it was among the daemons.
+    # Without mirrors, only daemons import chunks.
     alone = ImportOrder("a", daemons, "d0", 1)
     assert all(not name.startswith("m") for i in range(40) for name in alone.duty(i).before)
 
 
 @given(st.lists(st.sampled_from(["za", "zb", "zc"]), min_size=1, max_size=24))
-def test_every_replica_has_a_turn_and_no_zone_loads_at_once(zones: list[str]) -> None:
+def test_every_replica_has_a_loading_group_and_no_zone_loads_at_once(zones: list[str]) -> None:
     replicas = [
         Replica(f"i{n}", "lm", Address("10.0.0.1", n + 1), zone, 8, False)
         for n, zone in enumerate(zones)
@@ -194,8 +194,8 @@
     assert len(earlier_groups(GROUP_COUNT, goal, replicas)) == len(replicas)
 
 
-async def test_a_mirrors_lanes_are_paced_by_the_askers_and_apart() -> None:
-    """A mirror's wide link must not fill an asker's narrow one, nor one asker hold others."""
+async def test_a_mirrors_uploads_are_paced_separately_for_each_requester() -> None:
+    """A mirror must not fill a requester's narrow link, nor let one requester delay others."""
     pace = SMALL_WEIGHTS
     chunks = [bytes([index]) * 32 * KIB for index in range(2)]
     file = ManifestFile("f", 64 * KIB, [digest_of(chunk) for chunk in chunks])
@@ -223,13 +223,13 @@
 
 
 class LinkedNode:
-    """Counts the links that are opened."""
+    """A node that records the addresses of opened links."""
 
     def __init__(self) -> None:
         self.linked: set[Address] = set()
 
     def connect(self, address: Address) -> None:
-        """Open a link."""
+        """Record a link."""
         self.linked.add(address)
 
 
@@ -237,7 +237,7 @@
 def test_links_opened_ahead_of_a_transfer_do_not_grow_with_the_fleet(
     regions: int, in_each: int
 ) -> None:
-    """Each of 60 daemons kept links to all 94 other processes."""
+    """Without a bound, each of 60 daemons keeps links to all 94 other processes."""
     hosts = [
         Host(
             name=f"10.{region}.0.{number}",
@@ -263,8 +263,8 @@
     assert len(near) == min(MAX_LINKS_AHEAD, in_each - 1)
 
 
-def test_a_narrow_link_does_not_mirror_by_turns_when_the_fleet_changes_a_little() -> None:
-    """Entries with 40 Mbit/s began and stopped mirroring 10 to 15 times in a day (a trial)."""
+def test_small_changes_of_the_fleet_do_not_make_mirroring_start_and_stop() -> None:
+    """With a single limit, entries with 40 Mbit/s start and stop mirroring 10 to 15 times a day."""
     layout = WeightsLayout(("m",), 64, 32768)
     services = {"lm": Service("lm", 100, layout)}
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
@@ -284,5 +284,5 @@
     for count in (40, 45, 50, 47, 55, 70, 75, 70, 50, 47):
         have_replicas(count)
         decided.append(mirror.decide_to_mirror())
-    # It hands out 2 MB to a tenth of them, at 2.5 MB a second: 4 s at 47 of them, 6 s at 71.
+    # It uploads 2 MB to a tenth of the replicas at 2.5 MB/s: 4 s with 47 replicas, 6 s with 71.
     assert decided == [True, True, True, True, True, True, False, False, False, True]
--- a/tests/test_renewal_plan.py
+++ b/tests/test_renewal_plan.py
@@ -1,4 +1,4 @@
-"""What daemons beside replicas know of the configuration, and what they tell of their replicas."""
+"""Tests of how daemons obtain the plan, and of the load reports that they send."""
 
 from pathlib import Path
 from typing import cast
@@ -38,7 +38,7 @@
 
 
 def configuration(version: int, origin: Address) -> Configuration:
-    """Return a configuration with one model."""
+    """Return a configuration with one model and the given origin."""
     services = {
         "lm": Service("lm", 10, WeightsLayout(("m",), 4, 1024)),
         "files": Service("files", 10, origin=origin),
@@ -49,27 +49,29 @@
 
 def test_the_plan_names_the_models_and_the_origin_of_the_newest_configuration_known() -> None:
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
-    book = PlanRegistry(facts)
-    assert book.newest() is None and book.origin() is None
+    registry = PlanRegistry(facts)
+    assert registry.newest() is None and registry.origin() is None
     facts.configuration = configuration(3, Address("10.0.0.3", 80))
-    assert book.newest() == WeightsPlan(3, {"lm": "m"}, "10.0.0.3:80")
-    book.receive(plan_of(configuration(5, Address("10.0.0.5", 80))))
-    book.receive(plan_of(configuration(4, Address("10.0.0.4", 80))))  # late on its way
-    assert book.origin() == Address("10.0.0.5", 80)
+    assert registry.newest() == WeightsPlan(3, {"lm": "m"}, "10.0.0.3:80")
+    registry.receive(plan_of(configuration(5, Address("10.0.0.5", 80))))
+    registry.receive(plan_of(configuration(4, Address("10.0.0.4", 80))))  # arrives late
+    assert registry.origin() == Address("10.0.0.5", 80)
     facts.configuration = configuration(6, Address("10.0.0.6", 80))
-    assert book.origin() == Address("10.0.0.6", 80)
+    assert registry.origin() == Address("10.0.0.6", 80)
 
 
 def listings_of(calls: dict[str, int], ip: str) -> int:
-    """Return how often a process has listed anything."""
+    """Return how many listings a process has requested from the store."""
     return calls[f"{ip} {names.STORE_RANGE}"]
 
 
-async def test_daemons_that_hear_an_entry_do_not_list_the_configuration(tmp_path: Path) -> None:
-    """It may be hundreds of kilobytes, over links of 3.8 Mbit/s."""
+async def test_daemons_that_receive_the_plan_from_an_entry_do_not_list_the_configuration(
+    tmp_path: Path,
+) -> None:
+    """A listing may take hundreds of kilobytes over a daemon's link of 3.8 Mbit/s."""
     async with small_site(tmp_path, models=3, daemons=True) as site:
         await wait_offered(site)
-        # Of the named versions and of the replicas: the topics that daemons watch.
+        # One listing for each topic that daemons watch: the named versions and the replicas.
         listed = [listings_of(site.store.calls, site.machines[f"daemon{i}"].ip) for i in range(3)]
         site.name_version(2)
         await wait_loaded(replicas_of(site, MODEL_SERVICE), 2)
@@ -77,7 +79,7 @@
         assert listed == [2, 2, 2]
 
 
-async def test_a_daemon_that_needs_weights_and_hears_no_entry_lists_the_configuration(
+async def test_a_daemon_that_needs_weights_and_has_no_entry_lists_the_configuration(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=2, entries=1, daemons=True) as site:
@@ -88,13 +90,13 @@
         with trio.fail_after(WAIT_SECONDS):
             while not (await site.state("daemon0")).get("loaded"):
                 await trio.sleep(0.05)
-        # While its replica serves the newest version, it has no need of it.
+        # While its replica serves the newest version, the daemon does not need the plan.
         assert (await site.state("daemon0"))["plan_version"] is None
         site.name_version(2)
         await wait_loaded(replicas_of(site, MODEL_SERVICE), 2)
 
 
-async def test_an_empty_replica_is_filled_before_its_daemon_has_heard_an_entry(
+async def test_an_empty_replica_is_loaded_before_its_daemon_has_contact_with_an_entry(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
@@ -109,23 +111,23 @@
 async def test_after_a_restart_of_all_daemons_with_empty_replicas_ask_entries_and_list_nothing(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a power loss all replicas are empty, and each daemon listed the configuration."""
+    """After a power loss all replicas are empty; without an order every daemon lists at once."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
     entries = [Address("10.0.0.1", 1), Address("10.0.0.2", 1)]
     listed: list[float] = []
-    book = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
+    registry = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
 
     class Node:
-        """Answers for the entries once they have a configuration."""
+        """Answers for the entries, once they have a configuration."""
 
-        answers_at = 2.0
+        answers_from_seconds = 2.0
 
         def send(self, address: Address, message: PeerMessage) -> bool:
-            """Take a question; answer at once."""
+            """Handle a request; answer it immediately."""
             assert address in entries and isinstance(message, AskPlan)
-            if trio.current_time() >= self.answers_at:
-                book.receive(WeightsPlan(1, {"lm": "m"}, ""))
+            if trio.current_time() >= self.answers_from_seconds:
+                registry.receive(WeightsPlan(1, {"lm": "m"}, ""))
             return True
 
     node = cast(PeerNode, Node())
@@ -133,22 +135,22 @@
     def list_now() -> None:
         listed.append(trio.current_time())
 
-    # 100 daemons in five regions: entries answer after 2 s, and a few of each region have listed.
+    # 100 daemons in five regions: entries answer after 2 s, when a few of each region have listed.
     async with trio.open_nursery() as nursery:
         for number in range(100):
             rank = number // 5
             nursery.start_soon(
-                obtain_plan, book, node, lambda: entries, lambda r=rank: r, list_now
+                obtain_plan, registry, node, lambda: entries, lambda r=rank: r, list_now
             )
-    assert book.newest() is not None
+    assert registry.newest() is not None
     assert len(listed) == 5 * (1 + int((2.0 - FIRST_LISTING_DELAY_SECONDS) / LISTING_STEP_SECONDS))
-    # Without an entry it is listed, and not again and again.
+    # Without an entry the configuration is listed, but not continuously.
     silent = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
     listed.clear()
     with trio.move_on_after(60):
         await obtain_plan(silent, node, list, lambda: 0, list_now)
     assert 60 / (2 * LISTING_RETRY_SECONDS) - 2 <= len(listed) <= 60 / LISTING_RETRY_SECONDS + 1
-    # The first of a region's order lists soon.
+    # The first daemon of a region's order lists within a second.
     listed.clear()
     with trio.move_on_after(1):
         await obtain_plan(silent, node, list, lambda: 0, list_now)
@@ -158,38 +160,39 @@
 async def test_the_daemons_of_a_region_learn_the_plan_from_the_first_that_lists_it(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each of 41 daemons listed half a megabyte after a restart of all; entries were away too.
+    """After a restart of all processes entries are unavailable too, and 41 daemons need the plan.
 
-    Over a link of 13.5 Mbit/s between regions the last ones had it 16 s and 24 s after their
-    start, and fetched no weights until then, also not from neighbours that had them.
+    If each daemon lists half a megabyte over a link of 13.5 Mbit/s between regions, the last ones
+    have it 16 s and 24 s after their start. Until then they fetch no weights, not even from
+    neighbours that have them.
     """
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
     hosts = [f"10.0.0.{number}" for number in range(1, 16)]
     order = listing_order(hosts)
-    books = {ip: PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1)))) for ip in hosts}
+    registries = {ip: PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1)))) for ip in hosts}
     listing_seconds = 1.1  # of half a megabyte over 3.8 Mbit/s
     listed: list[str] = []
     plan = WeightsPlan(1, {"lm": "m"}, "10.0.0.99:1")
 
     class Node:
-        """Carries a question to another daemon, which answers if it knows the plan."""
+        """Delivers a request to another daemon, which answers if it has the plan."""
 
         def __init__(self, ip: str) -> None:
             self._ip = ip
 
         def send(self, address: Address, message: PeerMessage) -> bool:
-            """Take a question; answer at once."""
+            """Handle a request; answer it immediately."""
             assert isinstance(message, AskPlan)
-            if books[address.ip].newest() is not None:
-                books[self._ip].receive(plan)
+            if registries[address.ip].newest() is not None:
+                registries[self._ip].receive(plan)
             return True
 
     async with trio.open_nursery() as nursery:
 
         async def list_configuration(ip: str) -> None:
             await trio.sleep(listing_seconds)
-            books[ip].receive(plan)
+            registries[ip].receive(plan)
 
         def begin_listing(ip: str) -> None:
             listed.append(ip)
@@ -198,34 +201,34 @@
         for ip in hosts:
             nursery.start_soon(
                 obtain_plan,
-                books[ip],
+                registries[ip],
                 cast(PeerNode, Node(ip)),
                 lambda: [Address(first, 1) for first in order[:2]],
                 lambda ip=ip: order.index(ip),
                 lambda ip=ip: begin_listing(ip),
             )
         started_at = trio.current_time()
-    # The second one stands in, should the first be gone; nobody else lists.
+    # The second daemon lists as well, in case the first is down; no other daemon lists.
     assert listed == order[:2]
     assert trio.current_time() - started_at < 2.5 + listing_seconds
-    assert all(book.newest() == plan for book in books.values())
+    assert all(registry.newest() == plan for registry in registries.values())
 
 
-async def test_entries_are_asked_for_the_plan_before_the_list_of_replicas_is_here(
+async def test_entries_are_asked_for_the_plan_before_the_list_of_replicas_is_available(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With a slow store, added replicas waited for two answers of it, one after the other."""
+    """Otherwise, with a slow store, added replicas wait for two of its answers in sequence."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
-    book = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
+    registry = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
 
     class Node:
-        """Answers at once."""
+        """Answers immediately."""
 
         def send(self, address: Address, message: PeerMessage) -> bool:
-            """Take a question."""
+            """Handle a request."""
             assert isinstance(message, AskPlan)
-            book.receive(WeightsPlan(1, {"lm": "m"}, ""))
+            registry.receive(WeightsPlan(1, {"lm": "m"}, ""))
             return True
 
     def list_now() -> None:
@@ -233,7 +236,9 @@
 
     entries = [Address("10.0.0.1", 1)]
     with trio.fail_after(1):
-        await obtain_plan(book, cast(PeerNode, Node()), lambda: entries, lambda: None, list_now)
+        await obtain_plan(
+            registry, cast(PeerNode, Node()), lambda: entries, lambda: None, list_now
+        )
 
 
 async def test_a_daemon_whose_origin_moved_finds_it_by_listing(tmp_path: Path) -> None:
@@ -258,14 +263,14 @@
 
 
 class BusyReplica:
-    """A replica whose load changes between any two readings, or stays nothing."""
+    """A replica whose load changes between any two reports, or is always zero if idle."""
 
     def __init__(self, *, idle: bool) -> None:
         self._idle = idle
         self._active = 0
 
     async def report(self) -> Ok[ReplicaReport] | Failure:
-        """Tell the state."""
+        """Return a report with the next load."""
         await trio.lowlevel.checkpoint()
         self._active += not self._idle
         loaded = (LoadedModel("m", 1),)
@@ -273,20 +278,20 @@
 
 
 @pytest.mark.parametrize(("listeners", "idle"), [(5, False), (5, True), (14, False), (40, False)])
-async def test_a_daemon_says_so_many_words_however_many_entries_listen(
+async def test_the_rate_of_load_messages_is_bounded_for_any_number_of_entries(
     listeners: int, idle: bool, mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Each of 60 daemons told its load to 35 entries seven times a second."""
+    """Without a bound, each of 60 daemons sends its load to 35 entries seven times a second."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr(reporting, "monotonic", trio.current_time)
     replica = BusyReplica(idle=idle)
     reporter = Reporter(Address("10.0.0.1", 1), _as_control(replica))
-    words: dict[int, list[float]] = {number: [] for number in range(listeners)}
+    messages: dict[int, list[float]] = {number: [] for number in range(listeners)}
 
     def listen(number: int) -> None:
         def reply(message: PeerMessage, payload: bytes | None) -> bool:
             assert isinstance(message, ReplicaLoad) and payload is None
-            words[number].append(trio.current_time())
+            messages[number].append(trio.current_time())
             return True
 
         reporter.listen(f"entry-{number}", reply)
@@ -297,22 +302,22 @@
             for number in range(listeners):
                 listen(number)
             await trio.sleep(1.0)
-        said = sum(map(len, words.values()))
-        assert said <= 1.1 * 10 * LISTENERS_AT_ONCE / reporting.READ_SECONDS + listeners
-        assert said <= 10 * listeners / reporting.READ_SECONDS * (0.5 if idle else 1.1)
+        sent = sum(map(len, messages.values()))
+        assert sent <= 1.1 * 10 * LISTENERS_AT_ONCE / reporting.READ_SECONDS + listeners
+        assert sent <= 10 * listeners / reporting.READ_SECONDS * (0.5 if idle else 1.1)
         longest = max(
-            b - a for each in words.values() for a, b in zip(each, each[1:], strict=False)
+            b - a for each in messages.values() for a, b in zip(each, each[1:], strict=False)
         )
-        assert longest <= 0.8  # from then on it looks late to an entry
-        # What matters at once is told to all at once.
-        for each in words.values():
+        assert longest <= 0.8  # after that, an entry regards the load as late
+        # An urgent change is sent to all listeners immediately.
+        for each in messages.values():
             each.clear()
         reporter.leaving = True
         reporter.tell()
-        assert all(len(each) == 1 for each in words.values())
+        assert all(len(each) == 1 for each in messages.values())
         nursery.cancel_scope.cancel()
 
 
 def _as_control(replica: BusyReplica) -> ReplicaControl:
-    """Take what can only report for a whole replica."""
+    """Use a replica that implements only `report` as a replica control."""
     return replica  # type: ignore[return-value]
--- a/tests/test_version_choice.py
+++ b/tests/test_version_choice.py
@@ -1,4 +1,4 @@
-"""Versions in quick succession: which are brought in, and which are left."""
+"""Tests of which versions are fetched or skipped when they are named in quick succession."""
 
 from typing import Any, cast
 
@@ -14,7 +14,7 @@
 from headcross_renewal.versionchoice import FetchEstimate, serves_until
 
 BOUND_SECONDS = 10.3
-LINK_BYTES = 400_000.0  # a second, for weights, of a link of 3.8 Mbit/s
+LINK_BYTES_PER_SECOND = 400_000.0  # share for weights of a 3.8 Mbit/s link
 WEIGHTS_BYTES = 64 * 32768
 
 
@@ -24,27 +24,27 @@
 def test_an_older_version_is_finished_only_if_it_serves_for_longer_than_that_takes(
     missing_share: float, worth: bool
 ) -> None:
-    """Versions 2 and 3 were named 3 s apart, and the origin came back 8.5 s after the first name.
+    """Versions 2 and 3 are named 3 s apart; the origin is reachable again 8.5 s after the first.
 
-    Version 2 was brought in first although it was whole everywhere only when its own bound let it
-    serve nothing any more; nothing was served for 9 s.
+    If version 2 is fetched first, it may be complete only when its bound no longer lets it serve,
+    and nothing is served for 9 s.
     """
     notices = [VersionNotice(2, 0.0, False), VersionNotice(3, 3.0, False)]
     estimate = FetchEstimate(
         int(missing_share * WEIGHTS_BYTES),
-        LINK_BYTES,
+        LINK_BYTES_PER_SECOND,
         serves_until(2, notices, BOUND_SECONDS),
         serves_until(1, notices, BOUND_SECONDS),
     )
     assert estimate.is_worthwhile(8.5, delays_newer=True) == worth
 
 
-def test_a_version_that_serves_no_longer_than_the_one_held_is_left() -> None:
-    """Both were learned of when the store came back: the older one would have gained 0.1 s."""
+def test_a_version_that_serves_no_longer_than_the_held_one_is_skipped() -> None:
+    """Both versions are learned when the store is reachable again; the older would add 0.1 s."""
     notices = [VersionNotice(2, 0.0, False), VersionNotice(3, 0.1, False)]
     estimate = FetchEstimate(
         WEIGHTS_BYTES // 10,
-        LINK_BYTES,
+        LINK_BYTES_PER_SECOND,
         serves_until(2, notices, BOUND_SECONDS),
         serves_until(1, notices, BOUND_SECONDS),
     )
@@ -52,7 +52,7 @@
 
 
 def mirror_with(notices: list[VersionNotice], held: int) -> Mirror:
-    """Return a mirror before one replica that holds a version, after versions were named."""
+    """Return a mirror with the given notices and one replica that holds version `held`."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     services = {"lm": Service("lm", 100, WeightsLayout(("m",), 64, 32768))}
     facts.configuration = Configuration(1, (), services, (), CallerLimits(1, 1, 1.0, 1.0))
@@ -69,7 +69,7 @@
 @pytest.mark.parametrize(
     ("gap", "versions"), [(0.1, [3]), (MIN_SERVICE_SECONDS, [2, 3]), (3.0, [2, 3])]
 )
-def test_a_mirror_leaves_a_version_that_the_next_one_follows_at_once(
+def test_a_mirror_skips_a_version_that_is_superseded_at_once(
     gap: float, versions: list[int]
 ) -> None:
     named_at = monotonic() + 1.0
@@ -81,6 +81,6 @@
 def test_a_mirror_that_starts_late_takes_part_only_if_nobody_serves_the_version(
     held: int, versions: list[int]
 ) -> None:
-    """After a kill of all processes 12 of 41 replicas had the version 8 s later, and 29 never."""
+    """After a kill of all processes, without mirrors 12 of 41 replicas load in 8 s, 29 never."""
     notices = [VersionNotice(2, monotonic(), at_start=True)]
     assert [goal.version for goal in mirror_with(notices, held)._goals()] == versions
