--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -20,7 +20,7 @@
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import Staging
 from headcross_renewal.turns import earlier_groups, group_of, latest_start
-from headcross_renewal.versionchoice import ROUTING_MARGIN_SECONDS, serves_until
+from headcross_renewal.versionchoice import SEND_MARGIN_SECONDS, serves_until
 
 TURN_CHECK_SECONDS: Final = 0.05
 TURN_AT_START_SECONDS: Final = 2.0
@@ -152,7 +152,7 @@
             # It is not known how long ago it was named; the others may have started just now too.
             return named.seen_at + TURN_AT_START_SECONDS
         # The last group loads at the latest when entries leave the old version.
-        return named.seen_at + self._bound - ROUTING_MARGIN_SECONDS
+        return named.seen_at + self._bound - SEND_MARGIN_SECONDS
 
     async def _wait_loaded(self, goal: LoadedModel) -> None:
         until = monotonic() + ORDER_SECONDS
--- a/libs/renewal/src/headcross_renewal/mirroring.py
+++ b/libs/renewal/src/headcross_renewal/mirroring.py
@@ -34,7 +34,7 @@
     upload_seconds,
 )
 from headcross_renewal.sources import OriginSource, manifest_of, weights_name
-from headcross_renewal.versionchoice import ESTIMATED_LOAD_SECONDS, ROUTING_MARGIN_SECONDS
+from headcross_renewal.versionchoice import ESTIMATED_LOAD_SECONDS, SEND_MARGIN_SECONDS
 
 # The newest versions of a model that are stored and fetched: one may be named before the previous
 # one is loaded everywhere.
@@ -122,8 +122,8 @@
         size = max((layout.chunk_count * layout.chunk_bytes for layout in layouts), default=0)
         daemons = len(self._replicas(None))
         seconds = upload_seconds(size, daemons, self.mirror_count, self._bytes_per_second)
-        part = MAX_UPLOAD_SHARE_TO_CONTINUE if self._is_mirroring else MAX_UPLOAD_SHARE_TO_START
-        decided = seconds <= part * self._bound
+        share = MAX_UPLOAD_SHARE_TO_CONTINUE if self._is_mirroring else MAX_UPLOAD_SHARE_TO_START
+        decided = seconds <= share * self._bound
         if decided != self._is_mirroring:
             self._is_mirroring = decided
             fields = {
@@ -159,7 +159,7 @@
             return []
         *older, newest = notices[-VERSIONS_KEPT_PER_MODEL:]
         now = monotonic()
-        ends_at = newest.seen_at + self._bound - ROUTING_MARGIN_SECONDS - ESTIMATED_LOAD_SECONDS
+        ends_at = newest.seen_at + self._bound - SEND_MARGIN_SECONDS - ESTIMATED_LOAD_SECONDS
         return [
             *(
                 n
--- a/libs/renewal/src/headcross_renewal/versionchoice.py
+++ b/libs/renewal/src/headcross_renewal/versionchoice.py
@@ -13,7 +13,7 @@
 
 # An older version is taken to serve no requests from this long before its bound, because entries
 # stop routing to it then (see weightsrules).
-ROUTING_MARGIN_SECONDS: Final = 1.6
+SEND_MARGIN_SECONDS: Final = 1.6
 # From the order to load until the replica serves: draining, verifying and loading take 0.3 to
 # 0.5 s with 2 MiB of weights.
 ESTIMATED_LOAD_SECONDS: Final = 0.4
@@ -66,4 +66,4 @@
     [16.4, 19.4, inf]
     """
     newer = [notice.seen_at for notice in notices if notice.version > version]
-    return min(newer, default=float("inf")) + bound_seconds - ROUTING_MARGIN_SECONDS
+    return min(newer, default=float("inf")) + bound_seconds - SEND_MARGIN_SECONDS
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -264,7 +264,7 @@
 
 
 def test_small_changes_of_the_fleet_do_not_make_mirroring_start_and_stop() -> None:
-    """With a single limit, entries with 40 Mbit/s start and stop mirroring 10 to 15 times a day."""
+    """With one limit, entries with 40 Mbit/s start and stop mirroring 10 to 15 times a day."""
     layout = WeightsLayout(("m",), 64, 32768)
     services = {"lm": Service("lm", 100, layout)}
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
