--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -20,7 +20,7 @@
 from headcross_weights.chunkstore import StoredArtifact
 
 from headcross_renewal.indoubt import READ_BACK_VALID_SECONDS, InDoubtCalls, SentOrder
-from headcross_renewal.polling import CHECK_SECONDS, until
+from headcross_renewal.polling import POLL_INTERVAL_SECONDS, poll_until
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import Staging
@@ -70,11 +70,11 @@
 
     async def wait_may_stage(self, goal: LoadedModel) -> None:
         """Wait until chunks of a version may be staged at the replica."""
-        await until(lambda: self._may_stage(goal, monotonic()))
+        await poll_until(lambda: self._may_stage(goal, monotonic()))
 
     async def wait_may_order(self, goal: LoadedModel) -> None:
         """Wait until no put of another version's chunks can take effect any more."""
-        await until(lambda: self._may_order(goal, monotonic()))
+        await poll_until(lambda: self._may_order(goal, monotonic()))
 
     def _may_stage(self, goal: LoadedModel, now: float) -> bool:
         # The staged chunks may still be needed to verify the previous load.
@@ -135,7 +135,7 @@
         self._reporter.divert_requests()
         report = await self._reporter.refresh()
         if report is None or report.busy_loading or self._reporter.holds(load.goal):
-            await trio.sleep(CHECK_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
             return False
         if self.in_doubt.observe(report):
             return False  # the order is settled and needs no repeat
@@ -205,4 +205,4 @@
         logger.info("chunks read back", extra=fields)
         if intact:
             return began
-        await trio.sleep(CHECK_SECONDS)
+        await trio.sleep(POLL_INTERVAL_SECONDS)
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -20,14 +20,14 @@
 from headcross_ports.replicas import ReplicaControl, ReplicaReport
 from headcross_weights.chunkstore import StoredArtifact
 
-from headcross_renewal.digestbook import DigestBook
-from headcross_renewal.fetching import Fetching
-from headcross_renewal.goalchoice import GoalChoice
+from headcross_renewal.digestregistry import DigestRegistry
+from headcross_renewal.fetching import Fetcher
+from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.loading import Loading
 from headcross_renewal.loadverifier import LoadVerifier
 from headcross_renewal.mirrors import has_loaded
 from headcross_renewal.orders import Orders
-from headcross_renewal.plan import PlanBook
+from headcross_renewal.plan import PlanRegistry
 from headcross_renewal.recovery import Recovery
 from headcross_renewal.reporting import Reporter
 from headcross_renewal.sources import OriginSource, weights_name
@@ -64,12 +64,12 @@
         replica: ReplicaControl,
         reporter: Reporter,
         origin: OriginSource,
-        book: DigestBook,
-        choice: GoalChoice,
-        fetching: Fetching,
+        book: DigestRegistry,
+        choice: GoalSelector,
+        fetching: Fetcher,
         loading: Loading,
         orders: Orders,
-        plans: PlanBook,
+        plans: PlanRegistry,
         set_link_use: Callable[[int | None], None],
         set_busy: Callable[[bool], None],
     ) -> None:
@@ -162,7 +162,7 @@
             newer = LoadedModel(goal.model, newest)
             if not await self._is_available(newer):
                 continue
-            if self._choice.is_worth_bringing(goal, delays_newer=True):
+            if self._choice.is_worth_fetching(goal, delays_newer=True):
                 continue
             fields = {"goal": weights_name(goal), "newest": newest, "step": self.step}
             logger.info("version superseded", extra=fields)
@@ -227,7 +227,7 @@
 
         The bound comes first if a version between the loaded one and `goal` has been named.
         """
-        held = self._choice.version_held(goal.model)
+        held = self._choice.held_version(goal.model)
         named = self._facts.versions.get(goal.model, [])
         skipped = [n.version for n in named if held < n.version < goal.version]
         return not held or bool(skipped)
@@ -237,7 +237,7 @@
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
             await self._book.obtain(goal)
             return True
-        self._choice.withhold(goal)
+        self._choice.defer(goal)
         return False
 
     async def _stage_fetched_chunks(
