--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -13,14 +13,14 @@
 from headcross_ports.published import LoadedModel, Replica, Topic
 from headcross_renewal.confirmation import LoadStatus
 from headcross_renewal.digestregistry import DigestRegistry
-from headcross_renewal.fetching import Fetcher, DaemonLocation
+from headcross_renewal.fetching import DaemonLocation, Fetcher
 from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.loading import Loading
 from headcross_renewal.mirrors import (
     MirrorRegistry,
     SwarmPorts,
-    replicas_with_digests,
     replicas_in_region_of,
+    replicas_with_digests,
 )
 from headcross_renewal.orders import Orders
 from headcross_renewal.plan import DAEMONS_ASKED, PlanRegistry, listing_order, obtain_plan
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -17,7 +17,7 @@
 from headcross_gateway.admitted import Admitted
 from headcross_gateway.attempts import AttemptTimes
 from headcross_gateway.lossnews import SharedLosses
-from headcross_gateway.outcomes import DidNotRun, MayRun, Outcome, Streamed, CompleteAnswer
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun, MayRun, Outcome, Streamed
 from headcross_gateway.replicalosses import UNCONFIRMED_LOSS_SECONDS, Evidence, LossKey
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestidentity import RequestIdentity
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -163,7 +163,9 @@
         relay = StreamRelay(exchange, facts.resume_after) if route.repetition.is_stream else None
         service = route.pick_service()
         fingerprint = _fingerprint_of(request, facts)
-        returning = fingerprint is not None and self._overload.refused.was_refused(fingerprint, now)
+        returning = fingerprint is not None and self._overload.refused.was_refused(
+            fingerprint, now
+        )
         self.budget.earn(service)
         self._overload.note_request(service, returning=returning)
         return Admitted(
@@ -230,7 +232,9 @@
                 case Streamed():
                     return Completed(200)
                 case DidNotRun(reason=reason, detail=detail):
-                    last = self._stronger_refusal(last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS))
+                    last = self._stronger_refusal(
+                        last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
+                    )
                     if not self._retries.may_go_on_after_refusal(request, outcome):
                         opening = self._admission.seconds_to_opening(
                             requirements, request.configuration
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -12,7 +12,7 @@
 from headcross_gateway.attempts import AttemptTimeouts
 from headcross_gateway.budget import RetryBudget
 from headcross_gateway.containment import Containment
-from headcross_gateway.outcomes import DidNotRun, CompleteAnswer
+from headcross_gateway.outcomes import CompleteAnswer, DidNotRun
 from headcross_gateway.picking import requirements_of
 from headcross_gateway.replicastate import ReplicaState
 
@@ -52,8 +52,12 @@
             )
 
         if request.relay is not None:
-            return AttemptTimeouts(STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, should_abandon)
-        return AttemptTimeouts(REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, should_abandon)
+            return AttemptTimeouts(
+                STREAM_FIRST_EVENT_SECONDS, STREAM_SILENCE_SECONDS, should_abandon
+            )
+        return AttemptTimeouts(
+            REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, should_abandon
+        )
 
     def _take_retry_to_leave(self, request: Admitted, state: ReplicaState) -> bool:
         """Take a retry for a request that leaves a silent replica; False if it has to stay.
--- a/libs/renewal/src/headcross_renewal/loadverifier.py
+++ b/libs/renewal/src/headcross_renewal/loadverifier.py
@@ -25,7 +25,11 @@
     """Reads back one replica's loads and records the outcome."""
 
     def __init__(
-        self, replica: ReplicaControl, reporter: Reporter, book: DigestRegistry, in_doubt: InDoubtCalls
+        self,
+        replica: ReplicaControl,
+        reporter: Reporter,
+        book: DigestRegistry,
+        in_doubt: InDoubtCalls,
     ) -> None:
         self._replica = replica
         self._reporter = reporter
--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -22,9 +22,9 @@
 from testing.platformreplica import FakeReplica
 from tests.test_beside_replica import (
     STALL_SECONDS,
+    corrupt_chunk,
     kill_with_order_in_doubt,
     model_replica,
-    corrupt_chunk,
 )
 from tests.test_machine_weights import LOADED_SECONDS, check_loads, wait_loaded, wait_offered
 
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -11,7 +11,7 @@
 from headcross_gateway.attempts import Attempts, AttemptTimeouts
 from headcross_gateway.linkproofs import LinkProofs
 from headcross_gateway.outcomes import DidNotRun, Outcome
-from headcross_gateway.replicastate import ReplicaState, LoadReport
+from headcross_gateway.replicastate import LoadReport, ReplicaState
 from headcross_gateway.unbegun import UnbegunAttempts
 from headcross_gateway.weightsrules import SEND_MARGIN_SECONDS, WITHDRAWAL_MARGIN_SECONDS
 from headcross_platform.dialect import PlatformDialect
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -24,7 +24,7 @@
 from headcross_ports.replicas import ChunkDigests
 from headcross_renewal import indoubt
 from headcross_renewal.confirmation import Confirmation
-from headcross_renewal.fetching import Fetcher, DaemonLocation
+from headcross_renewal.fetching import DaemonLocation, Fetcher
 from headcross_renewal.goalchoice import GoalSelector
 from headcross_renewal.indoubt import InDoubtCalls
 from headcross_renewal.loading import Loading
--- a/tests/test_renewal_plan.py
+++ b/tests/test_renewal_plan.py
@@ -303,7 +303,9 @@
                 listen(number)
             await trio.sleep(1.0)
         sent = sum(map(len, messages.values()))
-        assert sent <= 1.1 * 10 * LISTENERS_PER_READING / reporting.READ_INTERVAL_SECONDS + listeners
+        assert (
+            sent <= 1.1 * 10 * LISTENERS_PER_READING / reporting.READ_INTERVAL_SECONDS + listeners
+        )
         assert sent <= 10 * listeners / reporting.READ_INTERVAL_SECONDS * (0.5 if idle else 1.1)
         longest = max(
             b - a for each in messages.values() for a, b in zip(each, each[1:], strict=False)
