--- a/libs/base/src/headcross_base/__init__.py
+++ b/libs/base/src/headcross_base/__init__.py
@@ -1,1 +1,1 @@
-"""What every other headcross library stands on: verdicts, errors, identifiers, clocks, logging."""
+"""Base types shared by all headcross libraries: verdicts, errors, digests, clocks and logging."""
--- a/libs/base/src/headcross_base/addresses.py
+++ b/libs/base/src/headcross_base/addresses.py
@@ -1,6 +1,7 @@
-"""Network addresses: an IP number and a port, written `10.0.0.1:7000`.
+"""Network addresses: an IP address and a port, written `10.0.0.1:7000`.
 
-The brief lets processes talk by IP number only, so a name is refused here, once for all settings.
+Processes may connect to each other by IP address only, so host names are rejected here, once for
+all settings.
 """
 
 import ipaddress
@@ -9,9 +10,9 @@
 
 @dataclass(frozen=True, slots=True, order=True)
 class Address:
-    """An IP number with a port."""
+    """An IP address with a port."""
 
-    ip: str  # IPv4 or IPv6 in its shortest form, no brackets
+    ip: str  # IPv4 or IPv6 in its shortest form, without brackets
     port: int  # 0 in a listener's settings means "any free port"
 
     def __str__(self) -> str:
@@ -20,12 +21,12 @@
 
     @property
     def zmq(self) -> str:
-        """The endpoint as ZeroMQ writes it."""
+        """The ZeroMQ endpoint of this address."""
         return f"tcp://{self}"
 
 
 def parse_address(text: str) -> Address:
-    """Return the address that `text` writes; raise ValueError if it is not `IP:PORT`.
+    """Parse `IP:PORT`; raise ValueError if `text` has another form.
 
     >>> parse_address("127.0.0.1:80")
     Address(ip='127.0.0.1', port=80)
--- a/libs/base/src/headcross_base/clocks.py
+++ b/libs/base/src/headcross_base/clocks.py
@@ -1,8 +1,8 @@
-"""Clocks, and the watch that tells a process it was paused.
+"""Clocks that include the time of a suspension, and detection of pauses of the process.
 
 Ages are measured on the monotonic clock of one process and never compared between hosts. A
-process that was stopped (SIGSTOP, a frozen machine) wakes up believing old facts; `PauseWatch`
-ticks and reports a gap between two ticks that is longer than ticking explains.
+process that was stopped (SIGSTOP, a suspended machine) resumes with outdated facts. `PauseWatch`
+checks the clock at a fixed interval and counts each gap that is much longer than the interval.
 """
 
 import time
@@ -13,65 +13,70 @@
 import trio.abc
 
 TICK_SECONDS: Final = 0.5
-# How often the steady clock is compared with the one that counts suspensions. Trio asks for the
-# time thousands of times a second, and the latter may cost a system call.
-COMPARED_SECONDS: Final = 0.01
-# A gap this long means that the process did not run; a busy loop stays well under it.
-PAUSE_SECONDS: Final = 1.5
+# How often CLOCK_MONOTONIC is compared with CLOCK_BOOTTIME. Trio reads the time thousands of times
+# a second, and reading CLOCK_BOOTTIME may take a system call.
+COMPARE_INTERVAL_SECONDS: Final = 0.01
+# A longer gap between two checks counts as a pause; a busy event loop stays well below it.
+MIN_PAUSE_SECONDS: Final = 1.5
 
 
 def monotonic() -> float:
     """Return seconds on this process's monotonic clock.
 
-    CLOCK_BOOTTIME counts a suspended machine too, which CLOCK_MONOTONIC does not.
+    The clock is CLOCK_BOOTTIME, which includes the time for which the machine was suspended;
+    CLOCK_MONOTONIC does not.
     """
     return time.clock_gettime(time.CLOCK_BOOTTIME)
 
 
 def now_ms() -> int:
-    """Return whole milliseconds on the same clock."""
+    """Return `monotonic()` in whole milliseconds."""
     return int(monotonic() * 1000)
 
 
 class SuspensionClock(trio.abc.Clock):
-    """Trio's clock for a process whose machine may be suspended.
+    """Clock for trio that includes the time for which the machine was suspended.
 
-    trio's own one stands still meanwhile: the deadline of a request, the age of a refusal or the
-    time for which a connection was idle would be as if no time had passed.
+    Trio's default clock does not advance during a suspension, so request deadlines, the ages of
+    refusals and the idle times of connections would ignore it.
     """
 
     def __init__(
         self,
-        steady: Callable[[], float] = time.monotonic,
-        counting: Callable[[], float] = monotonic,
+        monotonic_clock: Callable[[], float] = time.monotonic,
+        boottime_clock: Callable[[], float] = monotonic,
     ) -> None:
-        """`steady` stands still during a suspension and is cheap to read; `counting` goes on."""
-        self._steady = steady
-        self._counting = counting
-        counted = counting()
-        self._compared_at = steady()
-        self._ahead = counted - self._compared_at
+        """Use two clocks, of which only `boottime_clock` advances during a suspension.
+
+        `monotonic_clock` is cheap to read.
+        """
+        self._monotonic_clock = monotonic_clock
+        self._boottime_clock = boottime_clock
+        boottime = boottime_clock()
+        self._compared_at = monotonic_clock()
+        self._suspended_seconds = boottime - self._compared_at
 
     def start_clock(self) -> None:
-        """Do nothing; the clock always runs."""
+        """Do nothing: the clock needs no start."""
 
     def current_time(self) -> float:
-        """Return seconds, those of a suspension among them 0.01 s after its end at the latest."""
-        steady = self._steady()
-        if steady - self._compared_at >= COMPARED_SECONDS:
-            self._compared_at = steady
-            # The steady one is read last: a pause of the process in between must not count.
-            counting = self._counting()
-            steady = self._steady()
-            self._ahead = max(self._ahead, counting - steady)
-        return steady + self._ahead
+        """Return seconds; a suspension is included at most 0.01 s after its end."""
+        elapsed = self._monotonic_clock()
+        if elapsed - self._compared_at >= COMPARE_INTERVAL_SECONDS:
+            self._compared_at = elapsed
+            # The monotonic clock is read last: a pause of the process between the two reads must
+            # not count as a suspension.
+            boottime = self._boottime_clock()
+            elapsed = self._monotonic_clock()
+            self._suspended_seconds = max(self._suspended_seconds, boottime - elapsed)
+        return elapsed + self._suspended_seconds
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return the seconds until a deadline.
 
-        The system's own timers stand still during a suspension, so one that is set before it fires
-        late by up to that. Other timers of the process wake it earlier, and all deadlines are
-        looked at then.
+        Timers of the operating system do not advance during a suspension, so a timer that is set
+        before one fires late by up to its length. Other timers of the process wake it earlier, and
+        all deadlines are checked then.
         """
         return deadline - self.current_time()
 
@@ -79,22 +84,22 @@
 class PauseWatch:
     """Counts pauses of this process."""
 
-    # How many pauses were seen since the start.
+    # Number of pauses since the start.
     pauses: int
-    # The length of the last pause in seconds, 0 if there was none.
+    # Length of the last pause, 0 if there was none.
     last_pause_seconds: float
 
-    def __init__(self, limit_seconds: float = PAUSE_SECONDS) -> None:
+    def __init__(self, limit_seconds: float = MIN_PAUSE_SECONDS) -> None:
         self.pauses = 0
         self.last_pause_seconds = 0.0
         self._limit = limit_seconds
         self._last_tick = monotonic()
 
     def check(self) -> int:
-        """Look at the clock now and return the number of pauses so far.
+        """Check for a pause now and return the number of pauses so far.
 
-        Called right before an order too, since after a wake-up the ticking task may not be the
-        first to run.
+        This is also called right before an order is sent: after a pause, the task that checks
+        periodically may not be the first to run.
         """
         now = monotonic()
         gap = now - self._last_tick
@@ -105,7 +110,7 @@
         return self.pauses
 
     async def run(self) -> None:
-        """Tick for ever."""
+        """Check for pauses every TICK_SECONDS, without end."""
         while True:
             self.check()
             await trio.sleep(TICK_SECONDS)
--- a/libs/base/src/headcross_base/decisions.py
+++ b/libs/base/src/headcross_base/decisions.py
@@ -1,8 +1,8 @@
-"""The journal of decisions: what a process decided, why, and how often.
+"""Records what a process decided, why, and how often.
 
 Each decision has a kind (counted, and exported as a metric), a subject and a reason in words. The
-journal keeps the last few hundred; equal decisions in a row are folded into one with a count, so
-that a decision repeated every second does not push the others out.
+journal keeps the last JOURNAL_LENGTH decisions. Consecutive equal decisions on a subject are kept
+as one with a count, so that a decision repeated every second does not evict the others.
 """
 
 import logging
@@ -18,17 +18,17 @@
 
 
 class Decision(msgspec.Struct):
-    """One decision, as the administration API shows it."""
+    """One decision, as returned by the administration API."""
 
-    kind: str  # a stable name, counted in the metric headcross_decisions_total
-    subject: str  # what it is about: an upstream, a pool, an artifact, a revision
+    kind: str  # stable name, counted in the metric headcross_decisions_total
+    subject: str  # the upstream, pool, artifact or revision it concerns
     reason: str  # one sentence
-    at: float  # seconds since the epoch, for people
-    times: int = 1  # how often it was taken in a row
+    at: float  # Unix time in seconds, for display
+    times: int = 1  # number of consecutive times it was taken
 
 
 class Journal:
-    """The last decisions of this process, and a count of each kind."""
+    """The last decisions of this process, and the number of decisions of each kind."""
 
     counts: Counter[str]
 
@@ -38,7 +38,7 @@
         self._last_by_subject: dict[tuple[str, str], Decision] = {}
 
     def record(self, kind: str, subject: str, reason: str) -> None:
-        """Note a decision; log it unless it only repeats the last one on the same subject."""
+        """Record a decision; log it unless it repeats the last one of its kind and subject."""
         self.counts[kind] += 1
         last = self._last_by_subject.get((kind, subject))
         if last is not None and last.reason == reason:
@@ -53,5 +53,5 @@
         logger.info("decision", extra={"kind": kind, "subject": subject, "reason": reason})
 
     def entries(self) -> list[Decision]:
-        """Return the decisions kept, oldest first."""
+        """Return the recorded decisions, oldest first."""
         return list(self._last)
--- a/libs/base/src/headcross_base/errorcodes.py
+++ b/libs/base/src/headcross_base/errorcodes.py
@@ -1,7 +1,7 @@
-"""The one table of error kinds.
+"""The table of all error kinds.
 
-Each kind has a code (stable, for programs), a text (for people), the HTTP status it takes towards
-a caller and a meaning (for the operators' guide). A code is defined once, here, and used by name.
+Each kind has a stable code for programs, a text for callers, the HTTP status of the answer to the
+caller and a meaning for the operators' guide. Each code is defined once, here, and used by name.
 
 >>> ERROR_CODES["no-replica"].status
 503
@@ -10,7 +10,7 @@
 from dataclasses import dataclass
 from typing import Final
 
-# Every error kind by its code; filled by `_define` below and never changed afterwards.
+# All error kinds by code; filled by `_define` at import and not changed afterwards.
 ERROR_CODES: Final[dict[str, "ErrorCode"]] = {}
 
 
@@ -20,8 +20,8 @@
 
     code: str  # stable name, lower case with hyphens
     text: str  # one sentence for the caller
-    status: int  # HTTP status towards a caller; 0 when callers never see this kind
-    meaning: str  # what it tells an operator
+    status: int  # HTTP status of the answer to the caller; 0 if callers never get this kind
+    meaning: str  # likely cause or remedy, for operators
 
 
 def _define(code: str, status: int, text: str, meaning: str) -> ErrorCode:
@@ -32,7 +32,7 @@
     return kind
 
 
-# What a caller did wrong.
+# Errors of the caller.
 BAD_REQUEST: Final = _define(
     "bad-request", 400, "The request is malformed.", "A caller sent HTTP that breaks the standard."
 )
@@ -62,7 +62,7 @@
     "unknown-key", 401, "No team holds this key.", "The key is not in the configuration in force."
 )
 
-# Refusals that promise the request was not run.
+# Refusals that guarantee that the request was not run.
 TEAM_LIMIT: Final = _define(
     "team-limit", 429, "The team is at its limit.", "The team sends more than its share."
 )
@@ -147,7 +147,7 @@
     "stream-broken", 502, "The answer broke off and could not be resumed.", "See link-lost."
 )
 
-# Kinds that operators meet in dumps and logs, never callers.
+# Kinds that appear in dumps and logs only, never in answers to callers.
 FILE_REJECTED: Final = _define(
     "file-rejected", 0, "The fleet file was rejected whole.", "Mend the file; the last good holds."
 )
--- a/libs/base/src/headcross_base/errors.py
+++ b/libs/base/src/headcross_base/errors.py
@@ -1,7 +1,7 @@
-"""Tagged outcomes: a function that can fail in expected ways returns `Ok` or `Failure`.
+"""Result types: a function that can fail in expected ways returns `Ok` or `Failure`.
 
-Exceptions are left for what the caller did not plan for. A `match` on an outcome makes mypy hold
-the reader to both cases.
+Exceptions are reserved for unexpected errors. With `match` on a result, mypy checks that both
+cases are handled.
 """
 
 from dataclasses import dataclass
@@ -14,14 +14,14 @@
 
 @dataclass(frozen=True, slots=True)
 class Ok(Generic[T]):
-    """The call did what it was asked for."""
+    """The call succeeded with this value."""
 
     value: T
 
 
 @dataclass(frozen=True, slots=True)
 class Failure:
-    """The call did not; `reason` says of what kind it was, `detail` what exactly."""
+    """The call failed; `reason` is the kind of error, `detail` describes this occurrence."""
 
     reason: ErrorCode
     detail: str
--- a/libs/base/src/headcross_base/hashing.py
+++ b/libs/base/src/headcross_base/hashing.py
@@ -1,8 +1,8 @@
 """Digests and rendezvous hashing.
 
-A digest names bytes: SHA-256 in lower-case hexadecimal. Rendezvous hashing (highest random weight)
-gives every process the same order of the same hosts for a key, with no talk between them, and
-moves only the share of a host that comes or goes.
+A digest is the SHA-256 of some bytes in lower-case hexadecimal. Rendezvous hashing (highest random
+weight) gives every process the same order of the same hosts for a key without communication. When
+a host is added or removed, only the keys of that host move.
 """
 
 import hashlib
@@ -13,12 +13,12 @@
 
 
 def digest_of(data: bytes | memoryview) -> str:
-    """Return the SHA-256 of `data` in hexadecimal."""
+    """Return the SHA-256 of `data` in lower-case hexadecimal."""
     return hashlib.sha256(data).hexdigest()
 
 
 def is_digest(text: str) -> bool:
-    """Tell whether `text` has the form of a digest.
+    """Return whether `text` has the form of a digest.
 
     >>> is_digest(digest_of(b"")), is_digest("ABC")
     (True, False)
@@ -33,7 +33,7 @@
 
 
 def rendezvous_order(key: str, members: Iterable[str]) -> list[str]:
-    """Return `members` by falling weight for `key`; every process gets the same order.
+    """Return `members` in descending order of weight for `key`, the same in every process.
 
     >>> order = rendezvous_order("k", ["a", "b", "c"])
     >>> [m for m in order if m != "b"] == rendezvous_order("k", ["a", "c"])
@@ -43,7 +43,7 @@
 
 
 def rendezvous_first(key: str, members: Iterable[str]) -> str | None:
-    """Return the first of `rendezvous_order` without sorting the rest; None if there is none.
+    """Return the first of `rendezvous_order` without sorting; None if there are no members.
 
     >>> rendezvous_first("k", "abc") == rendezvous_order("k", "abc")[0]
     True
--- a/libs/base/src/headcross_base/linelog.py
+++ b/libs/base/src/headcross_base/linelog.py
@@ -1,8 +1,9 @@
-"""Log lines on standard output, bounded in volume and never waited for.
+"""Non-blocking, rate-limited logging to standard output.
 
-Lines are kept in memory and written by a task of the process's own; what a full pipe does not take
-stays there. Past a number of lines a second, routine lines are counted instead of written, and the
-count is written when the second is over. Warnings and errors have a reserve of their own.
+Lines are buffered in memory and written by a background task; while the pipe is full, they stay in
+the buffer. Lines over the limit per second, or over the size of the buffer, are dropped and
+counted; the count is logged before the first line of a later second. Warnings and errors have a
+higher limit.
 """
 
 import errno
@@ -15,90 +16,95 @@
 from pythonjsonlogger.msgspec import MsgspecFormatter
 
 LINES_PER_SECOND: Final = 400
-# Warnings and errors are written up to this many lines a second.
+# The limit for warnings and errors; lines of all levels count towards it.
 URGENT_LINES_PER_SECOND: Final = 600
-MAX_WAITING_BYTES: Final = 512 * 1024
-WRITE_SECONDS: Final = 0.05
-STDOUT: Final = 1
+MAX_BUFFERED_BYTES: Final = 512 * 1024
+WRITE_DELAY_SECONDS: Final = 0.05
+STDOUT_DESCRIPTOR: Final = 1
 
 
 class LineLog(logging.Handler):
-    """Keeps lines and writes them to a descriptor without waiting."""
+    """Buffers log lines and writes them to a file descriptor without blocking."""
 
-    # Lines that were not written for want of room, since the start.
+    # Number of lines dropped since the start.
     dropped: int
 
-    def __init__(self, descriptor: int = STDOUT, lines_per_second: int = LINES_PER_SECOND) -> None:
+    def __init__(
+        self, descriptor: int = STDOUT_DESCRIPTOR, lines_per_second: int = LINES_PER_SECOND
+    ) -> None:
         super().__init__()
         self.dropped = 0
         self._descriptor = descriptor
         self._lines_per_second = lines_per_second
-        self._waiting = bytearray()
-        self._second = 0
-        self._lines = 0
-        self._dropped_before = 0
-        self._news = trio.Event()
+        self._buffer = bytearray()
+        self._current_second = 0
+        self._lines_this_second = 0
+        self._reported_dropped = 0
+        self._line_added = trio.Event()
 
     def emit(self, record: logging.LogRecord) -> None:
-        """Keep a line for writing, or count it as dropped."""
-        self._begin_second(int(record.created))
+        """Add a line to the buffer, or drop and count it if a limit is reached."""
+        self._start_second(int(record.created))
         urgent = record.levelno >= logging.WARNING
         limit = URGENT_LINES_PER_SECOND if urgent else self._lines_per_second
-        if self._lines >= limit or len(self._waiting) >= MAX_WAITING_BYTES:
+        if self._lines_this_second >= limit or len(self._buffer) >= MAX_BUFFERED_BYTES:
             self.dropped += 1
             return
-        self._lines += 1
-        self._keep(record)
+        self._lines_this_second += 1
+        self._append(record)
 
     def flush(self) -> None:
-        """Write as much as the descriptor takes now."""
+        """Write what the descriptor accepts; discard the buffer if the reader has closed."""
         try:
-            while self._waiting:
-                written = os.write(self._descriptor, self._waiting)
-                del self._waiting[:written]
+            while self._buffer:
+                written = os.write(self._descriptor, self._buffer)
+                del self._buffer[:written]
         except BlockingIOError:
             return
         except OSError as error:
             if error.errno not in (errno.EPIPE, errno.EIO):
                 raise
-            self._waiting.clear()
+            self._buffer.clear()
 
     async def run(self) -> None:
-        """Write for ever; a process that logs nothing is not woken up for it."""
+        """Write lines without end; the task does not wake up while nothing is logged."""
         while True:
-            if not self._waiting:
-                self._news = trio.Event()
-                await self._news.wait()
-            # What else is logged within a moment goes into the same write.
-            await trio.sleep(WRITE_SECONDS)
+            if not self._buffer:
+                self._line_added = trio.Event()
+                await self._line_added.wait()
+            # Lines logged during this delay go into the same write.
+            await trio.sleep(WRITE_DELAY_SECONDS)
             self.flush()
 
-    def _begin_second(self, second: int) -> None:
-        if second == self._second:
+    def _start_second(self, second: int) -> None:
+        if second == self._current_second:
             return
-        self._second = second
-        self._lines = 0
-        missed = self.dropped - self._dropped_before
-        if missed:
-            self._dropped_before = self.dropped
+        self._current_second = second
+        self._lines_this_second = 0
+        unreported = self.dropped - self._reported_dropped
+        if unreported:
+            self._reported_dropped = self.dropped
             text = "log lines dropped"
             record = logging.makeLogRecord(
-                {"msg": text, "levelname": "WARNING", "name": __name__, "count": missed}
+                {"msg": text, "levelname": "WARNING", "name": __name__, "count": unreported}
             )
             record.created = time.time()
-            self._keep(record)
+            self._append(record)
 
-    def _keep(self, record: logging.LogRecord) -> None:
+    def _append(self, record: logging.LogRecord) -> None:
         try:
-            self._waiting += self.format(record).encode() + b"\n"
-            self._news.set()
+            self._buffer += self.format(record).encode() + b"\n"
+            self._line_added.set()
         except (TypeError, ValueError):
             self.dropped += 1
 
 
 def configure_line_log(host: str, level: str) -> LineLog:
-    """Send all log records to standard output as JSON lines, with the host in each."""
-    os.set_blocking(STDOUT, False)
+    """Send all log records to standard output as JSON lines with the host; return the log.
+
+    The lines are written while `LineLog.run` runs.
+    """
+    os.set_blocking(STDOUT_DESCRIPTOR, False)
     log = LineLog()
     log.setFormatter(
         MsgspecFormatter(
--- a/libs/base/src/headcross_base/logs.py
+++ b/libs/base/src/headcross_base/logs.py
@@ -1,6 +1,6 @@
-"""Logging as JSON lines on standard error, with the host in every line.
+"""Logging as JSON lines to standard error, with the host in every line.
 
-Callers add fields with `extra={...}`; the fields the operators' guide names are `request`,
+Further fields are added with `extra={...}`. The operators' guide documents the fields `request`,
 `revision`, `digest` and `host`.
 """
 
@@ -14,7 +14,7 @@
 
 
 def configure_logging(host: str, level: str) -> None:
-    """Send all log records to standard error as JSON lines."""
+    """Send all log records of at least `level` to standard error as JSON lines."""
     handler = logging.StreamHandler(sys.stderr)
     handler.setFormatter(
         JsonFormatter(
--- a/libs/base/src/headcross_base/units.py
+++ b/libs/base/src/headcross_base/units.py
@@ -1,7 +1,7 @@
-"""Units: sizes are whole bytes, times are seconds as floats, rates are bytes a second.
+"""Units of sizes and rates, and their formatting.
 
-Names carry the unit (`memory_bytes`, `wait_seconds`), so the constants here only serve to write
-numbers that a person can read.
+Sizes are whole bytes, times are seconds as floats, rates are bytes per second. Names contain the
+unit (`memory_bytes`, `wait_seconds`); the constants here keep large numbers readable.
 """
 
 from typing import Final
@@ -9,13 +9,13 @@
 KIB: Final = 1024
 MIB: Final = 1024 * KIB
 GIB: Final = 1024 * MIB
-# Settings give memory in megabytes and links in megabits a second, both decimal.
+# Settings give memory in megabytes and link rates in megabits per second, both decimal.
 MEGABYTE: Final = 1_000_000
 BITS_PER_BYTE: Final = 8
 
 
 def format_bytes(count: float) -> str:
-    """Return a size for people, in the largest unit that leaves at least one.
+    """Return a size for display, in the largest unit in which it is at least 1.
 
     >>> format_bytes(1536)
     '1.5 KiB'
--- a/libs/base/src/headcross_base/verdicts.py
+++ b/libs/base/src/headcross_base/verdicts.py
@@ -1,8 +1,8 @@
 """Verdicts: whether a request may have run.
 
-Every request ends in exactly one verdict. `NotRun` is a promise: no upstream was ever handed the
-request, so anyone may send it again. `MayHaveRun` says that nobody can promise that. Callers see
-the verdict in the `Headcross-Verdict` header of every error.
+Every request ends with exactly one verdict. `NotRun` guarantees that the request was not handed to
+any upstream, so it may safely be sent again. `MayHaveRun` means that this cannot be guaranteed.
+Callers get the verdict in the `Headcross-Verdict` header of every error.
 """
 
 from dataclasses import dataclass
@@ -18,18 +18,18 @@
 
 @dataclass(frozen=True, slots=True)
 class Completed:
-    """The upstream gave its whole answer and it was passed on."""
+    """The upstream's complete answer was forwarded to the caller."""
 
     status: int  # the HTTP status of the upstream's answer
 
 
 @dataclass(frozen=True, slots=True)
 class NotRun:
-    """The request was certainly not handed to any upstream."""
+    """The request was not handed to any upstream."""
 
     reason: ErrorCode
     detail: str = ""
-    retry_after_seconds: float | None = None  # when it makes sense to ask again, if known
+    retry_after_seconds: float | None = None  # when to send it again, if known
 
 
 @dataclass(frozen=True, slots=True)
@@ -45,7 +45,7 @@
 
 
 def verdict_name(verdict: Verdict) -> str:
-    """Return the verdict as it is written in headers, logs and metrics."""
+    """Return the name of a verdict in headers, logs and metrics."""
     match verdict:
         case Completed():
             return COMPLETED
--- a/libs/base/src/headcross_base/version.py
+++ b/libs/base/src/headcross_base/version.py
@@ -1,8 +1,8 @@
-"""The version of headcross, shown by both programs and by the administration API."""
+"""The version of headcross, reported by both programs and by the administration API."""
 
 from typing import Final
 
 VERSION: Final = "0.1.0"
 
-# The administration API's major version; it is part of every path of that API.
+# Major version of the administration API, part of all its paths.
 ADMIN_API: Final = "v1"
--- a/libs/ports/src/headcross_ports/__init__.py
+++ b/libs/ports/src/headcross_ports/__init__.py
@@ -1,5 +1,5 @@
-"""What headcross needs from the platform it runs on, in its own words.
+"""The interfaces between headcross and the platform it runs on.
 
-A platform is met through an adapter that implements these protocols. The adapter translates names,
-formats and calls; it takes no decision. Everything else in the product knows only these types.
+An adapter implements these protocols for one platform. It translates names, formats and calls and
+takes no decisions. The other libraries depend on these types only.
 """
--- a/libs/ports/src/headcross_ports/adapter.py
+++ b/libs/ports/src/headcross_ports/adapter.py
@@ -1,4 +1,4 @@
-"""The whole of an adapter, as the product is given it at its start."""
+"""The adapter of a platform, which is passed to a process at its start."""
 
 from dataclasses import dataclass
 
@@ -9,9 +9,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Adapter:
-    """One platform, seen through the product's interfaces."""
+    """The implementations of all interfaces for one platform."""
 
     store: PublishedStore
     dialect: RequestDialect
     origin: WeightsOrigin
-    replica: ReplicaControl | None  # the replica beside this daemon, if there is one
+    replica: ReplicaControl | None  # this daemon's replica, None in other processes
--- a/libs/ports/src/headcross_ports/configuration.py
+++ b/libs/ports/src/headcross_ports/configuration.py
@@ -1,6 +1,7 @@
-"""A whole configuration in force: routes, services, teams and what callers may send.
+"""The configuration: routes, services, teams and limits for callers.
 
-One value holds everything, so that a request is judged by one version from its start to its end.
+One immutable value holds a whole version, so that one version applies to a request from its start
+to its end.
 """
 
 import random
@@ -12,16 +13,16 @@
 
 
 class Repetition(Enum):
-    """What may be done with a request that may have run."""
+    """Whether a request that may have run may be run again."""
 
     ONCE = "once"  # it runs at most once
     REPEATABLE = "repeatable"  # it may run again
-    STREAM = "stream"  # its answer is a stream of events that runs at most once
-    RESUMABLE_STREAM = "resumable-stream"  # its stream may go on at another replica
+    STREAM = "stream"  # it runs at most once; its answer is a stream of events
+    RESUMABLE_STREAM = "resumable-stream"  # its stream of events may be resumed at another replica
 
     @property
     def may_run_again(self) -> bool:
-        """Whether a second run does no harm."""
+        """Whether a second run is harmless."""
         return self in (Repetition.REPEATABLE, Repetition.RESUMABLE_STREAM)
 
     @property
@@ -32,7 +33,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Share:
-    """A service and its part of a route's requests."""
+    """A service and its share of a route's requests."""
 
     service: str
     weight: float  # relative to the other shares of the route
@@ -40,21 +41,21 @@
 
 @dataclass(frozen=True, slots=True)
 class Route:
-    """Which requests go to which service, and what is promised about them."""
+    """Assigns requests to services by host and path, with their limits."""
 
     name: str
     host: str  # lower case, without a port
-    prefix: str  # begins and ends with a slash
+    prefix: str  # of the path; begins and ends with a slash
     repetition: Repetition
     shares: tuple[Share, ...]
-    timeout_seconds: float  # the longest time an answer may take
-    aim_seconds: float  # within this an answer, or a stream's first event, is worth most
-    max_attempts: int  # replicas that may run one request
-    priority: int  # 0 goes first
-    public: bool  # no key is asked for
+    timeout_seconds: float  # maximum duration of an answer
+    aim_seconds: float  # target time for an answer, or for a stream's first event
+    max_attempts: int  # maximum number of replicas that may run one request
+    priority: int  # 0 is the highest
+    public: bool  # callers need no key
 
     def pick_service(self) -> str:
-        """Return a service by the weights of the shares."""
+        """Return a service at random, with probabilities by the weights of the shares."""
         if len(self.shares) == 1:
             return self.shares[0].service
         weights = [share.weight for share in self.shares]
@@ -63,7 +64,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WeightsLayout:
-    """How the weights of a service's model are cut."""
+    """How the weights of a service's models are split into chunks."""
 
     models: tuple[str, ...]
     chunk_count: int
@@ -75,14 +76,14 @@
     """A set of replicas that answer the same requests."""
 
     name: str
-    max_connections: int  # that one replica accepts from all callers together
+    max_connections: int  # per replica, for all its clients together
     weights: WeightsLayout | None = None  # None for a plain service
-    origin: Address | None = None  # set if the service hands out weights
+    origin: Address | None = None  # set if the service is the origin of weights
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLimits:
-    """What a caller may send, and how long it may take or stay idle."""
+    """Limits on the sizes of callers' requests, and on the times to send them and to idle."""
 
     max_header_bytes: int
     max_body_bytes: int
@@ -96,12 +97,12 @@
 
     name: str
     keys: frozenset[str]
-    priority: int | None  # goes before a route's priority; 0 goes first
+    priority: int | None  # overrides a route's priority; 0 is the highest
 
 
 @dataclass(frozen=True, slots=True)
 class Configuration:
-    """One version of everything the operators decide."""
+    """One version of all settings that the operators publish."""
 
     version: int
     routes: tuple[Route, ...]
@@ -118,7 +119,7 @@
         object.__setattr__(self, "_team_by_key", keys)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the route of that host with the longest prefix of the path."""
+        """Return the host's route with the longest prefix of the path, None if none matches."""
         name = host.rpartition(":")[0] if ":" in host else host
         name = name.lower()
         end = len(path)
@@ -129,10 +130,10 @@
         return None
 
     def team_of(self, key: str) -> Team | None:
-        """Return the team that holds a key."""
+        """Return the team that holds a key, None if no team does."""
         return self._team_by_key.get(key)
 
     def origin_of_weights(self) -> Address | None:
-        """Return where weights come from."""
+        """Return the address of the origin of weights, None if no service is one."""
         origins = (service.origin for service in self.services.values())
         return next((origin for origin in origins if origin is not None), None)
--- a/libs/ports/src/headcross_ports/published.py
+++ b/libs/ports/src/headcross_ports/published.py
@@ -1,8 +1,8 @@
-"""What a platform publishes, and how it is read and watched.
+"""The interface to the items that a platform publishes, which can be read and watched.
 
-Published items have a key, a value and a revision; one counter goes up with every change of any
-item. A topic is one family of items. The product follows topics by reading a listing and then
-watching for changes after its revision.
+Published items have a key, a value and a revision. Revisions come from one counter that increases
+with every change of any item. A topic is a group of items. Processes follow a topic by reading a
+listing and then watching for changes after its revision.
 """
 
 from dataclasses import dataclass
@@ -16,35 +16,35 @@
 
 
 class Topic(Enum):
-    """A family of published items."""
+    """A group of published items."""
 
-    CONTROL = "control"  # the configuration and the named versions of weights
-    VERSIONS = "versions"  # the named versions alone, which are a small part of the former
-    REPLICAS = "replicas"  # the list of replicas, each under its own key
+    CONTROL = "control"  # the configuration and the named weight versions
+    VERSIONS = "versions"  # the named versions only, a small part of CONTROL
+    REPLICAS = "replicas"  # the list of replicas, one key per replica
 
 
 @dataclass(frozen=True, slots=True)
 class Item:
-    """One published item, or the news that it is gone."""
+    """One published item, or the removal of one."""
 
     key: str
     revision: int  # of its last change
-    value: bytes | None  # None: the item is gone
-    # Why the value could not be read from the store's answer; empty if it could.
+    value: bytes | None  # None if the item was removed
+    # Why the value in the store's answer could not be decoded; empty if it could.
     problem: str = ""
 
 
 @dataclass(frozen=True, slots=True)
 class Listing:
-    """Every item of a topic."""
+    """All items of a topic."""
 
     items: tuple[Item, ...]
-    revision: int  # changes after this one are still to be watched for
+    revision: int  # the items may lack changes after this revision
 
 
 @dataclass(frozen=True, slots=True)
 class Changes:
-    """What changed after a revision; empty when the wait passed without news."""
+    """The items changed after a revision; empty if the wait ended without changes."""
 
     items: tuple[Item, ...]
     revision: int
@@ -52,12 +52,12 @@
 
 @dataclass(frozen=True, slots=True)
 class HistoryLost:
-    """The changes after that revision are no longer known; the topic must be read anew."""
+    """The store no longer has the changes after a revision; the topic must be read again."""
 
 
 @dataclass(frozen=True, slots=True)
 class NamedVersion:
-    """The operators named new weights for a model."""
+    """The weight version that the operators name for a model."""
 
     model: str
     version: int
@@ -65,7 +65,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LoadedModel:
-    """A model that a replica has loaded."""
+    """A model and the weight version of it that is loaded."""
 
     model: str
     version: int
@@ -73,18 +73,19 @@
 
 @dataclass(frozen=True, slots=True)
 class Incarnation:
-    """One life of a replica, which begins with nothing of the lives before it.
+    """One run of a replica's process; it keeps no state of earlier incarnations.
 
-    A replica may start again under the id that it had. Which of two lives is the later one follows
-    from the order in which the list, or the replica's daemon, tells them: clocks are set back.
+    A replica may restart under the same id. Which of two incarnations is the later one follows
+    from the order in which the list, or the replica's daemon, reports them. Start times do not
+    show it, since clocks may be set back.
     """
 
     id: str
-    # Unix milliseconds of its start; None where it is not told, and the id alone counts.
+    # Unix time of its start; None if it is not reported, and then only the ids are compared.
     started_ms: int | None
 
     def is_other_than(self, other: "Incarnation") -> bool:
-        """Tell whether two lives are known to differ.
+        """Return whether two incarnations are known to differ.
 
         >>> Incarnation("i", 1).is_other_than(Incarnation("i", 2))
         True
@@ -100,20 +101,20 @@
 
 @dataclass(frozen=True, slots=True)
 class Replica:
-    """One entry of the list of replicas; the list lags."""
+    """One list entry of a replica; the list lags behind the replicas' state."""
 
     id: str
     service: str
     address: Address
     zone: str
-    slots: int  # requests it works on at once
+    slots: int  # maximum number of requests that run at once
     draining: bool
     loaded: tuple[LoadedModel, ...] = ()
-    started_ms: int | None = None  # Unix milliseconds of its start, if it tells that
+    started_ms: int | None = None  # Unix time of its start, None if not reported
 
     @property
     def incarnation(self) -> Incarnation:
-        """The life of which the entry speaks."""
+        """The incarnation that the list entry describes."""
         return Incarnation(self.id, self.started_ms)
 
 
@@ -121,28 +122,28 @@
 
 
 class PublishedStore(Protocol):
-    """Reads and watches what the platform publishes."""
+    """Reads and watches published items."""
 
     async def read(self, topic: Topic) -> Ok[Listing] | Failure:
-        """Return a whole topic as it stands."""
+        """Return all current items of a topic."""
 
     async def watch(
         self, topic: Topic, after: int, wait_seconds: float, answer_seconds: float
     ) -> Ok[Changes] | HistoryLost | Failure:
         """Wait for changes after a revision.
 
-        Without changes the store answers after `wait_seconds`; the call fails if nothing of its
-        answer has come `answer_seconds` later.
+        Without changes the store answers after `wait_seconds`. The call fails if no part of the
+        answer has arrived `answer_seconds` after that.
         """
 
     def covers(self, topic: Topic, key: str) -> bool:
-        """Tell whether the item of a key belongs to a topic."""
+        """Return whether a key belongs to a topic."""
 
     def replica_id(self, key: str) -> str | None:
-        """Return the id of the replica whose entry lies under a key, None for another key."""
+        """Return the id of the replica whose list entry has this key, None for other keys."""
 
     def decode(self, item: Item) -> Ok[Fact | None] | Failure:
-        """Return what an item says, None for an item that does not concern the product."""
+        """Decode an item; return None for removed items and for keys that are not used."""
 
     def use_address(self, address: Address) -> None:
-        """Call the store at this address from now on."""
+        """Use this address for all later calls."""
--- a/libs/ports/src/headcross_ports/replicas.py
+++ b/libs/ports/src/headcross_ports/replicas.py
@@ -1,4 +1,4 @@
-"""What a daemon does with the replica beside it, and where weights come from."""
+"""The interfaces to a daemon's replica and to the origin of weights."""
 
 from dataclasses import dataclass
 from typing import Protocol
@@ -11,92 +11,91 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaReport:
-    """The state of a replica, as it tells it."""
+    """The state that a replica reports of itself."""
 
     loaded: tuple[LoadedModel, ...]
-    busy_loading: bool  # an order is being carried out
-    order_sequence: int  # orders taken since its start
+    busy_loading: bool  # whether an order is being executed
+    order_sequence: int  # number of orders accepted since its start
     queued: int
     active: int
     memory_used: int  # tokens
     memory_total: int  # tokens
-    pace: float  # above 1: slower than it should be
-    started_ms: int | None = None  # Unix milliseconds of its start, if it tells that
-    leaving: bool = False  # it says that it leaves
+    pace: float  # above 1 if it is slower than normal
+    started_ms: int | None = None  # Unix time of its start, None if not reported
+    leaving: bool = False  # whether it announces that it is leaving
 
 
 @dataclass(frozen=True, slots=True)
 class OrderTaken:
-    """The replica began to carry out an order, or its state is already the one ordered."""
+    """The replica started to execute an order or, if `done`, was already in the ordered state."""
 
     done: bool
 
 
 @dataclass(frozen=True, slots=True)
 class OrderRefused:
-    """The order does not fit the replica's state; nothing was begun."""
+    """The order was not accepted, for the reason in `detail`; nothing was started."""
 
     detail: str
 
 
 class OrderLine(Protocol):
-    """A line to one life of a replica, for one order.
+    """A connection to one incarnation of a replica, over which one order is sent.
 
-    What was read back from beside the replica since the line was opened lay beside the life at
-    its other end.
+    Chunks that were read back while the connection was open were staged at that incarnation.
     """
 
     async def start(
         self, model: str, version: int, expected: ReplicaReport, *, break_off: bool
     ) -> Ok[OrderTaken | OrderRefused] | Failure:
-        """Order it to load what is staged; it takes no requests meanwhile.
+        """Order the replica to load the staged chunks; it accepts no requests until it has.
 
-        The order counts only for the life and the number of orders that `expected` tells. The
-        replica loads after the requests that it runs, or at once, breaking them off. A refusal
-        means that nothing was begun and nothing is under way. A failure means that nobody knows
-        whether the order was taken, or will be.
+        The order applies only to the incarnation and the number of accepted orders in `expected`.
+        The replica loads when its running requests have ended, or with `break_off` at once,
+        interrupting them. A refusal means that nothing was started and no order is in flight. A
+        failure means that the order may have been accepted, or may still be.
         """
 
     async def close(self) -> None:
-        """Close the line."""
+        """Close the connection."""
 
 
 class ReplicaControl(Protocol):
-    """The replica beside a daemon. It keeps one staged copy of each model's weights."""
+    """Calls to a daemon's replica, which stages one copy of each model's weights."""
 
     async def report(self) -> Ok[ReplicaReport] | Failure:
-        """Return its state."""
+        """Return the replica's state."""
 
     async def staged_chunks(self, model: str) -> Ok[frozenset[int]] | Failure:
-        """Return which chunks lie beside it, unverified."""
+        """Return the indexes of the staged chunks, which are unverified."""
 
     async def read_chunk(self, model: str, index: int) -> Ok[bytes | None] | Failure:
-        """Return a staged chunk's bytes, unverified; None if there is none."""
+        """Return a staged chunk's unverified bytes, None if the chunk is not staged."""
 
     async def stage_chunk(self, model: str, index: int, data: bytes) -> Ok[None] | Failure:
-        """Put a chunk beside it, over whatever was there."""
+        """Stage a chunk, replacing the one staged under its index."""
 
     async def open_line(self) -> "Ok[OrderLine] | Failure":
-        """Open a line to its present life; nothing goes over it to a later one."""
+        """Connect to the current incarnation; the connection does not reach a later one."""
 
 
 @dataclass(frozen=True, slots=True)
 class ChunkDigests:
-    """The digests of one version's chunks, in order."""
+    """The digests of a version's chunks, by index."""
 
     chunk_bytes: int
     digests: tuple[str, ...]  # SHA-256, lower-case hexadecimal
 
 
 class WeightsOrigin(Protocol):
-    """Where weights come from outside the fleet; nothing it sends is trusted."""
+    """The source of weights outside the fleet; its answers are untrusted."""
 
     async def read_digests(
         self, address: Address, model: str, version: int
     ) -> Ok[ChunkDigests] | Failure:
-        """Return the digests of a version."""
+        """Return the digests of a version's chunks."""
 
     async def read_chunk(
         self, address: Address, model: str, version: int, index: int, seconds: float
     ) -> Ok[bytes] | Failure:
-        """Return a chunk, unverified."""
+        """Return a chunk's unverified bytes; fail after `seconds`."""
--- a/libs/ports/src/headcross_ports/requests.py
+++ b/libs/ports/src/headcross_ports/requests.py
@@ -1,6 +1,7 @@
-"""How requests and answers carry what the product needs to know.
+"""The interface to a platform's headers of requests and answers.
 
-The headers differ between platforms. A dialect reads them into the types below and writes them.
+Header names and formats differ between platforms. A dialect parses them into the types below and
+writes them.
 """
 
 from dataclasses import dataclass
@@ -11,81 +12,81 @@
 
 @dataclass(frozen=True, slots=True)
 class RequestFacts:
-    """What a caller says of its request."""
+    """What the headers of a caller's request state."""
 
     id: str
-    deadline_seconds: float | None  # how long the caller waits from now on
+    deadline_seconds: float | None  # remaining time that the caller waits
     key: str | None
-    resume_after: str | None  # the last event the caller has, if it resumes a stream
+    resume_after: str | None  # id of the last event received, if a stream is resumed
     model: str | None
-    # The hashes and sizes of its prompt's parts, None if it has none; the same for each try.
+    # Hashes and sizes of the prompt's parts, the same for each try; None without a prompt.
     prompt: str | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class RequestProblem:
-    """Why a caller's headers cannot be served."""
+    """Why a request with these headers is refused."""
 
     detail: str
 
 
 @dataclass(frozen=True, slots=True)
 class HandOver:
-    """What an attempt tells the replica beside the caller's own words."""
+    """What an attempt adds to the caller's headers for the replica."""
 
-    replica: str  # the incarnation that is meant; any other must not run the request
+    replica: str  # id of the replica; any other must not run the request
     remaining_seconds: float
     team: str | None
     priority: int | None
-    weights_version: int | None  # any other version must not run the request
+    weights_version: int | None  # a replica with another version must not run the request
     resume_after: str | None
 
 
 @dataclass(frozen=True, slots=True)
 class Unreadable:
-    """Something that a replica said and that cannot be what it means."""
+    """The text of a header with an invalid value."""
 
     text: str
 
 
 @dataclass(frozen=True, slots=True)
 class BackpressureSignals:
-    """What a replica asks of its callers in the head of an answer."""
+    """Limits that a replica sets for its callers in the headers of an answer."""
 
-    # The requests a second that it takes from all entries together; None if it names none.
+    # Requests per second that it accepts from all entries together; None if it names no limit.
     limit: float | Unreadable | None = None
-    leaving: bool | Unreadable = False  # it takes nothing new any more
-    # For how long it wants nothing more from this process; None if it asks for no rest.
+    leaving: bool | Unreadable = False  # it accepts no new requests
+    # How long it asks this process to send no requests; None if it asks for no rest.
     rest_seconds: float | Unreadable | None = None
 
 
 @dataclass(frozen=True, slots=True)
 class AnswerFacts:
-    """What the headers of a replica's answer say."""
+    """What the status and headers of a replica's answer state."""
 
-    id: str | None  # of the request it answers
-    sealed: bool  # it bears the replica's signature
+    id: str | None  # of the request that it answers
+    sealed: bool  # it has the replica's signature
     not_run: bool  # the replica states that it did not run the request
-    elsewhere: bool  # another replica, or other weights, are at this address
-    encoded: bool  # the body is not the plain one
+    elsewhere: bool  # another replica, or other weights, are at that address
+    encoded: bool  # the body has a content encoding
     weights_version: int | None
     signals: BackpressureSignals
 
 
 class RequestDialect(Protocol):
-    """Reads and writes the headers of requests and answers."""
+    """Parses and writes the headers of requests and answers."""
 
     def read_request(self, headers: Headers) -> RequestFacts | RequestProblem:
-        """Return what a caller's headers say."""
+        """Parse a caller's headers."""
 
     def upstream_headers(self, headers: Headers, hand_over: HandOver) -> Headers:
-        """Return the headers for a replica, from those of the caller."""
+        """Return the headers of an attempt: the caller's and those of the hand-over."""
 
     def immediate_target(self) -> str:
-        """Return the target of a GET that a replica answers at once, whatever it runs."""
+        """Return the target of a GET that a replica answers at once under any load."""
 
     def read_answer(self, status: int, headers: Headers) -> AnswerFacts:
-        """Return what a replica's headers say."""
+        """Parse the status and headers of a replica's answer."""
 
     def own_answer_headers(self, request_id: str | None, retry_after: float | None) -> Headers:
-        """Return the headers of an answer that the product itself gives."""
+        """Return the headers of an answer of headcross itself; `retry_after` is in seconds."""
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -15,7 +15,7 @@
 from headcross_gateway.outcomes import DidNotRun
 from headcross_gateway.replicastate import ReplicaState
 from headcross_platform.documents import decode
-from headcross_platform.replica import NearReplica
+from headcross_platform.replica import LocalReplica
 from headcross_platform.store import MetadataStore
 from headcross_ports.published import Item, Listing, LoadedModel, Replica, Topic
 from headcross_ports.replicas import OrderRefused, OrderTaken, ReplicaReport
@@ -125,7 +125,7 @@
 
 
 async def order(
-    near: NearReplica, expected: ReplicaReport
+    near: LocalReplica, expected: ReplicaReport
 ) -> Ok[OrderTaken | OrderRefused] | Failure:
     """Order a replica to load version 2."""
     line = await near.open_line()
@@ -142,7 +142,7 @@
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, replica.serve_connection, listeners)
-        near = NearReplica(Address("127.0.0.1", listeners[0].socket.getsockname()[1]))
+        near = LocalReplica(Address("127.0.0.1", listeners[0].socket.getsockname()[1]))
         replica.start_again()
         outcome = await order(near, report)
         assert isinstance(outcome, Ok) and isinstance(outcome.value, OrderRefused)
--- a/tests/test_linelog.py
+++ b/tests/test_linelog.py
@@ -57,7 +57,7 @@
 def test_a_full_pipe_is_not_waited_for_and_its_lines_wait_within_a_bound(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    monkeypatch.setattr(linelog, "MAX_WAITING_BYTES", 256 * 1024)
+    monkeypatch.setattr(linelog, "MAX_BUFFERED_BYTES", 256 * 1024)
     reader, writer = os.pipe()
     os.set_blocking(writer, False)
     log = make_log(writer, 10_000)
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -12,7 +12,7 @@
 
 import pytest
 import trio
-from headcross_base.clocks import COMPARED_SECONDS, SuspensionClock
+from headcross_base.clocks import COMPARE_INTERVAL_SECONDS, SuspensionClock
 from headcross_base.errors import Ok
 from headcross_daemon import machinemain
 from headcross_daemon import main as nativemain
@@ -72,7 +72,7 @@
     async def main() -> float:
         deadline = trio.current_time() + 60.0
         machine.suspend(seconds)
-        await trio.sleep(COMPARED_SECONDS)
+        await trio.sleep(COMPARE_INTERVAL_SECONDS)
         return deadline - trio.current_time()
 
     assert machine.run(main) == pytest.approx(60.0 - seconds, abs=0.5)
@@ -148,4 +148,4 @@
         steady += 0.0001
         assert clock.current_time() >= last
         last = clock.current_time()
-    assert read <= 2.0 / COMPARED_SECONDS + 2
+    assert read <= 2.0 / COMPARE_INTERVAL_SECONDS + 2
