--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -1,4 +1,4 @@
-"""A replica that starts again under its id: nothing of the life before holds for the later one."""
+"""Tests that no state of an incarnation applies to a later one of the same replica id."""
 
 import hashlib
 from dataclasses import replace
@@ -32,12 +32,12 @@
 FIRST = Replica(
     "i-1", "lm", Address("127.0.0.1", 1), "z", 8, False, (LoadedModel("m", 3),), started_ms=2000
 )
-# Its clock was set back: the later life tells an earlier start.
+# The clock was set back, so the later incarnation reports an earlier start.
 SECOND = replace(FIRST, loaded=(), started_ms=1000)
 
 
-def known(replica: Replica) -> tuple[Facts, Directory]:
-    """Return what an entry knows of one replica."""
+def make_directory(replica: Replica) -> tuple[Facts, Directory]:
+    """Return the facts and the directory of an entry that has one replica in its list."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     facts.take_listing(Topic.REPLICAS, Listing((), 1), 0.0, "store")
     facts.replicas[replica.id] = replica
@@ -46,109 +46,109 @@
     return facts, directory
 
 
-def state_in(directory: Directory) -> ReplicaState:
-    """Return the one replica that is known."""
+def only_state(directory: Directory) -> ReplicaState:
+    """Return the state of the only replica in the directory."""
     (state,) = directory.states()
     return state
 
 
 def load_of(replica: Replica, **versions: int) -> ReplicaLoad:
-    """Return the word of the daemon beside a replica."""
+    """Return the load report of a replica's daemon."""
     address = str(replica.address)
     started_ms = replica.started_ms
     return ReplicaLoad(address, 1, True, False, versions, 0, 0, 0.0, 1.0, 1, started_ms=started_ms)
 
 
-def test_the_start_of_a_life_is_read_from_entries_that_tell_it() -> None:
+def test_the_start_time_is_read_from_list_entries_that_have_one() -> None:
     entry = (
         b'{"service":"lm","addr":"10.0.0.1:80","zone":"z","version":"v1","slots":8,'
         b'"state":"ready","cold_left_ms":0,"seq":4%s}'
     )
-    told = decode(Item("servers/i-1", 1, entry % b',"born":1764720000000'))
-    untold = decode(Item("servers/i-1", 1, entry % b""))
-    assert isinstance(told, Ok) and isinstance(told.value, Replica)
-    assert isinstance(untold, Ok) and isinstance(untold.value, Replica)
-    assert told.value.started_ms == 1764720000000 and untold.value.started_ms is None
+    with_start = decode(Item("servers/i-1", 1, entry % b',"born":1764720000000'))
+    without_start = decode(Item("servers/i-1", 1, entry % b""))
+    assert isinstance(with_start, Ok) and isinstance(with_start.value, Replica)
+    assert isinstance(without_start, Ok) and isinstance(without_start.value, Replica)
+    assert with_start.value.started_ms == 1764720000000 and without_start.value.started_ms is None
 
 
-def test_nothing_that_was_known_of_the_earlier_life_holds_for_the_later_one() -> None:
-    facts, directory = known(FIRST)
+def test_a_later_incarnation_gets_a_new_state() -> None:
+    facts, directory = make_directory(FIRST)
     directory.record_report(load_of(FIRST, m=3))
-    before = state_in(directory)
+    before = only_state(directory)
     before.record_outcome(DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), bound=False)
     before.reserve_slot()
     before.health.note_failure(certain=True)
     before.waits._note(9.0)
     facts.replicas[FIRST.id] = SECOND
     assert directory.update() == [FIRST.address]
-    after = state_in(directory)
+    after = only_state(directory)
     assert before.gone and not after.gone
     assert (after.in_flight, after.last_report, after.health.failures) == (0, None, 0)
     assert after.waits.expected() == 0 and after.version_of("m") is None
     assert directory.update() == []
 
 
-def test_where_no_start_is_told_the_id_alone_counts() -> None:
-    facts, directory = known(FIRST)
-    before = state_in(directory)
+def test_without_a_start_time_only_the_ids_are_compared() -> None:
+    facts, directory = make_directory(FIRST)
+    before = only_state(directory)
     facts.replicas[FIRST.id] = replace(FIRST, started_ms=None)
-    assert directory.update() == [] and state_in(directory) is before
+    assert directory.update() == [] and only_state(directory) is before
 
 
 @pytest.mark.parametrize("daemon_first", [True, False])
-def test_nothing_is_sent_while_the_list_and_the_daemon_speak_of_different_lives(
+def test_no_requests_are_sent_while_list_and_daemon_report_different_incarnations(
     daemon_first: bool,
 ) -> None:
-    """The list said that version 3 is loaded, while the later life had nothing."""
-    facts, directory = known(FIRST)
+    """The list showed version 3 as loaded, while the later incarnation had no weights."""
+    facts, directory = make_directory(FIRST)
     directory.record_report(load_of(FIRST, m=3))
-    assert not state_in(directory).is_unavailable()
+    assert not only_state(directory).is_unavailable()
     if daemon_first:
         directory.record_report(load_of(SECOND))
     else:
         facts.replicas[FIRST.id] = replace(SECOND, loaded=FIRST.loaded)
         directory.update()
-        directory.record_report(load_of(FIRST, m=3))  # on its way since before
-    assert state_in(directory).is_unavailable()
+        directory.record_report(load_of(FIRST, m=3))  # sent before the restart, received late
+    assert only_state(directory).is_unavailable()
     facts.replicas[FIRST.id] = replace(SECOND, loaded=FIRST.loaded)
     directory.update()
     directory.record_report(load_of(SECOND, m=3))
-    assert not state_in(directory).is_unavailable()
+    assert not only_state(directory).is_unavailable()
 
 
-def test_an_earlier_life_that_was_leaving_does_not_keep_the_later_one_out() -> None:
-    facts, directory = known(replace(FIRST, draining=True))
+def test_a_draining_incarnation_does_not_exclude_the_later_one() -> None:
+    facts, directory = make_directory(replace(FIRST, draining=True))
     assert directory.serving("lm") == []
     facts.replicas[FIRST.id] = replace(SECOND, loaded=FIRST.loaded)
     directory.update()
     assert [state.replica.id for state in directory.serving("lm")] == [FIRST.id]
 
 
-async def order(
-    near: LocalReplica, expected: ReplicaReport
+async def send_order(
+    local_replica: LocalReplica, expected: ReplicaReport
 ) -> Ok[OrderTaken | OrderRefused] | Failure:
-    """Order a replica to load version 2."""
-    line = await near.open_line()
-    assert isinstance(line, Ok)
-    outcome = await line.value.start("m", 2, expected, break_off=False)
-    await line.value.close()
+    """Order a replica to load version 2; return the outcome."""
+    connection = await local_replica.open_line()
+    assert isinstance(connection, Ok)
+    outcome = await connection.value.start("m", 2, expected, break_off=False)
+    await connection.value.close()
     return outcome
 
 
-async def test_an_order_for_one_life_is_not_taken_by_the_next() -> None:
-    """Both have taken no orders, and beside the later one lies nothing."""
+async def test_an_order_for_one_incarnation_is_not_accepted_by_the_next() -> None:
+    """Neither has accepted an order, and no chunks are staged at the later one."""
     replica = FakeReplica("i-1", model="m")
     report = ReplicaReport((), False, 0, 0, 0, 0, 0, 1.0, started_ms=replica.started_ms)
     listeners = await trio.open_tcp_listeners(0, host="127.0.0.1")
     async with trio.open_nursery() as nursery:
         nursery.start_soon(trio.serve_listeners, replica.serve_connection, listeners)
-        near = LocalReplica(Address("127.0.0.1", listeners[0].socket.getsockname()[1]))
+        local_replica = LocalReplica(Address("127.0.0.1", listeners[0].socket.getsockname()[1]))
         replica.start_again()
-        outcome = await order(near, report)
+        outcome = await send_order(local_replica, report)
         assert isinstance(outcome, Ok) and isinstance(outcome.value, OrderRefused)
         assert replica.orders == 0
         now = replace(report, started_ms=replica.started_ms)
-        outcome = await order(near, now)
+        outcome = await send_order(local_replica, now)
         assert isinstance(outcome, Ok) and not isinstance(outcome.value, OrderRefused)
         assert replica.orders == 1
         nursery.cancel_scope.cancel()
@@ -167,9 +167,7 @@
 @pytest.mark.parametrize(
     "when", ["idle", "twice", "clock set back", "store away", "loading", "stream under way"]
 )
-async def test_a_replica_that_started_again_is_filled_again_and_serves(
-    tmp_path: Path, when: str
-) -> None:
+async def test_a_restarted_replica_is_loaded_again_and_serves(tmp_path: Path, when: str) -> None:
     async with small_site(tmp_path, models=3, daemons=True) as site:
         await wait_offered(site)
         site.name_version(2)
@@ -192,7 +190,7 @@
 
             if when == "stream under way":
                 with trio.fail_after(WAIT_SECONDS):
-                    while not first.replica.active:  # others may be chosen first
+                    while not first.replica.active:  # other replicas may be picked first
                         nursery.start_soon(call)
                         await trio.sleep(0.05)
             await site.restart_replica(first, -2000 if when == "clock set back" else 0)
@@ -201,11 +199,11 @@
             site.store.set_mood(Mood.WELL)
             newest = max(site.origin.versions)
             await wait_loaded([first.replica], newest)
-        # Every load took whole weights of one version, also the later life's.
+        # Each load got the complete weights of one version, also in the later incarnation.
         for version, digests in first.replica.loads:
             assert digests == digests_of(site, version)
         assert all(reply.status == 200 for reply in replies)
-        # It is used again: the others leave.
+        # The replica is used again once the others are draining.
         for other in others:
             other.replica.draining = True
         with trio.fail_after(WAIT_SECONDS):
@@ -217,27 +215,29 @@
         assert first.replica.runs[-1].version == newest
 
 
-async def test_no_request_reaches_a_later_life_for_weights_that_only_the_earlier_one_held(
+async def test_no_request_reaches_a_later_incarnation_for_weights_that_only_the_earlier_one_had(
     tmp_path: Path,
 ) -> None:
-    """Its entry in the list stays as it was, as where it never misses a heartbeat."""
+    """The list entry does not change, as when a restart is too short to miss a heartbeat."""
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         first, second = listed_models(site)
         first.writes_entry = False
         await site.restart_replica(first)
-        await wait_between_lives(site, first, True)
+        await wait_conflicting_incarnations(site, first, True)
         before = first.replica.arrivals
-        # The other replica takes six between two words of its daemon, and the rest is refused.
+        # The other replica gets up to six between two reports of its daemon; the rest are refused.
         replies = [await ask(site.callers("entry0"), "/stream/x") for _ in range(12)]
         assert {reply.status for reply in replies} <= {200, 503}
         assert second.replica.arrivals and first.replica.arrivals == before
         first.writes_entry = True
-        await wait_between_lives(site, first, False)
+        await wait_conflicting_incarnations(site, first, False)
 
 
-async def wait_between_lives(site: Machines, listed: ListedReplica, expected: bool) -> None:
-    """Wait until the entry hears different lives from the list and the daemon, or one again."""
+async def wait_conflicting_incarnations(
+    site: Machines, listed: ListedReplica, expected: bool
+) -> None:
+    """Wait until the entry does, or does not, see different incarnations in list and reports."""
     with trio.fail_after(WAIT_SECONDS):
         while True:
             states = (await site.state("entry0"))["replica_states"]
--- a/tests/test_incarnations_requests.py
+++ b/tests/test_incarnations_requests.py
@@ -10,7 +10,7 @@
 from testing.machinelayout import MODEL_SERVICE, PLAIN_SERVICE
 from testing.machines import ListedReplica, Machines, small_site
 from testing.platformreplica import Run
-from tests.test_incarnations import digests_of, listed_models, wait_between_lives
+from tests.test_incarnations import digests_of, listed_models, wait_conflicting_incarnations
 from tests.test_machine_weights import LOADED_SECONDS, wait_loaded, wait_offered
 
 NOT_RUN_STATUSES = (408, 421, 429, 503)
@@ -89,6 +89,6 @@
         assert second.replica.arrivals and first.replica.arrivals == before
         site.signal("daemon0", signal.SIGCONT)
         await wait_loaded([first.replica], 1)
-        await wait_between_lives(site, first, False)
+        await wait_conflicting_incarnations(site, first, False)
         for version, digests in first.replica.loads:
             assert digests == digests_of(site, version)
--- a/tests/test_linelog.py
+++ b/tests/test_linelog.py
@@ -1,4 +1,4 @@
-"""The log on standard output: bounded, and never waited for."""
+"""Tests the log on standard output: it is bounded and does not block."""
 
 import json
 import logging
@@ -20,14 +20,14 @@
 
 
 def record(text: str, level: int = logging.INFO, created: float = 1000.0) -> logging.LogRecord:
-    """Return a record made at a given time."""
+    """Return a record with a given time of creation."""
     made = logging.LogRecord("t", level, "", 0, text, None, None)
     made.created = created
     return made
 
 
 def read_now(descriptor: int) -> bytes:
-    """Return what can be read without waiting."""
+    """Return what can be read without blocking."""
     os.set_blocking(descriptor, False)
     try:
         return os.read(descriptor, 1 << 20)
@@ -40,7 +40,7 @@
     return [json.loads(line) for line in read_now(descriptor).splitlines()]
 
 
-def test_lines_over_the_bound_of_a_second_are_counted_and_the_count_is_written() -> None:
+def test_lines_over_the_limit_per_second_are_dropped_and_their_count_is_logged() -> None:
     reader, writer = os.pipe()
     log = make_log(writer, 5)
     for number in range(20):
@@ -54,7 +54,7 @@
     assert messages[5:] == ["a warning has a reserve", "log lines dropped", "next second"]
 
 
-def test_a_full_pipe_is_not_waited_for_and_its_lines_wait_within_a_bound(
+def test_a_full_pipe_does_not_block_and_the_buffer_is_bounded(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     monkeypatch.setattr(linelog, "MAX_BUFFERED_BYTES", 256 * 1024)
@@ -65,18 +65,18 @@
         log.emit(record(f"{number} " + "x" * 200))
         log.flush()
     assert log.dropped > 0
-    # Once somebody reads, what waited comes whole and in order.
-    got = b""
+    # Once the pipe is read, the buffered lines arrive complete and in order.
+    received = b""
     while data := read_now(reader):
-        got += data
+        received += data
         log.flush()
-    lines = [json.loads(line) for line in got.splitlines()]
+    lines = [json.loads(line) for line in received.splitlines()]
     numbers = [int(line["message"].split()[0]) for line in lines]
     assert numbers == sorted(numbers)
     assert len(numbers) + log.dropped == 9_000
 
 
-def test_a_reader_that_is_gone_does_no_harm() -> None:
+def test_a_closed_reader_causes_no_error() -> None:
     reader, writer = os.pipe()
     os.close(reader)
     log = make_log(writer, 5)
@@ -85,7 +85,7 @@
     log.flush()
 
 
-def test_a_value_that_cannot_be_written_costs_its_own_line_only() -> None:
+def test_a_value_that_cannot_be_encoded_drops_only_its_own_line() -> None:
     reader, writer = os.pipe()
     log = make_log(writer, 5)
     bad = record("bad")
@@ -96,22 +96,22 @@
     assert [line["message"] for line in read_lines(reader)][-1] == "good"
 
 
-async def test_a_process_that_logs_nothing_is_not_woken_up_for_its_log(
+async def test_the_log_task_does_not_wake_up_while_nothing_is_logged(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A hundred processes were each woken up 20 times a second."""
+    """With a periodic flush, each of a hundred processes woke up 20 times a second."""
     mock_clock.autojump_threshold = 0
     reader, writer = os.pipe()
     log = make_log(writer, 5)
     flushes = 0
     flush = log.flush
 
-    def count() -> None:
+    def count_flush() -> None:
         nonlocal flushes
         flushes += 1
         flush()
 
-    monkeypatch.setattr(log, "flush", count)
+    monkeypatch.setattr(log, "flush", count_flush)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(log.run)
         await trio.sleep(100)
