--- a/bench/peerstress.py
+++ b/bench/peerstress.py
@@ -39,7 +39,7 @@
 from headcross_base.addresses import Address, parse_address
 from headcross_wire import zmqsocket
 from headcross_wire.peermessages import Chunk, Subscribe
-from headcross_wire.peernode import Incoming, PeerNode
+from headcross_wire.peernode import IncomingMessage, PeerNode
 
 # A peer that answers none of so many heartbeats is given up, as in the product.
 HEARTBEATS_TO_GIVE_UP: Final = 3
@@ -60,7 +60,7 @@
 async def run_node(own: Address, peers: list[Address]) -> None:
     """Ask others for chunks, and send what is asked for, until killed."""
 
-    def handle(incoming: Incoming) -> None:
+    def handle(incoming: IncomingMessage) -> None:
         if isinstance(incoming.message, Subscribe):
             for index in range(random.randrange(ASKED_AT_ONCE)):
                 chunk = Chunk(str(own), "a" * 64, index, 0, CHUNK_BYTES)
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -143,7 +143,7 @@
             entry = self._pick([name for name, kept in self.kept.items() if kept])
             while entry is not None and self.kept[entry]:
                 link = self.kept[entry].pop()
-                if link.connection.quiet():
+                if link.connection.has_no_input():
                     return entry, link
                 await link.connection.close()
         entry = self._pick(list(self.site.ready) or self.site.running_entries())
--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -15,8 +15,8 @@
 from headcross_routing.picking import Picker
 from headcross_routing.requestmeta import RequestMeta
 from headcross_wire.httpserver import HttpServer, ServerLimits
-from headcross_wire.peermessages import AskTurn, Goodbye, Status
-from headcross_wire.peernode import Incoming
+from headcross_wire.peermessages import AskTurn, ShutdownNotice, Status
+from headcross_wire.peernode import IncomingMessage
 from prometheus_client import Histogram
 
 from headcross_daemon.admin import MAX_ADMIN_BODY, AdminApi
@@ -150,14 +150,14 @@
             "routes": routes,
         }
 
-    def _handle_message(self, incoming: Incoming) -> None:
+    def _handle_message(self, incoming: IncomingMessage) -> None:
         match incoming.message:
             case Status() as status:
                 if self.statuses.record(status):
                     for upstream in status.upstreams:
                         load = upstream.in_flight + upstream.queued
                         self.picker.report_load(upstream.name, load)
-            case Goodbye(host=host, incarnation=incarnation):
+            case ShutdownNotice(host=host, incarnation=incarnation):
                 self.statuses.forget(host, incarnation)
             case AskTurn() as question:
                 incoming.reply(self._judge.answer(question), None)
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -38,7 +38,7 @@
     Subscribe,
     WeightsPlan,
 )
-from headcross_wire.peernode import Incoming
+from headcross_wire.peernode import IncomingMessage
 from prometheus_client import Histogram
 
 from headcross_daemon.entrynews import EntryNews
@@ -250,7 +250,7 @@
         connections = max(64, (settings.limits.descriptors - RESERVED_DESCRIPTORS) * 2 // 3)
         configuration = self.process.facts.configuration
         if configuration is None:
-            return ServerLimits(max_connections=connections, end_of_input_is_gone=True)
+            return ServerLimits(max_connections=connections, cancel_on_eof=True)
         limits = configuration.limits
         return ServerLimits(
             max_body_bytes=limits.max_body_bytes,
@@ -259,13 +259,13 @@
             max_connections=connections,
             max_header_bytes=limits.max_header_bytes,
             header_seconds=limits.header_seconds,
-            end_of_input_is_gone=True,
+            cancel_on_eof=True,
         )
 
     async def _drain(self, accepting: trio.CancelScope) -> None:
         """Say so, still serve who comes, let what runs end."""
         self._readiness.stop()
-        self._server.sends_callers_away = True
+        self._server.sends_connection_close = True
         logger.info("stopping", extra={"in_flight": self._path.in_flight})
         limit = self.process.settings.bounds.stop_seconds - STOP_MARGIN_SECONDS
         started_at = trio.current_time()
@@ -326,7 +326,7 @@
             Address(m.ip, port) for m in known if m.zone == settings.zone and m.ip != settings.ip
         ]
 
-    def _hear(self, incoming: Incoming) -> None:
+    def _hear(self, incoming: IncomingMessage) -> None:
         if isinstance(incoming.message, AskPlan):
             plan = self._plan()
             if plan is not None:
--- a/libs/daemon/src/headcross_daemon/heartbeats.py
+++ b/libs/daemon/src/headcross_daemon/heartbeats.py
@@ -12,7 +12,7 @@
 from headcross_fleet.documents import Documents
 from headcross_fleet.membership import heartbeat_period
 from headcross_native.hostlist import Host
-from headcross_wire.peermessages import Goodbye, Status, UpstreamStatus
+from headcross_wire.peermessages import ShutdownNotice, Status, UpstreamStatus
 from headcross_wire.peernode import PeerNode
 
 # The progress of a transfer is looked at this often; other changes are told at once.
@@ -83,7 +83,7 @@
     def say_goodbye(self) -> None:
         """Tell the entries that this daemon is gone."""
         for entry in self._entries():
-            self._node.send(entry.control_address, Goodbye(self._host, self._incarnation))
+            self._node.send(entry.control_address, ShutdownNotice(self._host, self._incarnation))
 
     def _news(self) -> tuple[object, ...]:
         """Return what is worth telling at once when it changes."""
--- a/libs/daemon/src/headcross_daemon/machinecommon.py
+++ b/libs/daemon/src/headcross_daemon/machinecommon.py
@@ -22,7 +22,7 @@
     KnownRevision,
     TopicFacts,
 )
-from headcross_wire.peernode import Handler, Incoming, PeerNode
+from headcross_wire.peernode import Handler, IncomingMessage, PeerNode
 
 from headcross_daemon.machinesettings import MachineSettings, read_machine_settings
 from headcross_daemon.metrics import MetricsPage, Samples, sample
@@ -147,7 +147,7 @@
         own = parse_address(self.settings.listen.peers)
         return [address for address in self._peers() if address != own] + self.known_entries()
 
-    def _handle(self, incoming: Incoming) -> None:
+    def _handle(self, incoming: IncomingMessage) -> None:
         match incoming.message:
             case AskRevision() as asked:
                 self.peer_facts.tell_revision(asked, incoming.reply)
--- a/libs/daemon/src/headcross_daemon/mirrorparts.py
+++ b/libs/daemon/src/headcross_daemon/mirrorparts.py
@@ -23,11 +23,11 @@
     AskDigests,
     KnownDigests,
     KnownMirrors,
-    MirrorPlace,
+    MirrorLocation,
     Subscribe,
     WeightsPlan,
 )
-from headcross_wire.peernode import Incoming
+from headcross_wire.peernode import IncomingMessage
 
 from headcross_daemon.machinecommon import MachineProcess
 
@@ -52,7 +52,7 @@
     ) -> None:
         settings = process.settings
         self._settings = settings
-        self._place = MirrorPlace(settings.ip, settings.zone)
+        self._place = MirrorLocation(settings.ip, settings.zone)
         self._store = ChunkStore(int(settings.limits.memory_bytes * WEIGHTS_MEMORY_PART))
         rate = settings.limits.link_bytes_per_second * LINK_PART
         downlink = LinkRate(rate, LINK_BURST_BYTES)
@@ -112,18 +112,18 @@
         place = self._place_told(stopping)
         return Subscribe(self._settings.host, place, wants_load=False) if place else None
 
-    def _place_told(self, stopping: bool) -> MirrorPlace | None:
+    def _place_told(self, stopping: bool) -> MirrorLocation | None:
         return self._place if self._mirror.decide_to_mirror() and not stopping else None
 
     def _find_origin(self) -> Address | None:
         configuration = self._facts.configuration
         return configuration.origin_of_weights() if configuration is not None else None
 
-    def known(self) -> list[MirrorPlace]:
+    def known(self) -> list[MirrorLocation]:
         """Return the mirrors heard of lately, this one among them."""
         return self._mirror.registry.known()
 
-    def hear(self, incoming: Incoming) -> bool:
+    def hear(self, incoming: IncomingMessage) -> bool:
         """Take a message if it is for the mirror; return whether it was."""
         match incoming.message:
             case KnownMirrors(mirrors=mirrors):
--- a/libs/daemon/src/headcross_daemon/process.py
+++ b/libs/daemon/src/headcross_daemon/process.py
@@ -12,7 +12,7 @@
 from headcross_fleet.following import ConfigFollower
 from headcross_native.configservice import FLEET_KEY, HOSTS_KEY, ConfigService
 from headcross_wire.httpserver import HttpHandler, HttpServer, ServerLimits
-from headcross_wire.peernode import Handler, Incoming, PeerNode
+from headcross_wire.peernode import Handler, IncomingMessage, PeerNode
 
 from headcross_daemon.settings import Settings
 
@@ -110,7 +110,7 @@
             "unsent": node.unsent,
         }
 
-    def _handle(self, incoming: Incoming) -> None:
+    def _handle(self, incoming: IncomingMessage) -> None:
         if not self.follower.handle(incoming.message, incoming.reply):
             self._handle_rest(incoming)
 
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -42,7 +42,7 @@
     ReplicaNews,
     Subscribe,
 )
-from headcross_wire.peernode import Incoming
+from headcross_wire.peernode import IncomingMessage
 
 from headcross_daemon.losskeeping import LossKeeper
 from headcross_daemon.machinecommon import AdminPages, MachineProcess
@@ -290,7 +290,7 @@
         port = self.process.settings.peers.control_port
         return [Address(replica.address.ip, port) for replica in replicas]
 
-    def _hear(self, incoming: Incoming) -> None:
+    def _hear(self, incoming: IncomingMessage) -> None:
         match incoming.message:
             case Subscribe() as subscription:
                 if subscription.wants_load:
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -24,7 +24,7 @@
 from headcross_wire.httpserver import HttpServer, ServerLimits
 from headcross_wire.linkrate import LinkRate
 from headcross_wire.peermessages import TurnAnswer, UpstreamStatus
-from headcross_wire.peernode import Incoming
+from headcross_wire.peernode import IncomingMessage
 
 from headcross_daemon.admin import MAX_ADMIN_BODY, AdminApi
 from headcross_daemon.heartbeats import Heartbeats
@@ -255,7 +255,7 @@
         self.swarm.update_hosts(self.process.documents.hosts)
         self.keys.update_hosts(self.process.documents.hosts)
 
-    def _handle_message(self, incoming: Incoming) -> None:
+    def _handle_message(self, incoming: IncomingMessage) -> None:
         if isinstance(incoming.message, TurnAnswer):
             self._turns.receive(incoming.message)
         else:
--- a/libs/fleet/src/headcross_fleet/following.py
+++ b/libs/fleet/src/headcross_fleet/following.py
@@ -23,7 +23,7 @@
 from headcross_base.hashing import digest_of
 from headcross_native.configservice import KEYS, ConfigService, Snapshot, Unchanged
 from headcross_native.hostlist import Host
-from headcross_wire.peermessages import AskDocument, Document, Hint, PeerMessage
+from headcross_wire.peermessages import AskDocument, Document, DocumentNotice, PeerMessage
 from headcross_wire.peernode import PeerNode, Reply
 
 from headcross_fleet.documents import NO_REVISION, Documents
@@ -89,7 +89,7 @@
     def handle(self, message: PeerMessage, reply: Reply) -> bool:
         """Take a message of the control channel; return whether it was one of ours."""
         match message:
-            case Hint(key=key) if key in KEYS:
+            case DocumentNotice(key=key) if key in KEYS:
                 self._handle_hint(message, reply)
             case AskDocument(key=key) if key in KEYS:
                 self._answer(key, reply)
@@ -126,7 +126,7 @@
 
     # Messages from peers.
 
-    def _handle_hint(self, hint: Hint, reply: Reply) -> None:
+    def _handle_hint(self, hint: DocumentNotice, reply: Reply) -> None:
         self._peer_answered.add(hint.key)
         held = self._documents.held(hint.key)
         if hint.revision > held.revision or hint.accepted > held.accepted_revision:
@@ -158,9 +158,9 @@
             reply(Document(key, *last_good, held.accepted_body), None)
         reply(Document(key, held.revision, held.digest, held.age(), held.body), None)
 
-    def _hint(self, key: str) -> Hint:
+    def _hint(self, key: str) -> DocumentNotice:
         held = self._documents.held(key)
-        return Hint(key, held.revision, held.digest, held.accepted_revision, held.age())
+        return DocumentNotice(key, held.revision, held.digest, held.accepted_revision, held.age())
 
     # Telling others.
 
--- a/libs/gateway/src/headcross_gateway/connections.py
+++ b/libs/gateway/src/headcross_gateway/connections.py
@@ -77,7 +77,7 @@
         idle = self._idle.get(address, [])
         while idle:
             entry = idle.pop()
-            if entry.until > trio.current_time() and entry.connection.quiet():
+            if entry.until > trio.current_time() and entry.connection.has_no_input():
                 return entry.connection
             await entry.connection.close()
         return None
--- a/libs/native/src/headcross_native/engine.py
+++ b/libs/native/src/headcross_native/engine.py
@@ -26,7 +26,7 @@
 ENGINE_MATCH_HEADER: Final = "if-match"
 NOT_HELD_STATUS: Final = 412
 
-STATE_SECONDS: Final = 2.0
+CALL_SECONDS: Final = 2.0
 MAX_STATE_BYTES: Final = 64 * 1024
 
 
@@ -93,7 +93,7 @@
             self.address,
             "GET",
             "/v1/state",
-            seconds=STATE_SECONDS,
+            seconds=CALL_SECONDS,
             max_bytes=MAX_STATE_BYTES,
         )
         if isinstance(outcome, Failure):
@@ -103,14 +103,14 @@
         except msgspec.MsgspecError as error:
             return Failure(ORDER_FAILED, f"engine state: {error}")
 
-    async def give_order(self, order: Order) -> Ok[None] | Failure:
+    async def send_order(self, order: Order) -> Ok[None] | Failure:
         """Give an order; ORDER_FAILED means that nobody knows whether it was taken."""
         outcome = await call(
             self.address,
             "POST",
             "/v1/orders",
             body=msgspec.json.encode(order),
-            seconds=STATE_SECONDS,
+            seconds=CALL_SECONDS,
             max_bytes=MAX_STATE_BYTES,
         )
         if isinstance(outcome, Failure):
--- a/libs/native/src/headcross_native/weightsource.py
+++ b/libs/native/src/headcross_native/weightsource.py
@@ -20,11 +20,11 @@
 
 MAX_MANIFEST_BYTES: Final = 16 * 1024 * 1024
 MANIFEST_SECONDS: Final = 30.0
-DEFAULT_RETRY_AFTER: Final = 1.0
+DEFAULT_RETRY_AFTER_SECONDS: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class TryLater:
+class SourceBusy:
     """The source is at its limit."""
 
     seconds: float
@@ -37,14 +37,14 @@
     name: str  # "store" or "origin", for dumps and metrics
     address: Address
 
-    async def read_manifest(self, weights: str) -> Ok[bytes] | TryLater | Failure:
+    async def read_manifest(self, weights: str) -> Ok[bytes] | SourceBusy | Failure:
         """Return the bytes of a manifest, unchecked."""
         target = f"/weights/{quote(weights, safe='')}/manifest.json"
         return await self._get(target, [], MANIFEST_SECONDS, MAX_MANIFEST_BYTES)
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
-    ) -> Ok[bytes] | TryLater | Failure:
+    ) -> Ok[bytes] | SourceBusy | Failure:
         """Return `size` bytes of a file from `offset`, unchecked."""
         target = f"/weights/{quote(weights, safe='')}/files/{quote(path)}"
         headers = [("range", f"bytes={offset}-{offset + size - 1}")]
@@ -52,7 +52,7 @@
 
     async def _get(
         self, target: str, headers: list[tuple[str, str]], seconds: float, max_bytes: int
-    ) -> Ok[bytes] | TryLater | Failure:
+    ) -> Ok[bytes] | SourceBusy | Failure:
         outcome = await call(
             self.address, "GET", target, headers=headers, seconds=seconds, max_bytes=max_bytes
         )
@@ -61,7 +61,9 @@
         answer = outcome.value
         if answer.status in (429, 503):
             retry_after = dict(answer.headers).get("retry-after", "")
-            return TryLater(float(retry_after) if retry_after.isdecimal() else DEFAULT_RETRY_AFTER)
+            return SourceBusy(
+                float(retry_after) if retry_after.isdecimal() else DEFAULT_RETRY_AFTER_SECONDS
+            )
         if answer.status not in (200, 206):
             return Failure(SOURCE_FAILED, f"{self.name}{target}: status {answer.status}")
         return Ok(answer.body)
--- a/libs/renewal/src/headcross_renewal/mirrors.py
+++ b/libs/renewal/src/headcross_renewal/mirrors.py
@@ -11,7 +11,7 @@
 from headcross_base.clocks import monotonic
 from headcross_native.hostlist import Host, HostList
 from headcross_ports.published import LoadedModel, Replica
-from headcross_wire.peermessages import MirrorPlace
+from headcross_wire.peermessages import MirrorLocation
 
 # A mirror without an announcement for this long is dropped.
 MIRROR_EXPIRY_SECONDS: Final = 3.0
@@ -29,18 +29,18 @@
     """The mirrors that were announced to this process recently."""
 
     def __init__(self) -> None:
-        self._last_heard_at: dict[MirrorPlace, float] = {}
+        self._last_heard_at: dict[MirrorLocation, float] = {}
 
-    def record(self, place: MirrorPlace) -> None:
+    def record(self, place: MirrorLocation) -> None:
         """Record an announcement of a mirror, received now."""
         self._last_heard_at[place] = monotonic()
 
-    def known(self) -> list[MirrorPlace]:
+    def known(self) -> list[MirrorLocation]:
         """Return the mirrors that have not expired, sorted by IP address.
 
         >>> registry = MirrorRegistry()
-        >>> registry.record(MirrorPlace("10.0.0.2", "a"))
-        >>> registry.record(MirrorPlace("10.0.0.1", "a"))
+        >>> registry.record(MirrorLocation("10.0.0.2", "a"))
+        >>> registry.record(MirrorLocation("10.0.0.1", "a"))
         >>> [place.ip for place in registry.known()]
         ['10.0.0.1', '10.0.0.2']
         """
@@ -62,7 +62,7 @@
 
 def swarm_hosts(
     replicas: Iterable[Replica],
-    mirrors: Iterable[MirrorPlace],
+    mirrors: Iterable[MirrorLocation],
     region_of_zone: dict[str, str],
     ports: SwarmPorts,
 ) -> HostList:
--- a/libs/renewal/src/headcross_renewal/sources.py
+++ b/libs/renewal/src/headcross_renewal/sources.py
@@ -12,7 +12,7 @@
 from headcross_base.errorcodes import SOURCE_FAILED
 from headcross_base.errors import Failure, Ok
 from headcross_base.hashing import digest_of
-from headcross_native.weightsource import TryLater
+from headcross_native.weightsource import SourceBusy
 from headcross_ports.published import LoadedModel
 from headcross_ports.replicas import ChunkDigests, WeightsOrigin
 from headcross_weights.manifest import MANIFEST_FORMAT, Manifest, ManifestFile
@@ -86,14 +86,14 @@
         self._record_outcome(outcome)
         return outcome
 
-    async def read_manifest(self, weights: str) -> Ok[bytes] | TryLater | Failure:
+    async def read_manifest(self, weights: str) -> Ok[bytes] | SourceBusy | Failure:
         """Return the encoded manifest of a version, built from digests read at the origin."""
         outcome = await self.read_digests(parse_weights_name(weights))
         return outcome if isinstance(outcome, Failure) else Ok(manifest_of(outcome.value)[1])
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
-    ) -> Ok[bytes] | TryLater | Failure:
+    ) -> Ok[bytes] | SourceBusy | Failure:
         """Read the chunk that begins at a byte offset, within a time limit in seconds."""
         address = self._find_address()
         if address is None:
--- a/libs/rollout/src/headcross_rollout/orders.py
+++ b/libs/rollout/src/headcross_rollout/orders.py
@@ -89,7 +89,7 @@
             return Failure(FACTS_OLD, f"order for revision {revision} withheld")
         self._sequence += 1
         fence = Fence(revision, self._incarnation, self._sequence)
-        outcome = await self._engine.give_order(Order(fence, weights, self._source))
+        outcome = await self._engine.send_order(Order(fence, weights, self._source))
         if isinstance(outcome, Failure):
             self.refused += 1
             self._journal.record(outcome.reason.code, self._engine_name(), outcome.detail)
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -44,7 +44,7 @@
     call,
 )
 from headcross_wire.httpserver import Headers
-from headcross_wire.replies import MAX_ERROR_BYTES, read_refusal
+from headcross_wire.replies import MAX_ERROR_BYTES, parse_refusal
 
 from headcross_routing.answerrelay import AnswerRelay
 from headcross_routing.ledger import REVOCATIONS_PATH
@@ -141,7 +141,7 @@
             body = await _read_error_body(connection)
             if verdict is None:
                 return MayHaveRun(UPSTREAM_ERROR, f"status {answer.status} without a verdict")
-            return read_refusal(verdict, answer.header("retry-after"), body)
+            return parse_refusal(verdict, answer.header("retry-after"), body)
         await relay.begin(answer)
         while (
             piece := await self._receive_unless_silent(candidate, connection.receive_piece)
--- a/libs/routing/src/headcross_routing/keyclaims.py
+++ b/libs/routing/src/headcross_routing/keyclaims.py
@@ -9,7 +9,7 @@
 from headcross_base.verdicts import VERDICT_HEADER, NotRun, Refusal
 from headcross_native.hostlist import HostList
 from headcross_wire.httpclient import call
-from headcross_wire.replies import MAX_ERROR_BYTES, read_refusal
+from headcross_wire.replies import MAX_ERROR_BYTES, parse_refusal
 
 from headcross_routing.ledger import CLAIMS_PATH, KeyClaim, key_owners, owner_of
 from headcross_routing.requestmeta import RequestMeta
@@ -70,4 +70,4 @@
     verdict = headers.get(VERDICT_HEADER.lower())
     if verdict is None:
         return Failure(LINK_LOST, f"{name}: status {answer.status}")
-    return read_refusal(verdict, headers.get("retry-after"), answer.body)
+    return parse_refusal(verdict, headers.get("retry-after"), answer.body)
--- a/libs/weights/src/headcross_weights/imports.py
+++ b/libs/weights/src/headcross_weights/imports.py
@@ -12,7 +12,7 @@
 from headcross_base.clocks import monotonic
 from headcross_base.errorcodes import SOURCE_FAILED
 from headcross_base.errors import Failure, Ok
-from headcross_native.weightsource import TryLater
+from headcross_native.weightsource import SourceBusy
 from headcross_wire.linkrate import LinkRate
 
 from headcross_weights.manifest import ChunkPlace
@@ -28,12 +28,12 @@
     def name(self) -> str:
         """The name in dumps and metrics."""
 
-    async def read_manifest(self, weights: str) -> Ok[bytes] | TryLater | Failure:
+    async def read_manifest(self, weights: str) -> Ok[bytes] | SourceBusy | Failure:
         """Return the bytes of a manifest, unchecked."""
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
-    ) -> Ok[bytes] | TryLater | Failure:
+    ) -> Ok[bytes] | SourceBusy | Failure:
         """Return `size` bytes of a file from `offset`, unchecked."""
 
 
@@ -93,13 +93,13 @@
         return next(ready, None)
 
     def _take(
-        self, source: WeightSource, outcome: Ok[bytes] | TryLater | Failure
+        self, source: WeightSource, outcome: Ok[bytes] | SourceBusy | Failure
     ) -> Ok[tuple[WeightSource, bytes]] | Failure:
         match outcome:
             case Ok(value=data):
                 self.received_bytes[source.name] += len(data)
                 return Ok((source, data))
-            case TryLater(seconds=seconds):
+            case SourceBusy(seconds=seconds):
                 self._paused_until[source.name] = monotonic() + seconds
                 return Failure(SOURCE_FAILED, f"{source.name} is at its limit")
             case Failure():
--- a/libs/weights/src/headcross_weights/swarm.py
+++ b/libs/weights/src/headcross_weights/swarm.py
@@ -27,7 +27,7 @@
     NoChunk,
     PeerMessage,
 )
-from headcross_wire.peernode import Incoming, PeerNode, Reply
+from headcross_wire.peernode import IncomingMessage, PeerNode, Reply
 
 from headcross_weights.chunkstore import ChunkStore, StoredArtifact
 from headcross_weights.imports import Importer
@@ -170,7 +170,7 @@
 
     # Messages.
 
-    def _handle(self, incoming: Incoming) -> None:
+    def _handle(self, incoming: IncomingMessage) -> None:
         message, payload, reply = incoming.message, incoming.payload, incoming.reply
         match message:
             case Join():
--- a/libs/wire/src/headcross_wire/httpclient.py
+++ b/libs/wire/src/headcross_wire/httpclient.py
@@ -22,10 +22,10 @@
 from headcross_wire.httpserver import RECEIVE_BYTES, Headers
 
 # Closing then drops what is still to be sent and resets the connection (socket(7)).
-LINGER_NOT: Final = struct.pack("ii", 1, 0)
+RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
 CONNECT_SECONDS: Final = 2.0
 IDLE_SECONDS: Final = 20.0  # an idle connection older than this is not used again
-IDLE_CONNECTIONS: Final = 16  # kept for one address
+MAX_IDLE_PER_ADDRESS: Final = 16  # kept for one address
 
 # The IP number that connections of this process come from; None lets the system choose. Set once
 # at the start from the settings; tasks inherit it.
@@ -118,7 +118,7 @@
         self.idle_since = trio.current_time()
         return True
 
-    def quiet(self) -> bool:
+    def has_no_input(self) -> bool:
         """Tell whether nothing has come on an idle connection: no end, no stray bytes."""
         return not self._stream.socket.is_readable()
 
@@ -129,7 +129,7 @@
     async def abandon(self) -> None:
         """Close with a reset: what has not left yet never will, and nothing more is wanted."""
         with suppress(OSError):
-            self._stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, LINGER_NOT)
+            self._stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await trio.aclose_forcefully(self._stream)
 
     async def _next_event(self) -> object:
@@ -173,7 +173,7 @@
         while idle:
             connection = idle.pop()
             fresh = trio.current_time() - connection.idle_since < IDLE_SECONDS
-            if fresh and connection.quiet():
+            if fresh and connection.has_no_input():
                 return connection
             await connection.close()
         return None
@@ -181,7 +181,7 @@
     async def give(self, connection: HttpConnection) -> None:
         """Take a connection back after use; close it if it cannot be used again."""
         idle = self._idle.setdefault(connection.address, [])
-        if connection.reusable() and len(idle) < IDLE_CONNECTIONS:
+        if connection.reusable() and len(idle) < MAX_IDLE_PER_ADDRESS:
             idle.append(connection)
         else:
             await connection.close()
@@ -210,7 +210,7 @@
     return _Closing(connection)
 
 
-async def call_kept(
+async def call_idempotent(
     pool: ConnectionPool,
     address: Address,
     method: str,
--- a/libs/wire/src/headcross_wire/httpserver.py
+++ b/libs/wire/src/headcross_wire/httpserver.py
@@ -5,7 +5,7 @@
 connection is closed. An answer may be sent whole or as a stream.
 
 A caller that is gone shows by the first write that fails, which ends the handler's work by raising
-`CallerGone`. Where `ServerLimits.end_of_input_is_gone` is set, a caller that closes its sending
+`CallerGone`. Where `ServerLimits.cancel_on_eof` is set, a caller that closes its sending
 half is gone too, and the handler is cancelled at once; elsewhere such a caller still gets its
 answer.
 """
@@ -34,7 +34,7 @@
 RECEIVE_BYTES: Final = 64 * 1024
 ACCEPT_BACKLOG: Final = 512
 # While a server closes, a connection without a request is kept for so long.
-CLOSING_SECONDS: Final = 0.5
+CLOSING_IDLE_SECONDS: Final = 0.5
 
 logger = logging.getLogger(__name__)
 
@@ -58,7 +58,7 @@
     max_connections: int = 4096
     max_header_bytes: int = MAX_HEADER_BYTES
     header_seconds: float = 20.0  # for the headers of a request, from its first byte
-    end_of_input_is_gone: bool = False  # a caller that stops sending has left
+    cancel_on_eof: bool = False  # a caller that stops sending has left
 
 
 @dataclass(frozen=True, slots=True)
@@ -157,14 +157,14 @@
     # In force for requests read from now on.
     limits: ServerLimits
     # Whether every answer asks the caller to leave the connection.
-    sends_callers_away: bool
+    sends_connection_close: bool
 
     def __init__(self, handler: HttpHandler, limits: ServerLimits) -> None:
         self.connections = 0
         self.malformed = 0
         self.faults = 0
         self.limits = limits
-        self.sends_callers_away = False
+        self.sends_connection_close = False
         self._handler = handler
         self._closing = False
         self._all_closed = trio.Event()
@@ -195,7 +195,7 @@
         """
         self._closing = True
         for scope in self._idle_scopes:
-            scope.deadline = min(scope.deadline, trio.current_time() + CLOSING_SECONDS)
+            scope.deadline = min(scope.deadline, trio.current_time() + CLOSING_IDLE_SECONDS)
 
     async def wait_closed(self) -> None:
         """Wait until no connection is open."""
@@ -221,7 +221,7 @@
             self.faults += 1
             logger.exception("handler failed")
         finally:
-            await _close_gently(stream)
+            await _close_gracefully(stream)
             self.connections -= 1
             if not self.connections:
                 self._all_closed.set()
@@ -244,23 +244,23 @@
             return False
         if request is None:
             return False
-        last = self._closing or self.sends_callers_away
+        last = self._closing or self.sends_connection_close
         exchange = Exchange(request, connection, stream, self.limits, last)
-        if self.limits.end_of_input_is_gone:
-            await self._handle_watched(exchange, connection, stream)
+        if self.limits.cancel_on_eof:
+            await self._handle_until_eof(exchange, connection, stream)
         else:
             await self._handler(exchange)
         done = connection.our_state is h11.DONE and connection.their_state is h11.DONE
         return done and not self._closing
 
-    async def _handle_watched(
+    async def _handle_until_eof(
         self, exchange: Exchange, connection: h11.Connection, stream: trio.SocketStream
     ) -> None:
         """Run the handler; cancel it if the caller leaves."""
         async with trio.open_nursery() as nursery:
 
             async def watch() -> None:
-                await _wait_gone(connection, stream)
+                await _wait_disconnect(connection, stream)
                 nursery.cancel_scope.cancel()
 
             nursery.start_soon(watch)
@@ -293,7 +293,7 @@
     async def _wait_first_byte(
         self, connection: h11.Connection, stream: trio.SocketStream
     ) -> bool:
-        seconds = CLOSING_SECONDS if self._closing else self.limits.idle_seconds
+        seconds = CLOSING_IDLE_SECONDS if self._closing else self.limits.idle_seconds
         with trio.move_on_after(seconds) as scope:
             self._idle_scopes.add(scope)
             try:
@@ -341,7 +341,7 @@
         connection.receive_data(await stream.receive_some(RECEIVE_BYTES))
 
 
-async def _wait_gone(connection: h11.Connection, stream: trio.SocketStream) -> None:
+async def _wait_disconnect(connection: h11.Connection, stream: trio.SocketStream) -> None:
     """Return when the caller has left; keep what it sends ahead, up to a bound."""
     while len(connection.trailing_data[0]) < RECEIVE_BYTES:
         try:
@@ -373,7 +373,7 @@
     return [(name.encode("latin-1"), value.encode("latin-1")) for name, value in headers]
 
 
-async def _close_gently(stream: trio.SocketStream) -> None:
+async def _close_gracefully(stream: trio.SocketStream) -> None:
     """Close without a reset, which could overtake an error answer on its way."""
     with trio.move_on_after(1.0) as scope:
         scope.shield = True
--- a/libs/wire/src/headcross_wire/peermessages.py
+++ b/libs/wire/src/headcross_wire/peermessages.py
@@ -19,7 +19,7 @@
     """Common options of all messages."""
 
 
-class Hint(_Message, frozen=True, tag=1):
+class DocumentNotice(_Message, frozen=True, tag=1):
     """ "I hold this document": sent on a change, and as a heartbeat to neighbours."""
 
     key: str  # which document: the fleet file or the host list
@@ -96,7 +96,7 @@
     before: int  # how many upstreams go before this one
 
 
-class Goodbye(_Message, frozen=True, tag=7):
+class ShutdownNotice(_Message, frozen=True, tag=7):
     """A daemon that stops on purpose takes its status back at once."""
 
     host: str
@@ -218,7 +218,7 @@
     items: list[PublishedItem]
 
 
-class MirrorPlace(_Message, frozen=True):
+class MirrorLocation(_Message, frozen=True):
     """Where a process that mirrors weights stands."""
 
     ip: str  # names it in the swarm
@@ -253,7 +253,7 @@
     """What an entry tells a daemon: who it is, what the daemon needs, what it wants to hear."""
 
     host: str
-    mirror: MirrorPlace | None = None  # the sender's own, if it mirrors weights
+    mirror: MirrorLocation | None = None  # the sender's own, if it mirrors weights
     wants_mirrors: bool = False  # also tell, once, which mirrors are known
     plan: WeightsPlan | None = None  # by the configuration in force at the sender
     wants_load: bool = True  # the replica's state, for some seconds
@@ -279,7 +279,7 @@
 class KnownMirrors(_Message, frozen=True, tag=46):
     """The mirrors that the sender heard of lately."""
 
-    mirrors: list[MirrorPlace]
+    mirrors: list[MirrorLocation]
 
 
 class ReplicaLoad(_Message, frozen=True, tag=43):
@@ -379,13 +379,13 @@
 
 
 ControlMessage = (
-    Hint
+    DocumentNotice
     | AskDocument
     | Document
     | Status
     | AskTurn
     | TurnAnswer
-    | Goodbye
+    | ShutdownNotice
     | AskRevision
     | KnownRevision
     | AskFacts
--- a/libs/wire/src/headcross_wire/peernode.py
+++ b/libs/wire/src/headcross_wire/peernode.py
@@ -17,7 +17,7 @@
 from headcross_wire.peermessages import MAX_MESSAGE_BYTES, PeerMessage, decode, encode
 from headcross_wire.zmqsocket import ZmqSocket
 
-CONTROL_QUEUE: Final = 256  # messages waiting on one link
+CONTROL_QUEUE_MESSAGES: Final = 256  # messages waiting on one link
 # A link that nothing was sent on for so long is closed; the next send opens it anew.
 LINK_IDLE_SECONDS: Final = 60.0
 
@@ -25,7 +25,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Incoming:
+class IncomingMessage:
     """A message that arrived, and how to answer the one who sent it."""
 
     message: PeerMessage
@@ -33,7 +33,7 @@
     reply: Reply
 
 
-Handler = Callable[[Incoming], None]
+Handler = Callable[[IncomingMessage], None]
 
 
 @dataclass(slots=True)
@@ -57,7 +57,7 @@
         self,
         address: Address,
         handler: Handler,
-        queue: int = CONTROL_QUEUE,
+        queue: int = CONTROL_QUEUE_MESSAGES,
         max_payload_bytes: int = MAX_MESSAGE_BYTES,
     ) -> None:
         self.malformed = 0
@@ -75,18 +75,18 @@
         self._links: dict[Address, _Link] = {}
         self._nursery: trio.Nursery | None = None
         # Bytes of links that were closed since.
-        self._closed_sent = 0
-        self._closed_received = 0
+        self._closed_links_sent_bytes = 0
+        self._closed_links_received_bytes = 0
 
     @property
     def sent_bytes(self) -> int:
         """Bytes of all messages sent so far."""
-        return self._closed_sent + sum(s.sent_bytes for s in self._sockets())
+        return self._closed_links_sent_bytes + sum(s.sent_bytes for s in self._sockets())
 
     @property
     def received_bytes(self) -> int:
         """Bytes of all messages received so far."""
-        return self._closed_received + sum(s.received_bytes for s in self._sockets())
+        return self._closed_links_received_bytes + sum(s.received_bytes for s in self._sockets())
 
     @property
     def link_count(self) -> int:
@@ -150,8 +150,8 @@
             while True:
                 self._dispatch(await link.socket.receive(), reply)
         # Only a closed link comes here; a whole node that stops closes its sockets itself.
-        self._closed_sent += link.socket.sent_bytes
-        self._closed_received += link.socket.received_bytes
+        self._closed_links_sent_bytes += link.socket.sent_bytes
+        self._closed_links_received_bytes += link.socket.received_bytes
         link.socket.close()
 
     def _dispatch(self, frames: list[bytes], reply: Reply) -> None:
@@ -160,7 +160,7 @@
             self.malformed += 1
             return
         payload = frames[1] if len(frames) == 2 else None
-        self._handler(Incoming(message, payload, reply))
+        self._handler(IncomingMessage(message, payload, reply))
 
     def _open(self, address: Address) -> _Link:
         if self._nursery is None:
--- a/libs/wire/src/headcross_wire/replies.py
+++ b/libs/wire/src/headcross_wire/replies.py
@@ -48,7 +48,7 @@
     )
 
 
-def read_refusal(verdict: str, retry_after: str | None, body: bytes) -> Refusal:
+def parse_refusal(verdict: str, retry_after: str | None, body: bytes) -> Refusal:
     """Return the refusal that a daemon sent; anything unclear may have run."""
     seconds = float(retry_after) if retry_after and retry_after.isdecimal() else None
     try:
--- a/libs/wire/src/headcross_wire/zmqsocket.py
+++ b/libs/wire/src/headcross_wire/zmqsocket.py
@@ -22,7 +22,7 @@
 # queues, and chunks come only when they were asked for. With a limit libzmq 4.3.5 stops polling a
 # connection whose queue is full; if that then breaks, the next heartbeat ends the process by an
 # assertion (`!_io_error`, 3 of 3 runs of its test).
-NO_RECEIVE_LIMIT: Final = 0
+UNLIMITED_RECEIVE_QUEUE: Final = 0
 RECONNECT_MS: Final = 100
 RECONNECT_MAX_MS: Final = 2000
 
@@ -42,7 +42,7 @@
         self._socket = context.socket(kind)
         self._socket.setsockopt(zmq.LINGER, 0)
         self._socket.setsockopt(zmq.SNDHWM, queue)
-        self._socket.setsockopt(zmq.RCVHWM, NO_RECEIVE_LIMIT)
+        self._socket.setsockopt(zmq.RCVHWM, UNLIMITED_RECEIVE_QUEUE)
         self._socket.setsockopt(zmq.MAXMSGSIZE, max_bytes)
         self._socket.setsockopt(zmq.HEARTBEAT_IVL, HEARTBEAT_MS)
         self._socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
@@ -56,7 +56,7 @@
         assert isinstance(descriptor, int)
         self._descriptor = descriptor
         # The receiver's wait; a send that finds something to receive ends it.
-        self._waiting = trio.CancelScope()
+        self._wait_scope = trio.CancelScope()
 
     def bind(self, endpoint: str) -> str:
         """Listen; return the endpoint with its real port."""
@@ -100,17 +100,17 @@
         """Close at once; queued messages are dropped."""
         self._socket.close(linger=0)
 
-    def _readable_now(self) -> bool:
+    def _is_readable(self) -> bool:
         """Read EVENTS, which also clears the descriptor's edge."""
         events = self._socket.getsockopt(zmq.EVENTS)
         assert isinstance(events, int)
         return bool(events & zmq.POLLIN)
 
     def _wake_receiver(self) -> None:
-        if self._readable_now():
-            self._waiting.cancel()
+        if self._is_readable():
+            self._wait_scope.cancel()
 
     async def _wait_readable(self) -> None:
-        with trio.CancelScope() as self._waiting:
-            if not self._readable_now():
+        with trio.CancelScope() as self._wait_scope:
+            if not self._is_readable():
                 await trio.lowlevel.wait_readable(self._descriptor)
--- a/testing/machines.py
+++ b/testing/machines.py
@@ -109,7 +109,7 @@
     async def open_platform(self) -> None:
         """Start the store and the origin."""
         server = HttpServer(
-            self.store.handle, ServerLimits(end_of_input_is_gone=True, max_body_bytes=1024)
+            self.store.handle, ServerLimits(cancel_on_eof=True, max_body_bytes=1024)
         )
         listeners, _ = await server.listen(self.private(self.address(STORE)))
         self.nursery.start_soon(server.serve, listeners)
--- a/tests/test_machine_stopping.py
+++ b/tests/test_machine_stopping.py
@@ -49,7 +49,7 @@
         await connection.receive_answer()
         while await connection.receive_piece() is not None:
             pass
-        assert connection.quiet()
+        assert connection.has_no_input()
         site.signal("entry0", signal.SIGTERM)
         assert await site.wait_exit("entry0") == 0
         # The end of the connection can be read; a reset would raise something else.
