--- a/libs/gateway/src/headcross_gateway/lossnews.py
+++ b/libs/gateway/src/headcross_gateway/lossnews.py
@@ -10,7 +10,7 @@
 from collections import Counter
 from collections.abc import Callable, Iterable
 
-from headcross_wire.peermessages import AnsweredRequest, GroupEnds, LossNews, LostReplica
+from headcross_wire.peermessages import AnsweredRequest, GroupOutcomeNews, LossNews, LostReplica
 
 from headcross_gateway.grouplosses import GroupLosses, GroupOutcomes
 from headcross_gateway.replicalosses import (
@@ -110,10 +110,10 @@
         ]
         return LossNews(lost) if lost else None
 
-    def _group_ends(self, now: float) -> list[GroupEnds]:
+    def _group_ends(self, now: float) -> list[GroupOutcomeNews]:
         """Return this entry's outcomes of the groups that have a recorded loss."""
         own = {group: self.groups.own(group, now) for group in self.losses.groups()}
-        return [GroupEnds(group, ends.lost, ends.answered) for group, ends in own.items()]
+        return [GroupOutcomeNews(group, ends.lost, ends.answered) for group, ends in own.items()]
 
     def receive(self, news: LossNews, now: float) -> None:
         """Store the news of another entry; implausible items are counted and ignored."""
--- a/libs/native/src/headcross_native/__init__.py
+++ b/libs/native/src/headcross_native/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the platform. Every guess about an outside protocol lives here and nowhere else."""
+"""Adapters to the platform; the only place that assumes anything about external protocols."""
--- a/libs/native/src/headcross_native/configservice.py
+++ b/libs/native/src/headcross_native/configservice.py
@@ -1,15 +1,15 @@
-"""The platform's configuration service: it can only be read and watched.
+"""Client of the platform's configuration service, which can only be read and watched.
 
-Assumed protocol (the real one is not given yet), HTTP/1.1:
+Assumed protocol (the real one is not specified yet), HTTP/1.1:
 
     GET /v1/documents/KEY                       200, `Revision: N`, the body; or 404
     GET /v1/documents/KEY?after=N&wait=SECONDS  the same once the revision is above N, else 304
 
 A `Repr-Digest: sha-256=:BASE64:` header (RFC 9530) is verified if the service sends one, so that a
-body that was damaged on its way is never taken for the operators' file.
+body corrupted in transit is never accepted as the operators' file.
 
-Values are at most a megabyte. Each call counts against a budget that all readers share, and a
-waiting watch counts as one, so who reads and how often is decided in `headcross_fleet`.
+Values have at most 1 MiB. Every call counts against a budget that all readers share, and a pending
+watch counts as one call, so `headcross_fleet` decides which process reads and how often.
 """
 
 import base64
@@ -26,8 +26,8 @@
 HOSTS_KEY: Final = "hosts"  # the host list, JSON
 KEYS: Final = (FLEET_KEY, HOSTS_KEY)
 
-MAX_DOCUMENT_BYTES: Final = 1024 * 1024  # source: brief, "holds values up to a megabyte"
-READ_SECONDS: Final = 2.0  # the service answers in milliseconds
+MAX_DOCUMENT_BYTES: Final = 1024 * 1024  # largest value that the service holds
+READ_SECONDS: Final = 2.0  # the service normally answers within milliseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -41,15 +41,15 @@
 
 @dataclass(frozen=True, slots=True)
 class Unchanged:
-    """The service has nothing above the revision asked about."""
+    """The service has no revision above the requested one."""
 
     key: str
 
 
 class ConfigService:
-    """Reads documents; tries the service's addresses in turn."""
+    """Reads documents, switching to the service's next address after a failed call."""
 
-    # Calls made so far, each of which counts against the service's budget.
+    # Number of calls made; each counts against the service's budget.
     reads: int
 
     def __init__(self, addresses: list[Address]) -> None:
@@ -58,7 +58,7 @@
         self._next = 0
 
     async def read(self, key: str) -> Ok[Snapshot] | Failure:
-        """Return the document as it stands."""
+        """Return the current revision of a document, or why it could not be read."""
         outcome = await self._get(key, f"/v1/documents/{key}", READ_SECONDS)
         if isinstance(outcome, Failure):
             return outcome
@@ -67,7 +67,7 @@
         return Ok(outcome.value)
 
     async def watch(self, key: str, after: int, wait: float) -> Ok[Snapshot | Unchanged] | Failure:
-        """Wait up to `wait` seconds for a revision above `after`."""
+        """Wait up to `wait` seconds for a revision above `after`; return it if there is one."""
         target = f"/v1/documents/{key}?after={after}&wait={wait}"
         return await self._get(key, target, wait + READ_SECONDS)
 
@@ -93,7 +93,7 @@
 
 
 def _digest_holds(field: str | None, body: bytes) -> bool:
-    """Check a body against its Repr-Digest; a service that sends none is believed."""
+    """Check a body against its Repr-Digest; without that header every body is accepted."""
     if field is None:
         return True
     expected = base64.b64encode(hashlib.sha256(body).digest()).decode()
--- a/libs/native/src/headcross_native/engine.py
+++ b/libs/native/src/headcross_native/engine.py
@@ -1,13 +1,13 @@
-"""A model engine: what it has loaded, its load, orders to it, and headers of requests to it.
+"""Client of a model engine: its state, orders to it, and headers of requests to it.
 
-Assumed protocol (the real one is not given yet), HTTP/1.1 with JSON:
+Assumed protocol (the real one is not specified yet), HTTP/1.1 with JSON:
 
-    GET  /v1/state     what is loaded, the highest fence seen, the load
-    POST /v1/orders    set what is to be loaded; 409 when the fence is too low
+    GET  /v1/state     the loaded weights, the highest fence seen, the load
+    POST /v1/orders    set the weights to load; 409 if the fence is too low
 
-An order sets a state: it names all weights the engine is to hold. The engine fetches them from the
-daemon beside it over loopback and reports the digest of the bytes it really loaded. Not all
-engines check fences; `checks_fences` says which do.
+An order is declarative: it names all weights the engine is to hold. The engine fetches them over
+loopback from the daemon on its host and reports digests computed from the loaded bytes. Not all
+engines check fences; those that do set `checks_fences`.
 """
 
 from typing import Final
@@ -19,8 +19,8 @@
 from headcross_base.hashing import digest_of
 from headcross_wire.httpclient import call
 
-# Headers of a request to an engine: the token to go on from, the priority (0 goes first), and the
-# weights it must hold, as an entity tag; it answers 412 and runs nothing if it holds others.
+# Headers of a request to an engine: the token to resume from, the priority (0 is the highest), and
+# the required weights as an entity tag; an engine with other weights answers 412 and runs nothing.
 ENGINE_RESUME_HEADER: Final = "resume-from"
 ENGINE_PRIORITY_HEADER: Final = "priority"
 ENGINE_MATCH_HEADER: Final = "if-match"
@@ -31,11 +31,11 @@
 
 
 class Fence(msgspec.Struct, frozen=True, order=True, array_like=True):
-    """The token of an order; engines that check refuse one below the highest they saw."""
+    """The fencing token of an order; engines that check it refuse one below the highest seen."""
 
-    revision: int  # fleet file the order follows from
-    incarnation: int  # start of the daemon that gives it
-    sequence: int  # order of that incarnation
+    revision: int  # of the fleet file that the order is derived from
+    incarnation: int  # of the daemon that issues it
+    sequence: int  # number of the order within that incarnation
 
 
 class WeightsOrder(msgspec.Struct, frozen=True):
@@ -46,7 +46,7 @@
 
 
 class Order(msgspec.Struct, frozen=True):
-    """What the engine is to hold; an empty list unloads everything."""
+    """The weights that the engine is to hold; an empty list unloads everything."""
 
     fence: Fence
     weights: list[WeightsOrder]
@@ -54,23 +54,23 @@
 
 
 class EngineState(msgspec.Struct, frozen=True):
-    """What an engine says of itself."""
+    """The state that an engine reports."""
 
-    loaded: list[WeightsOrder]  # digests computed by the engine from the bytes it loaded
-    loading: bool  # an order is being carried out
-    error: str  # why the last order failed, empty if it did not
+    loaded: list[WeightsOrder]  # digests computed by the engine from the loaded bytes
+    loading: bool  # whether an order is being executed
+    error: str  # why the last order failed; empty if it succeeded
     fence: Fence  # highest fence seen
     checks_fences: bool
-    load: float  # 0 idle to 1 full
-    load_age: float  # seconds since the load was measured; it lags
-    running: int  # requests being served
+    load: float  # from 0 (idle) to 1 (full)
+    load_age: float  # seconds since the load was measured, which lags
+    running: int  # number of requests being served
 
 
 def serving_digest(digests: list[str]) -> str:
-    """Return the one digest that stands for a set of loaded weights.
+    """Return the digest that identifies a set of loaded weights.
 
-    A model alone goes by its own digest; with adapters, by the digest of all in order. Requests
-    name it in `If-Match`; an engine that holds anything else answers 412 and runs nothing.
+    For a model alone this is its own digest; with adapters, the digest of all digests in order.
+    Requests send it in `If-Match`; an engine with other weights answers 412 and runs nothing.
 
     >>> serving_digest(["a" * 64]) == "a" * 64
     True
@@ -82,13 +82,13 @@
 
 
 class Engine:
-    """The engine at one address."""
+    """Client of the engine at one address."""
 
     def __init__(self, address: Address) -> None:
         self.address = address
 
     async def read_state(self) -> Ok[EngineState] | Failure:
-        """Ask the engine what it holds."""
+        """Return the engine's state; fail with ORDER_FAILED if its answer cannot be decoded."""
         outcome = await call(
             self.address,
             "GET",
@@ -104,7 +104,11 @@
             return Failure(ORDER_FAILED, f"engine state: {error}")
 
     async def send_order(self, order: Order) -> Ok[None] | Failure:
-        """Give an order; ORDER_FAILED means that nobody knows whether it was taken."""
+        """Send an order.
+
+        ORDER_REFUSED means that the fence is too low; with ORDER_FAILED it is unknown whether the
+        engine accepted the order.
+        """
         outcome = await call(
             self.address,
             "POST",
--- a/libs/native/src/headcross_native/eventstream.py
+++ b/libs/native/src/headcross_native/eventstream.py
@@ -1,8 +1,8 @@
-"""Server-sent events, as far as passing them on whole needs it.
+"""Splits streams of server-sent events at event boundaries.
 
-Entries pass on whole events only and count those that carry a token (an `id:` line, by the
-protocol assumed of engines), so that a broken stream can be taken up at the next token. The last
-event of a whole answer is `data: [DONE]`.
+Entries forward complete events only and count those that carry a token (an `id:` line in the
+protocol assumed for engines), so that a broken stream can be resumed at the next token. The last
+event of a complete answer is `data: [DONE]`.
 """
 
 from typing import Final
@@ -10,20 +10,20 @@
 EVENT_STREAM: Final = "text/event-stream"
 DONE_EVENT: Final = b"data: [DONE]"
 EVENT_END: Final = b"\n\n"
-# An event that grows beyond this without an end breaks the protocol.
+# A longer event is a protocol violation.
 MAX_EVENT_BYTES: Final = 1024 * 1024
 
 
 class EventTooLongError(Exception):
-    """The upstream sent an event without an end."""
+    """The upstream sent an event of more than MAX_EVENT_BYTES without a terminator."""
 
 
 class EventSplitter:
-    """Cuts a stream of bytes into whole events."""
+    """Splits a byte stream into complete events."""
 
-    # Events with a token passed so far.
+    # Number of events with a token returned so far, plus the initial count.
     tokens: int
-    # Whether the last event of the answer was seen.
+    # Whether DONE_EVENT was seen.
     done: bool
 
     def __init__(self, tokens: int = 0) -> None:
@@ -32,7 +32,9 @@
         self._rest = b""
 
     def feed(self, data: bytes) -> bytes:
-        """Return all events that are whole now; the beginning of the next one is kept.
+        """Return all events completed by `data`, keeping an incomplete one for the next call.
+
+        Raises EventTooLongError if the incomplete event exceeds MAX_EVENT_BYTES.
 
         >>> splitter = EventSplitter()
         >>> splitter.feed(b"id: 0\\ndata: a\\n\\nid: 1\\n"), splitter.tokens
--- a/libs/native/src/headcross_native/hostlist.py
+++ b/libs/native/src/headcross_native/hostlist.py
@@ -1,8 +1,8 @@
-"""The platform's list of live and leaving hosts. It lags.
+"""Parses the platform's list of live and leaving hosts, which lags behind reality.
 
-Assumed form (the real one is not given yet): a JSON document of the configuration service, checked
-by msgspec. Every host with a daemon is listed with the daemon's addresses and, for an upstream
-daemon, the upstreams beside it.
+Assumed format (the real one is not specified yet): a JSON document of the configuration service,
+validated by msgspec. It lists every host that runs a daemon with the daemon's addresses and, for
+an upstream daemon, the upstreams on that host.
 """
 
 from typing import Final, Literal
@@ -17,7 +17,7 @@
 
 
 class HostUpstream(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An upstream on a host."""
+    """One upstream of a host."""
 
     name: str  # unique in the fleet
     kind: UpstreamKind
@@ -25,46 +25,46 @@
 
 
 class Host(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One host with a daemon of the system."""
+    """One host that runs a daemon."""
 
     name: str
     role: Role
     region: str
     zone: str  # availability zone, unique across regions
     control: str  # control channel, IP:PORT
-    http: str  # where entries reach the daemon, IP:PORT
-    swarm: str = ""  # swarm channel, IP:PORT; empty for entries that mirror no weights
-    leaving: bool = False  # the platform is about to take the host away
+    http: str  # requests from entries, IP:PORT
+    swarm: str = ""  # swarm channel, IP:PORT; empty for entries that do not mirror weights
+    leaving: bool = False  # the platform is about to remove the host
     upstreams: list[HostUpstream] = []
 
     @property
     def control_address(self) -> Address:
-        """Address of the control channel."""
+        """Parsed address of the control channel."""
         return parse_address(self.control)
 
     @property
     def is_mirror(self) -> bool:
-        """Whether it has weights only to hand them on, over a link that others do not wait for."""
+        """Whether it holds weights only to upload them, over a link no other host waits for."""
         return self.role == "entry" and bool(self.swarm)
 
     @property
     def swarm_address(self) -> Address:
-        """Address of the swarm channel; only of upstream hosts and mirrors."""
+        """Parsed address of the swarm channel; only valid for upstream hosts and mirrors."""
         return parse_address(self.swarm)
 
     @property
     def http_address(self) -> Address:
-        """Address that entries send requests to."""
+        """Parsed address that entries send requests to."""
         return parse_address(self.http)
 
 
 class HostList(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """All hosts."""
+    """All hosts known to the platform."""
 
     hosts: list[Host]
 
     def find(self, name: str) -> Host | None:
-        """Return the host of that name."""
+        """Return the host with that name, or None."""
         return next((host for host in self.hosts if host.name == name), None)
 
 
@@ -74,7 +74,7 @@
 
 
 def parse_host_list(body: bytes) -> Ok[HostList] | Failure:
-    """Check and return a host list; whole or not at all."""
+    """Parse and validate a host list; a single invalid host rejects the entire list."""
     try:
         hosts = _DECODER.decode(body)
         for host in hosts.hosts:
--- a/libs/native/src/headcross_native/weightsource.py
+++ b/libs/native/src/headcross_native/weightsource.py
@@ -1,12 +1,12 @@
-"""Where weights come from outside: the rate-limited weight store and the origin.
+"""Client of the external sources of weights: the rate-limited weight store and the origin.
 
-Assumed protocol (the real one is not given yet), HTTP/1.1 with ranges (RFC 9110, section 14):
+Assumed protocol (the real one is not specified yet), HTTP/1.1 with ranges (RFC 9110, section 14):
 
     GET /weights/NAME/manifest.json          the manifest
     GET /weights/NAME/files/PATH  + Range    bytes of one file; 429 with Retry-After when limited
 
-The name is the one the fleet file gives. Nothing that comes from here is trusted: the manifest
-must have the digest the fleet file names, and each chunk the digest the manifest names.
+NAME is the name in the fleet file. The sources are not trusted: the manifest must have the digest
+in the fleet file, and each chunk the digest in the manifest.
 """
 
 from dataclasses import dataclass
@@ -25,7 +25,7 @@
 
 @dataclass(frozen=True, slots=True)
 class SourceBusy:
-    """The source is at its limit."""
+    """The source is at its limit; retry after `seconds`."""
 
     seconds: float
 
@@ -34,18 +34,18 @@
 class WeightSource:
     """The store or the origin at one address."""
 
-    name: str  # "store" or "origin", for dumps and metrics
+    name: str  # "store" or "origin", for state dumps and metrics
     address: Address
 
     async def read_manifest(self, weights: str) -> Ok[bytes] | SourceBusy | Failure:
-        """Return the bytes of a manifest, unchecked."""
+        """Return the bytes of a manifest without verifying them."""
         target = f"/weights/{quote(weights, safe='')}/manifest.json"
         return await self._get(target, [], MANIFEST_SECONDS, MAX_MANIFEST_BYTES)
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
     ) -> Ok[bytes] | SourceBusy | Failure:
-        """Return `size` bytes of a file from `offset`, unchecked."""
+        """Return `size` bytes of a file from `offset` on without verifying them."""
         target = f"/weights/{quote(weights, safe='')}/files/{quote(path)}"
         headers = [("range", f"bytes={offset}-{offset + size - 1}")]
         return await self._get(target, headers, seconds, size)
--- a/libs/wire/src/headcross_wire/__init__.py
+++ b/libs/wire/src/headcross_wire/__init__.py
@@ -1,1 +1,1 @@
-"""How bytes move: typed messages over ZeroMQ between daemons, HTTP/1.1 towards everyone else."""
+"""Transports: typed messages over ZeroMQ between daemons, HTTP/1.1 to all other processes."""
--- a/libs/wire/src/headcross_wire/httpclient.py
+++ b/libs/wire/src/headcross_wire/httpclient.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client: h11 over trio, in steps, so that the caller knows how far a request got.
+"""An HTTP/1.1 client (h11 over trio) in steps, so that its user knows how far a request got.
 
-The steps are those a verdict needs: `connect` may fail and nothing was sent; from the first byte
-`send` writes, the request may run; `Answer` is then read piece by piece.
+The steps decide the verdict on a request: if `connect` fails, nothing was sent; from the first
+byte that `send` writes, the request may run. The body of an `Answer` is then read in pieces.
 """
 
 import socket
@@ -21,28 +21,28 @@
 
 from headcross_wire.httpserver import RECEIVE_BYTES, Headers
 
-# Closing then drops what is still to be sent and resets the connection (socket(7)).
+# SO_LINGER value: closing discards unsent data and resets the connection (socket(7)).
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
 CONNECT_SECONDS: Final = 2.0
-IDLE_SECONDS: Final = 20.0  # an idle connection older than this is not used again
-MAX_IDLE_PER_ADDRESS: Final = 16  # kept for one address
+IDLE_SECONDS: Final = 20.0  # a connection idle for longer is not reused
+MAX_IDLE_PER_ADDRESS: Final = 16  # idle connections kept per address
 
-# The IP number that connections of this process come from; None lets the system choose. Set once
-# at the start from the settings; tasks inherit it.
+# The source IP address of this process's connections; None lets the system choose. Set once at
+# start from the settings, and inherited by tasks.
 SOURCE_IP: Final[ContextVar[str | None]] = ContextVar("SOURCE_IP", default=None)
 
 
 class ConnectError(Exception):
-    """No connection; nothing of the request has left this process."""
+    """No connection was made; nothing of the request was sent."""
 
 
 class LinkLostError(Exception):
-    """The connection broke after the request may have left."""
+    """The connection broke after the request may have been sent."""
 
 
 @dataclass(frozen=True, slots=True)
 class Answer:
-    """Status and headers of an answer whose body is still to come."""
+    """Status and headers of an answer whose body has not been read yet."""
 
     status: int
     headers: Headers  # names in lower case
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True, slots=True)
 class WholeAnswer:
-    """An answer with its whole body."""
+    """An answer with its complete body."""
 
     status: int
     headers: Headers
@@ -71,7 +71,7 @@
         self._connection = h11.Connection(h11.CLIENT)
 
     async def send(self, method: str, target: str, headers: Headers, body: bytes) -> None:
-        """Write a whole request; raise LinkLostError if that breaks."""
+        """Write a complete request; raise LinkLostError if the connection breaks."""
         names = {name.lower() for name, _ in headers}
         extra = [] if "host" in names else [("host", str(self.address))]
         if body or method in ("POST", "PUT"):
@@ -88,7 +88,7 @@
             raise LinkLostError(str(error)) from None
 
     async def receive_answer(self) -> Answer:
-        """Wait for status and headers."""
+        """Return status and headers; raise LinkLostError if the connection ends before them."""
         while True:
             event = await self._next_event()
             if isinstance(event, h11.Response):
@@ -98,9 +98,10 @@
                 raise LinkLostError("the link closed before an answer")
 
     async def receive_piece(self) -> bytes | None:
-        """Return the next piece of the body, None at its end; raise if it breaks off.
+        """Return the next piece of the body, or None at its end.
 
-        A call that is cancelled has consumed nothing, so it may simply be made again.
+        Raises LinkLostError if the body is truncated. A cancelled call has consumed nothing and
+        may be repeated.
         """
         event = await self._next_event()
         if isinstance(event, h11.EndOfMessage):
@@ -110,7 +111,7 @@
         return bytes(event.data)
 
     def reusable(self) -> bool:
-        """Tell whether the last exchange ended so that another may follow."""
+        """Return whether another exchange may follow, and prepare the connection for it if so."""
         states = (self._connection.our_state, self._connection.their_state)
         if states != (h11.DONE, h11.DONE) or self._connection.trailing_data[0]:
             return False
@@ -119,15 +120,15 @@
         return True
 
     def has_no_input(self) -> bool:
-        """Tell whether nothing has come on an idle connection: no end, no stray bytes."""
+        """Return whether an idle connection has nothing to read: neither EOF nor stray bytes."""
         return not self._stream.socket.is_readable()
 
     async def close(self) -> None:
-        """Close at once."""
+        """Close without waiting."""
         await trio.aclose_forcefully(self._stream)
 
     async def abandon(self) -> None:
-        """Close with a reset: what has not left yet never will, and nothing more is wanted."""
+        """Close with a reset: unsent data is discarded and no more data is accepted."""
         with suppress(OSError):
             self._stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, RESET_ON_CLOSE)
         await trio.aclose_forcefully(self._stream)
@@ -146,7 +147,7 @@
 
 
 async def connect(address: Address, seconds: float = CONNECT_SECONDS) -> HttpConnection:
-    """Open a connection; raise ConnectError if there is none within `seconds`."""
+    """Open a connection; raise ConnectError if that fails or takes longer than `seconds`."""
     try:
         with trio.fail_after(seconds):
             stream = await trio.open_tcp_stream(
@@ -158,7 +159,7 @@
 
 
 class ConnectionPool:
-    """Idle connections, for requests that may be sent again if one turns out to be dead."""
+    """Keeps idle connections for requests that may be sent again if a connection is dead."""
 
     def __init__(self) -> None:
         self._idle: dict[Address, list[HttpConnection]] = {}
@@ -168,7 +169,7 @@
         return await self.take_idle(address) or await connect(address)
 
     async def take_idle(self, address: Address) -> HttpConnection | None:
-        """Return an idle connection that seems alive, if there is one."""
+        """Return an idle connection that is recent and has no input, or None."""
         idle = self._idle.get(address, [])
         while idle:
             connection = idle.pop()
@@ -179,7 +180,7 @@
         return None
 
     async def give(self, connection: HttpConnection) -> None:
-        """Take a connection back after use; close it if it cannot be used again."""
+        """Return a connection to the pool after use; close it if it cannot be reused."""
         idle = self._idle.setdefault(connection.address, [])
         if connection.reusable() and len(idle) < MAX_IDLE_PER_ADDRESS:
             idle.append(connection)
@@ -188,7 +189,7 @@
 
 
 class _Closing:
-    """Closes a connection when a block ends."""
+    """An asynchronous context manager that closes a connection on exit."""
 
     def __init__(self, connection: HttpConnection) -> None:
         self._connection = connection
@@ -206,7 +207,7 @@
 
 
 def closing(connection: HttpConnection) -> _Closing:
-    """Use as `async with closing(await connect(...)) as connection`."""
+    """Return a context manager: `async with closing(await connect(...)) as connection`."""
     return _Closing(connection)
 
 
@@ -220,7 +221,10 @@
     seconds: float,
     max_bytes: int,
 ) -> Ok[WholeAnswer] | Failure:
-    """Make one whole call that may be made twice, on a kept connection if there is one."""
+    """Make one idempotent call, on an idle connection of the pool if there is one.
+
+    If that connection fails, the call is repeated on a new one; each try has `seconds`.
+    """
     connection = await pool.take_idle(address)
     if connection is not None:
         until = trio.current_time() + seconds
@@ -245,9 +249,9 @@
     seconds: float,
     max_bytes: int,
 ) -> Ok[WholeAnswer] | Failure:
-    """Make one whole call that is not repeated, on a kept connection if there is one.
+    """Make one call without repeating it, on an idle connection of the pool if there is one.
 
-    Only after a failure to connect is it certain that nothing of it has left.
+    Only CONNECT_FAILED means that nothing was sent.
     """
     until = trio.current_time() + seconds
     connection = await pool.take_idle(address)
@@ -268,7 +272,7 @@
     until: float,
     max_bytes: int,
 ) -> Ok[WholeAnswer] | Failure:
-    """Make one whole call on a connection until a time (trio's), and keep the connection after."""
+    """Make one call on a connection until a trio time, then return the connection to the pool."""
     try:
         with trio.fail_at(until):
             answer = await exchange(connection, method, target, [], body, max_bytes)
@@ -294,9 +298,10 @@
     max_bytes: int,
     on_progress: Callable[[], None] | None = None,
 ) -> WholeAnswer:
-    """Send a request on a connection and read its whole answer; raise LinkLostError if it breaks.
+    """Send a request and return the complete answer.
 
-    `on_progress` is called with each piece of the body.
+    Raises LinkLostError if the connection breaks or the body exceeds `max_bytes`. `on_progress` is
+    called after each piece of the body.
     """
     await connection.send(method, target, headers, body)
     answer = await connection.receive_answer()
@@ -321,11 +326,11 @@
     max_bytes: int,
     silence_seconds: float | None = None,
 ) -> Ok[WholeAnswer] | Failure:
-    """Make one whole call on a connection of its own, bounded in time and size.
+    """Make one call on a new connection, bounded in time and size.
 
-    The call has `seconds` for everything. With `silence_seconds` these are the limit for the first
-    piece of the body, and the rest may take as long as its pieces come within that many seconds of
-    one another: an answer that is on its way is not thrown away because a link is slow.
+    `seconds` bounds the entire call. With `silence_seconds` it only bounds the time to the first
+    piece of the body; after that the call fails once no piece arrives for `silence_seconds`, so
+    that an answer in transit is not discarded because a link is slow.
     """
     try:
         with trio.fail_after(seconds) as scope:
--- a/libs/wire/src/headcross_wire/httpserver.py
+++ b/libs/wire/src/headcross_wire/httpserver.py
@@ -1,13 +1,12 @@
-"""An HTTP/1.1 server: h11 over trio, one task for each connection.
+"""An HTTP/1.1 server: h11 over trio, one task per connection.
 
-The whole request is read before the handler runs, within limits of size and time, so that the
-handler may pass it on more than once. Whatever breaks the standard or a limit gets a 4xx and the
-connection is closed. An answer may be sent whole or as a stream.
+A request is read completely before the handler runs, within limits of size and time, so that the
+handler may forward it more than once. A request that violates the standard or a limit gets a 4xx
+status and the connection is closed. An answer may be sent at once or as a stream.
 
-A caller that is gone shows by the first write that fails, which ends the handler's work by raising
-`CallerGone`. Where `ServerLimits.cancel_on_eof` is set, a caller that closes its sending
-half is gone too, and the handler is cancelled at once; elsewhere such a caller still gets its
-answer.
+The first write that fails after a caller disconnected raises `CallerGone` in the handler. With
+`ServerLimits.cancel_on_eof` the handler is also cancelled as soon as the caller closes its sending
+half; without it such a caller still gets its answer.
 """
 
 import logging
@@ -33,46 +32,46 @@
 MAX_HEADER_BYTES: Final = 32 * 1024
 RECEIVE_BYTES: Final = 64 * 1024
 ACCEPT_BACKLOG: Final = 512
-# While a server closes, a connection without a request is kept for so long.
+# How long a connection without a request stays open while the server closes.
 CLOSING_IDLE_SECONDS: Final = 0.5
 
 logger = logging.getLogger(__name__)
 
 
 class BindError(Exception):
-    """An address cannot be listened on; another process holds it, most likely."""
+    """An address cannot be bound, most likely because another process uses it."""
 
 
 class CallerGone(Exception):
-    """The caller's connection broke while the answer was written."""
+    """The caller's connection broke or stalled while the answer was written."""
 
 
 @dataclass(frozen=True, slots=True)
 class ServerLimits:
-    """Bounds of one listener."""
+    """Limits of one listener."""
 
     max_body_bytes: int = 8 * 1024 * 1024
-    receive_seconds: float = 20.0  # for a whole request, from its first byte
+    receive_seconds: float = 20.0  # for the body, once the headers are read
     idle_seconds: float = 75.0  # between two requests
-    write_seconds: float = 30.0  # for a caller to take one piece of the answer
+    write_seconds: float = 30.0  # for one write of the answer
     max_connections: int = 4096
     max_header_bytes: int = MAX_HEADER_BYTES
     header_seconds: float = 20.0  # for the headers of a request, from its first byte
-    cancel_on_eof: bool = False  # a caller that stops sending has left
+    cancel_on_eof: bool = False  # treat a half-closed connection as a disconnect
 
 
 @dataclass(frozen=True, slots=True)
 class Request:
-    """One whole request."""
+    """One complete request."""
 
     method: str
-    target: str  # path and query, as the caller wrote it
+    target: str  # path and query as sent by the caller
     headers: Headers  # names in lower case
     body: bytes
 
     @property
     def path(self) -> str:
-        """The target without its query."""
+        """Target without the query."""
         return self.target.partition("?")[0]
 
     def header(self, name: str) -> str | None:
@@ -82,17 +81,17 @@
 
 @dataclass(slots=True)
 class Exchange:
-    """A request and the way to answer it."""
+    """A request and the methods that answer it."""
 
     request: Request
     _connection: h11.Connection
     _stream: trio.abc.Stream
     _limits: ServerLimits
-    _last: bool = False  # no other request is taken on this connection
-    started: bool = field(default=False)  # true once the status line was written
+    _last: bool = False  # this is the last request on the connection
+    started: bool = field(default=False)  # whether the status line was sent
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
-        """Send a whole answer."""
+        """Send a complete answer."""
         await self.start(status, [*headers, ("content-length", str(len(body)))])
         if body:
             await self.send(body)
@@ -101,7 +100,7 @@
     async def respond_json(
         self, status: int, value: object, headers: Headers | None = None
     ) -> None:
-        """Send a whole answer in JSON."""
+        """Send a complete answer with `value` encoded as JSON."""
         body = msgspec.json.encode(value)
         await self.respond(status, [("content-type", "application/json"), *(headers or [])], body)
 
@@ -113,7 +112,7 @@
         await self._write(h11.Response(status_code=status, headers=_encode(headers)))
 
     async def send(self, data: bytes) -> None:
-        """Send a piece of the answer."""
+        """Send a piece of the body."""
         await self._write(h11.Data(data=data))
 
     async def finish(self) -> None:
@@ -122,13 +121,13 @@
 
     @property
     def peer_ip(self) -> str:
-        """The IP number that the request came from, empty where that is not known."""
+        """IP address of the caller; empty if it is unknown."""
         if not isinstance(self._stream, trio.SocketStream):
             return ""
         return str(self._stream.socket.getpeername()[0])
 
     async def abort(self) -> None:
-        """Break the answer off, so that it does not look whole."""
+        """Close the connection at once, so that the caller sees a truncated answer."""
         await trio.aclose_forcefully(self._stream)
 
     async def _write(self, event: h11.Response | h11.Data | h11.EndOfMessage) -> None:
@@ -146,17 +145,17 @@
 
 
 class HttpServer:
-    """One listener."""
+    """Serves HTTP on one listener."""
 
-    # Connections open now.
+    # Number of open connections.
     connections: int
-    # Requests refused for breaking the standard or a limit.
+    # Number of requests refused because they violate the standard or a limit.
     malformed: int
-    # Requests whose handler failed unexpectedly.
+    # Number of requests whose handler raised an unexpected exception.
     faults: int
-    # In force for requests read from now on.
+    # Apply to requests read after they are set.
     limits: ServerLimits
-    # Whether every answer asks the caller to leave the connection.
+    # Whether every answer has `Connection: close`.
     sends_connection_close: bool
 
     def __init__(self, handler: HttpHandler, limits: ServerLimits) -> None:
@@ -171,7 +170,10 @@
         self._idle_scopes: set[trio.CancelScope] = set()
 
     async def listen(self, address: Address) -> tuple[list[trio.SocketListener], Address]:
-        """Bind; return the listeners and the address with its real port."""
+        """Bind; return the listeners and the address with the assigned port.
+
+        Raises BindError if the address cannot be bound.
+        """
         try:
             listeners = await trio.open_tcp_listeners(
                 address.port, host=address.ip, backlog=ACCEPT_BACKLOG
@@ -183,15 +185,15 @@
     async def serve(
         self, listeners: Sequence[trio.SocketListener], nursery: trio.Nursery | None = None
     ) -> None:
-        """Accept until cancelled; with a nursery, connections live on in it after that."""
+        """Accept until cancelled; connections outlive that if they run in `nursery`."""
         await trio.serve_listeners(
             self._serve_connection, list(listeners), handler_nursery=nursery
         )
 
     def close_idle(self) -> None:
-        """Close connections between two requests soon, and the others after their answer.
+        """Close idle connections after CLOSING_IDLE_SECONDS, the others after their answer.
 
-        A request that is on its way when this is called is still served.
+        The delay lets requests be served that were in transit when this is called.
         """
         self._closing = True
         for scope in self._idle_scopes:
@@ -217,7 +219,7 @@
         except CallerGone:
             pass
         except Exception:
-            # One request that meets a fault of ours must not take the others with it.
+            # A fault in one request must not end the other connections.
             self.faults += 1
             logger.exception("handler failed")
         finally:
@@ -227,7 +229,7 @@
                 self._all_closed.set()
 
     async def _serve_request(self, connection: h11.Connection, stream: trio.SocketStream) -> bool:
-        """Serve one request; return whether the connection may carry another."""
+        """Serve one request; return whether the connection can be reused."""
         try:
             request = await self._read_request(connection, stream)
         except h11.RemoteProtocolError as error:
@@ -256,7 +258,7 @@
     async def _handle_until_eof(
         self, exchange: Exchange, connection: h11.Connection, stream: trio.SocketStream
     ) -> None:
-        """Run the handler; cancel it if the caller leaves."""
+        """Run the handler; cancel it if the caller disconnects."""
         async with trio.open_nursery() as nursery:
 
             async def watch() -> None:
@@ -318,7 +320,7 @@
 
 
 class _RefusedError(Exception):
-    """A request is refused before it is read whole."""
+    """A request is refused before it is read completely."""
 
     kind: ErrorCode
     detail: str
@@ -330,7 +332,7 @@
 
 
 async def _read_event(connection: h11.Connection, stream: trio.SocketStream) -> object:
-    """Return the next event of a request, reading as far as needed."""
+    """Return the next event of a request, reading from the stream as needed."""
     while True:
         event = connection.next_event()
         if event is not h11.NEED_DATA:
@@ -342,7 +344,7 @@
 
 
 async def _wait_disconnect(connection: h11.Connection, stream: trio.SocketStream) -> None:
-    """Return when the caller has left; keep what it sends ahead, up to a bound."""
+    """Return when the caller disconnects; buffer up to RECEIVE_BYTES of pipelined input."""
     while len(connection.trailing_data[0]) < RECEIVE_BYTES:
         try:
             data = await stream.receive_some(RECEIVE_BYTES)
@@ -355,7 +357,7 @@
 
 
 def _check_head(head: h11.Request, limits: ServerLimits) -> None:
-    """Refuse headers that are too long, or whose two lengths could hide another request."""
+    """Refuse headers that are too long or that allow request smuggling by two body lengths."""
     size = sum(len(name) + len(value) + 4 for name, value in head.headers) + len(head.target)
     if size > limits.max_header_bytes:
         raise _RefusedError(HEADERS_TOO_LARGE, f"{size} bytes")
@@ -374,7 +376,7 @@
 
 
 async def _close_gracefully(stream: trio.SocketStream) -> None:
-    """Close without a reset, which could overtake an error answer on its way."""
+    """Close without a reset, which could discard an error answer before the caller reads it."""
     with trio.move_on_after(1.0) as scope:
         scope.shield = True
         try:
--- a/libs/wire/src/headcross_wire/peermessages.py
+++ b/libs/wire/src/headcross_wire/peermessages.py
@@ -1,74 +1,74 @@
-"""The messages between daemons, as MessagePack arrays with a tag.
+"""The messages between daemons, encoded as tagged MessagePack arrays.
 
-Two channels carry them, each on a socket of its own so that chunks never delay control: the
+They use two channels with separate sockets, so that chunks never delay control messages: the
 control channel (documents, status, turns) and the swarm channel (chunks of weights). Messages
-are facts that may come late, twice or never; none of them carries a caller's request. Sizes are
-kept small by array encoding: a status of one upstream took 112 bytes where it was measured.
+state facts and may arrive late, twice or never; none of them carries a caller's request. Array
+encoding keeps them small: a status with one upstream has 112 bytes.
 """
 
 from typing import Final, Literal
 
 import msgspec
 
-# A message head longer than this is dropped before it is decoded. The longest is a document, whose
-# body has at most a megabyte (source: brief, values of the configuration service).
+# A longer first frame is dropped without decoding. The longest message is a document, whose body
+# has at most 1 MiB, the largest value that the configuration service holds.
 MAX_MESSAGE_BYTES: Final = 1024 * 1024 + 64 * 1024
 
 
 class _Message(msgspec.Struct, array_like=True, frozen=True):
-    """Common options of all messages."""
+    """Common encoding options of all messages."""
 
 
 class DocumentNotice(_Message, frozen=True, tag=1):
-    """ "I hold this document": sent on a change, and as a heartbeat to neighbours."""
+    """Announces a held document: sent on a change, and as a heartbeat to neighbours."""
 
-    key: str  # which document: the fleet file or the host list
-    revision: int  # revision of the configuration service
+    key: str  # of the document: the fleet file or the host list
+    revision: int  # in the configuration service
     digest: str  # SHA-256 of the body
     accepted: int  # newest revision in force at the sender; below `revision` if that was rejected
-    age: float  # seconds since the service was known to have nothing newer
+    age: float  # seconds since the service was last known to have nothing newer
 
 
 class AskDocument(_Message, frozen=True, tag=2):
-    """Ask a peer for the body of the newest document it holds."""
+    """Requests the newest revision of a document that the receiver holds."""
 
     key: str
 
 
 class Document(_Message, frozen=True, tag=3):
-    """A document's whole body."""
+    """One revision of a document, with its body."""
 
     key: str
     revision: int
-    digest: str  # SHA-256 of the body, checked by the receiver
+    digest: str  # SHA-256 of the body, verified by the receiver
     age: float
     body: bytes
 
 
 class UpstreamStatus(_Message, frozen=True):
-    """The state of one upstream, told by the daemon beside it."""
+    """The state of one upstream, reported by the daemon on its host."""
 
     name: str
     state: str  # a State of headcross_rollout, or "serving" / "leaving" of a plain service
-    pool: str  # pool or service it belongs to now, empty if none
-    digest: str  # weights digest it serves, empty for plain services
-    in_flight: int  # requests handed over and not ended
-    queued: int  # requests waiting in the daemon
-    slots: int  # requests that may be handed over at once
-    engine_load: float  # the engine's own report, 0 idle to 1 full
-    engine_load_age: float  # seconds since the engine made that report
-    progress: float  # share of the staged weights that is here, 0 to 1
+    pool: str  # current pool or service; empty if none
+    digest: str  # of the weights that it serves; empty for plain services
+    in_flight: int  # number of requests handed over to it that have not ended
+    queued: int  # number of requests waiting in the daemon
+    slots: int  # number of requests that may be handed over at the same time
+    engine_load: float  # reported by the engine, from 0 (idle) to 1 (full)
+    engine_load_age: float  # seconds since the engine reported its load
+    progress: float  # share of the weights being staged that has arrived, 0 to 1
 
 
 class Status(_Message, frozen=True, tag=4):
     """The heartbeat of one upstream daemon."""
 
     host: str
-    incarnation: int  # grows with every start of the daemon
-    sequence: int  # grows with every message of one incarnation
-    revision: int  # fleet file in force there
-    hosts_revision: int  # host list in force there
-    period: float  # seconds until the next heartbeat at the latest
+    incarnation: int  # increases with every start of the daemon
+    sequence: int  # increases with every message of one incarnation
+    revision: int  # of the fleet file in force at the sender
+    hosts_revision: int  # of the host list in force at the sender
+    period: float  # maximum seconds until the next heartbeat
     upstreams: list[UpstreamStatus]
 
 
@@ -76,44 +76,44 @@
 
 
 class AskTurn(_Message, frozen=True, tag=5):
-    """Ask an entry whether an upstream may move; see headcross_rollout.turns."""
+    """Asks an entry whether an upstream may proceed; see headcross_rollout.turns."""
 
-    question: int
+    question: int  # number repeated in the answer
     kind: TurnKind
     upstream: str
     pool: str
-    digest: str  # the pool's weights by the asker's fleet file
-    revision: int  # fleet file the asker goes by
-    hosts_revision: int  # host list the asker goes by
+    digest: str  # of the pool's weights in the sender's fleet file
+    revision: int  # of the sender's fleet file
+    hosts_revision: int  # of the sender's host list
 
 
 class TurnAnswer(_Message, frozen=True, tag=6):
-    """An entry's answer to `AskTurn`."""
+    """Answers `AskTurn`."""
 
     question: int
     now: bool
     reason: str
-    before: int  # how many upstreams go before this one
+    before: int  # number of upstreams whose turn is earlier
 
 
 class ShutdownNotice(_Message, frozen=True, tag=7):
-    """A daemon that stops on purpose takes its status back at once."""
+    """Sent by a daemon that stops as planned; its status becomes invalid at once."""
 
     host: str
     incarnation: int
 
 
 class Join(_Message, frozen=True, tag=20):
-    """Enter a transfer with a neighbour: what the sender has; the receiver answers in kind."""
+    """Joins a transfer with a neighbour and states the sender's chunks; answered by a `Join`."""
 
     host: str
     artifact: str
-    bitmap: bytes  # one bit a chunk, lowest first; empty while the manifest is unknown
+    bitmap: bytes  # one bit per chunk, lowest first; empty while the manifest is unknown
     wants_answer: bool
 
 
 class Have(_Message, frozen=True, tag=21):
-    """The sender has these chunks now."""
+    """Announces chunks that the sender has acquired."""
 
     host: str
     artifact: str
@@ -121,58 +121,58 @@
 
 
 class AskChunk(_Message, frozen=True, tag=22):
-    """Ask for one chunk."""
+    """Requests one chunk."""
 
     host: str
     artifact: str
     index: int
-    rate: float = 0.0  # bytes a second that the asker's link takes; 0 for no bound
+    rate: float = 0.0  # bytes per second that the sender's link can receive; 0 for no limit
 
 
 class Chunk(_Message, frozen=True, tag=23):
-    """One chunk, or a part of it; the bytes are the payload frame."""
+    """One chunk or a part of it; the payload frame contains the bytes."""
 
     host: str
     artifact: str
     index: int
-    offset: int  # of the payload within the chunk, bytes
-    size: int  # of the whole chunk, bytes
+    offset: int  # of the payload within the chunk, in bytes
+    size: int  # of the complete chunk, in bytes
 
 
 class NoChunk(_Message, frozen=True, tag=24):
-    """The chunk is not sent: not here, or all upload slots are taken."""
+    """Refuses `AskChunk`: the sender lacks the chunk, or all its upload slots are in use."""
 
     host: str
     artifact: str
     index: int
-    busy: bool
+    busy: bool  # whether all upload slots are in use
 
 
 class AskManifest(_Message, frozen=True, tag=25):
-    """Ask for the manifest of an artifact."""
+    """Requests the manifest of an artifact."""
 
     artifact: str
 
 
 class ManifestBody(_Message, frozen=True, tag=26):
-    """A manifest; its bytes are the payload frame."""
+    """Answers `AskManifest`; the payload frame contains the manifest."""
 
     artifact: str
 
 
 class AskIntent(_Message, frozen=True, tag=27):
-    """Ask a host that should bring in chunks before the sender whether it is at work on them."""
+    """Asks a host that should import chunks before the sender whether it is doing so."""
 
     host: str
     artifact: str
     indexes: list[int]
-    # Asked by a region's first host: only bringing in from the origin counts. Two regions' first
-    # hosts would otherwise wait for each other.
+    # Set by the first host of a region: only imports from the origin count. Otherwise the first
+    # hosts of two regions would wait for each other.
     origin_only: bool
 
 
 class Intent(_Message, frozen=True, tag=28):
-    """The answer to `AskIntent`: chunks the sender has, and chunks it will still bring in."""
+    """Answers `AskIntent`: the chunks that the sender has, and those that it will import."""
 
     host: str
     artifact: str
@@ -181,7 +181,7 @@
 
 
 class PublishedItem(_Message, frozen=True):
-    """One item that the platform published, as it was read."""
+    """One item as published by the platform."""
 
     key: str
     revision: int
@@ -189,28 +189,28 @@
 
 
 class AskRevision(_Message, frozen=True, tag=50):
-    """Ask how much the receiver knows of a topic; it always answers."""
+    """Asks which revision of a topic the receiver knows; always answered."""
 
     topic: str
 
 
 class KnownRevision(_Message, frozen=True, tag=51):
-    """The answer to `AskRevision`."""
+    """Answers `AskRevision`."""
 
     topic: str
-    revision: int  # -1 when it knows nothing
+    revision: int  # -1 if the sender knows nothing of the topic
     age: float  # seconds since the sender knew this to be the newest state
 
 
 class AskFacts(_Message, frozen=True, tag=40):
-    """Ask for a topic if the receiver knows a newer state of it than this revision."""
+    """Requests a topic if the receiver knows a newer state than this revision."""
 
     topic: str
     revision: int
 
 
 class TopicFacts(_Message, frozen=True, tag=41):
-    """A whole topic as the sender knows it; without items when it knows nothing newer."""
+    """All items of a topic known to the sender; none if it knows nothing newer."""
 
     topic: str
     revision: int
@@ -219,30 +219,30 @@
 
 
 class MirrorLocation(_Message, frozen=True):
-    """Where a process that mirrors weights stands."""
+    """The address and zone of a process that mirrors weights."""
 
-    ip: str  # names it in the swarm
+    ip: str  # identifies it in the swarm
     zone: str
 
 
 class WeightsPlan(_Message, frozen=True):
-    """The part of a configuration that daemons beside replicas need."""
+    """The part of a configuration needed by daemons of replicas."""
 
     version: int  # of the configuration
-    models: dict[str, str]  # service to the model that its replicas serve
-    origin: str  # of the weights, IP:PORT; empty if the configuration names none
+    models: dict[str, str]  # model served by the replicas, by service
+    origin: str  # of weights, IP:PORT; empty if the configuration has none
 
 
 class NamedVersionNews(_Message, frozen=True):
-    """A version that the operators named."""
+    """A model version that the operators named."""
 
     model: str
     version: int
-    age: float  # seconds since the sender learned of it, when it was new
+    age: float  # seconds since the sender learned of it as a new version
 
 
 class LoadedVersionNews(_Message, frozen=True):
-    """A version that the replica beside the receiver came to hold."""
+    """A model version that the receiver's replica has loaded."""
 
     model: str
     version: int
@@ -250,128 +250,128 @@
 
 
 class Subscribe(_Message, frozen=True, tag=42):
-    """What an entry tells a daemon: who it is, what the daemon needs, what it wants to hear."""
+    """Sent by an entry to a daemon: its name, news for the daemon, and the reports it wants."""
 
     host: str
-    mirror: MirrorLocation | None = None  # the sender's own, if it mirrors weights
-    wants_mirrors: bool = False  # also tell, once, which mirrors are known
-    plan: WeightsPlan | None = None  # by the configuration in force at the sender
-    wants_load: bool = True  # the replica's state, for some seconds
-    # The sender's own clock, told back with the replica's state; 0 where that is of no use now.
+    mirror: MirrorLocation | None = None  # of the sender, if it mirrors weights
+    wants_mirrors: bool = False  # requests one `KnownMirrors`
+    plan: WeightsPlan | None = None  # from the configuration in force at the sender
+    wants_load: bool = True  # requests `ReplicaLoad` messages for some seconds
+    # The sender's clock in milliseconds, returned in `ReplicaLoad`; 0 if it is not needed.
     sent_ms: int = 0
-    named: list[NamedVersionNews] = []  # versions that were the newest lately
-    loaded: list[LoadedVersionNews] = []  # what the receiver's replica came to hold lately
-    wants_losses: bool = False  # also tell, once, the losses that are known
-    # Seconds since the sender first heard a process beside that replica; None if it never did.
+    named: list[NamedVersionNews] = []  # versions that were recently the newest
+    loaded: list[LoadedVersionNews] = []  # versions recently loaded by the receiver's replica
+    wants_losses: bool = False  # requests one `LossNews` with all known losses
+    # Seconds since the sender first heard from a daemon of that replica; None if it never did.
     first_heard_age: float | None = None
 
 
 class AskPlan(_Message, frozen=True, tag=47):
-    """Ask an entry for the part of the configuration that daemons need."""
+    """Asks an entry for the part of the configuration that daemons need."""
 
 
 class KnownPlan(_Message, frozen=True, tag=48):
-    """The answer to `AskPlan` of an entry that has a configuration."""
+    """Answers `AskPlan`; sent only by an entry that has a configuration."""
 
     plan: WeightsPlan
 
 
 class KnownMirrors(_Message, frozen=True, tag=46):
-    """The mirrors that the sender heard of lately."""
+    """The mirrors that the sender has recently heard of."""
 
     mirrors: list[MirrorLocation]
 
 
 class ReplicaLoad(_Message, frozen=True, tag=43):
-    """The state of the replica beside the sender, read a moment ago."""
+    """The state of the sender's replica, which the sender has just read."""
 
     address: str  # of the replica, IP:PORT
-    sequence: int  # grows with every message of one life of the sender
+    sequence: int  # increases with every message of one incarnation of the sender
     reachable: bool  # whether the replica answered
-    leaving: bool  # it takes no new requests: an order is about to be, or being, carried out
-    versions: dict[str, int]  # model to version
-    active: int  # requests being worked on
-    queued: int
-    memory_share: float  # 0 to 1
-    pace: float  # above 1: slower than it should be
-    listeners: int  # processes that are told this
-    named: list[NamedVersionNews] = []  # versions that were the newest lately
-    # `sent_ms` of the newest subscription that has come from the process that is told this.
+    leaving: bool  # takes no new requests: an order is imminent or being executed
+    versions: dict[str, int]  # loaded version by model
+    active: int  # number of requests being processed
+    queued: int  # number of requests waiting
+    memory_share: float  # share of the memory in use, 0 to 1
+    pace: float  # above 1: slower than expected
+    listeners: int  # number of processes that receive this report
+    named: list[NamedVersionNews] = []  # versions that were recently the newest
+    # `sent_ms` of the newest subscription from the receiver.
     subscribed_ms: int = 0
-    # When the life of the replica that this speaks of began, Unix milliseconds; None: not told.
+    # Start of the reported incarnation of the replica, in Unix milliseconds; None if unknown.
     started_ms: int | None = None
-    # Versions by model that are known to have been whole as they were loaded, or are not.
+    # Versions by model, verified to have been intact when loaded, or found not to be.
     confirmed: dict[str, int] = {}
     suspect: dict[str, int] = {}
-    ends: bool = False  # the replica said that it leaves, which holds for the rest of its life
+    ends: bool = False  # the replica announced that it leaves, final for the incarnation
 
 
 class RefusedNews(_Message, frozen=True, tag=49):
-    """Requests that the sender has refused since it last told; see headcross_gateway."""
+    """Requests refused by the sender since its last such message; see headcross_gateway."""
 
     fingerprints: list[int]
 
 
 class LostReplica(_Message, frozen=True):
-    """One life of a replica that was lost, or was thought to be."""
+    """One incarnation of a replica that was lost, or was believed to be."""
 
-    replica: str  # its id
-    started_ms: int | None  # when that life began, Unix milliseconds; None: not told
+    replica: str  # id of the replica
+    started_ms: int | None  # start of the incarnation, Unix milliseconds; None if unknown
     age: float  # seconds since it was lost, or was found alive
-    evidence: int = 1  # how well it is known; see headcross_gateway
-    requests: list[bytes] = []  # identities of requests that were there; see headcross_gateway
+    evidence: int = 1  # value of Evidence; see headcross_gateway
+    requests: list[bytes] = []  # identities of requests that ran there; see headcross_gateway
 
 
 class AnsweredRequest(_Message, frozen=True):
-    """A request that had been blamed for losses and was answered whole."""
+    """A request that was blamed for losses and has been answered completely."""
 
-    request: bytes  # its identity
+    request: bytes  # identity of the request
     age: float  # seconds since the answer
 
 
-class GroupEnds(_Message, frozen=True):
-    """How requests of one team on one route ended at the sender lately."""
+class GroupOutcomeNews(_Message, frozen=True):
+    """Recent outcomes, at the sender, of requests of one team on one route."""
 
-    group: bytes  # see headcross_gateway
-    lost: int
-    answered: int
+    group: bytes  # identity of the team and route; see headcross_gateway
+    lost: int  # number of requests under which a replica was lost
+    answered: int  # number of answered requests
 
 
 class LossNews(_Message, frozen=True, tag=54):
-    """Which requests replicas were lost under, as the sender knows it."""
+    """Lost replicas and the requests that ran on them, as known to the sender."""
 
     lost: list[LostReplica] = []
     alive: list[LostReplica] = []
     answered: list[AnsweredRequest] = []
-    host: str = ""  # of the sender of the next
-    groups: list[GroupEnds] = []
+    host: str = ""  # of the sender, to which `groups` refers
+    groups: list[GroupOutcomeNews] = []
 
 
 class ReplicaBackpressure(_Message, frozen=True):
-    """What one life of a replica asks of all entries."""
+    """The backpressure that one incarnation of a replica asks of all entries."""
 
-    replica: str  # its id
-    started_ms: int | None  # when that life began, Unix milliseconds; None: not told
-    age: float  # seconds since it spoke of its limit
-    limit: float | None  # requests a second from all entries together; None: it names none
-    leaving: bool = False  # it takes nothing new for the rest of that life
+    replica: str  # id of the replica
+    started_ms: int | None  # start of the incarnation, Unix milliseconds; None if unknown
+    age: float  # seconds since it stated its limit
+    limit: float | None  # requests per second from all entries together; None if it states none
+    leaving: bool = False  # this incarnation takes no new requests any more
 
 
 class ReplicaNews(_Message, frozen=True, tag=55):
-    """What replicas ask, as their answers told the sender."""
+    """Backpressure that the sender learned from answers of replicas."""
 
     items: list[ReplicaBackpressure] = []
 
 
 class AskDigests(_Message, frozen=True, tag=44):
-    """Ask a daemon for the digests of a version, now or once it knows them."""
+    """Requests the digests of a version from a daemon, at once or when it knows them."""
 
     weights: str
-    host: str = ""  # IP number of the asker
+    host: str = ""  # IP address of the sender
 
 
 class KnownDigests(_Message, frozen=True, tag=45):
-    """The digests of a version's chunks, in order, as the sender goes by them."""
+    """The digests of a version's chunks, in order, that the sender uses."""
 
     weights: str
     chunk_bytes: int
@@ -411,7 +411,7 @@
 
 
 def encode(message: PeerMessage) -> bytes:
-    """Return the bytes of a message.
+    """Return the encoded bytes of a message.
 
     >>> decode(encode(AskDocument("fleet")))
     AskDocument(key='fleet')
@@ -420,7 +420,7 @@
 
 
 def decode(data: bytes) -> PeerMessage | None:
-    """Return the message that `data` holds, or None if it holds none.
+    """Return the message decoded from `data`, or None if it is invalid.
 
     >>> decode(b"junk") is None
     True
--- a/libs/wire/src/headcross_wire/peernode.py
+++ b/libs/wire/src/headcross_wire/peernode.py
@@ -1,7 +1,7 @@
-"""A node of one peer channel: a listening socket, and a link to each peer it speaks to first.
+"""A node of one peer channel: a listening socket and outgoing links to peers.
 
-Every link has a task that reads it, and so has the listener. Both hand each message to one
-handler together with a way to answer. A message that cannot be decoded is dropped and counted.
+The listener and every link are read by a task each, which passes each message to the node's
+handler together with a function to reply. Messages that cannot be decoded are dropped and counted.
 """
 
 from collections.abc import Callable
@@ -17,8 +17,8 @@
 from headcross_wire.peermessages import MAX_MESSAGE_BYTES, PeerMessage, decode, encode
 from headcross_wire.zmqsocket import ZmqSocket
 
-CONTROL_QUEUE_MESSAGES: Final = 256  # messages waiting on one link
-# A link that nothing was sent on for so long is closed; the next send opens it anew.
+CONTROL_QUEUE_MESSAGES: Final = 256  # send queue of one link
+# A link without sends for this long is closed; the next send opens a new one.
 LINK_IDLE_SECONDS: Final = 60.0
 
 Reply = Callable[[PeerMessage, bytes | None], bool]
@@ -26,10 +26,10 @@
 
 @dataclass(frozen=True, slots=True)
 class IncomingMessage:
-    """A message that arrived, and how to answer the one who sent it."""
+    """A received message, and a function to reply to its sender."""
 
     message: PeerMessage
-    payload: bytes | None  # the second frame, if there was one
+    payload: bytes | None  # the second frame, if any
     reply: Reply
 
 
@@ -38,7 +38,7 @@
 
 @dataclass(slots=True)
 class _Link:
-    """A connection this node opened."""
+    """A connection opened by this node."""
 
     socket: ZmqSocket
     scope: trio.CancelScope
@@ -48,9 +48,9 @@
 class PeerNode:
     """All links of one process on one channel."""
 
-    # Messages that could not be decoded.
+    # Number of messages that could not be decoded.
     malformed: int
-    # Messages that could not be sent because the link was down or full.
+    # Number of messages not sent because the link was down or its queue full.
     unsent: int
 
     def __init__(
@@ -74,7 +74,7 @@
         self.address: Address = parse_address(bound.removeprefix("tcp://"))
         self._links: dict[Address, _Link] = {}
         self._nursery: trio.Nursery | None = None
-        # Bytes of links that were closed since.
+        # Bytes of links that have been closed.
         self._closed_links_sent_bytes = 0
         self._closed_links_received_bytes = 0
 
@@ -90,11 +90,11 @@
 
     @property
     def link_count(self) -> int:
-        """How many links this node opened and still holds."""
+        """Number of open links that this node opened."""
         return len(self._links)
 
     def send(self, address: Address, message: PeerMessage, payload: bytes | None = None) -> bool:
-        """Send to a peer; False if the link is not up yet, down or full."""
+        """Send to a peer; return False if the link is not connected or its queue is full."""
         link = self._links.get(address) or self._open(address)
         link.used_at = trio.current_time()
         sent = link.socket.send(_frames(message, payload))
@@ -103,14 +103,14 @@
         return sent
 
     def connect(self, address: Address) -> None:
-        """Open the link to a peer ahead of the first message."""
+        """Open the link to a peer before the first message."""
         if address not in self._links:
             self._open(address)
 
     def reset(self, address: Address) -> None:
         """Close the link to a peer; the next message opens a new one.
 
-        Bytes damaged on the way may leave a link open that delivers nothing any more.
+        Bytes corrupted in transit can leave a link open that delivers nothing any more.
         """
         link = self._links.pop(address, None)
         if link is not None:
@@ -149,7 +149,7 @@
         with link.scope:
             while True:
                 self._dispatch(await link.socket.receive(), reply)
-        # Only a closed link comes here; a whole node that stops closes its sockets itself.
+        # Only reached when a single link is closed; a stopping node closes its sockets in `run`.
         self._closed_links_sent_bytes += link.socket.sent_bytes
         self._closed_links_received_bytes += link.socket.received_bytes
         link.socket.close()
@@ -164,7 +164,7 @@
 
     def _open(self, address: Address) -> _Link:
         if self._nursery is None:
-            raise RuntimeError("the node does not run")
+            raise RuntimeError("peer node is not running")
         socket = ZmqSocket(self._context, zmq.DEALER, self._queue, self._max_bytes)
         source = SOURCE_IP.get()
         socket.connect(f"tcp://{source}:0;{address}" if source else address.zmq)
--- a/libs/wire/src/headcross_wire/replies.py
+++ b/libs/wire/src/headcross_wire/replies.py
@@ -1,7 +1,7 @@
-"""How refusals look on the wire, and how an entry reads those of a daemon.
+"""Encodes refusals as HTTP answers and decodes those that an entry receives from a daemon.
 
-Every error carries its verdict in `Headcross-Verdict` and a JSON body with code, text, detail and
-verdict. `Retry-After` is given where it is known when asking again makes sense.
+Every error has its verdict in the header `Headcross-Verdict` and a JSON body with code, text,
+detail and verdict. `Retry-After` is sent if it is known when a retry makes sense.
 """
 
 import math
@@ -34,7 +34,7 @@
 
 
 async def send_refusal(exchange: Exchange, refusal: Refusal, headers: Headers) -> None:
-    """Answer with an error."""
+    """Answer an exchange with a refusal, adding `headers`."""
     extra = [*headers, (VERDICT_HEADER, verdict_name(refusal))]
     if isinstance(refusal, NotRun) and refusal.retry_after_seconds is not None:
         extra.append(("Retry-After", str(max(1, math.ceil(refusal.retry_after_seconds)))))
@@ -42,14 +42,14 @@
 
 
 def error_body(refusal: Refusal) -> ErrorBody:
-    """Return the body that tells a caller of a refusal."""
+    """Return the JSON body for a refusal."""
     return ErrorBody(
         refusal.reason.code, refusal.reason.text, refusal.detail, verdict_name(refusal)
     )
 
 
 def parse_refusal(verdict: str, retry_after: str | None, body: bytes) -> Refusal:
-    """Return the refusal that a daemon sent; anything unclear may have run."""
+    """Decode a daemon's refusal; if verdict or body is invalid, the request may have run."""
     seconds = float(retry_after) if retry_after and retry_after.isdecimal() else None
     try:
         error = msgspec.json.decode(body, type=ErrorBody)
--- a/libs/wire/src/headcross_wire/zmqsocket.py
+++ b/libs/wire/src/headcross_wire/zmqsocket.py
@@ -1,12 +1,12 @@
 """A ZeroMQ socket for trio.
 
-pyzmq knows no trio. ZeroMQ gives one file descriptor for a socket, and it is edge-triggered: it
+pyzmq does not support trio. ZeroMQ has one file descriptor per socket, which is edge-triggered: it
 becomes readable when the socket's events may have changed, and any send or receive can consume
-that edge. So the receiving task reads EVENTS before it waits on the descriptor, and every send
-reads EVENTS too and ends that wait if something came in meanwhile.
+that edge. The receiving task therefore reads EVENTS before it waits on the descriptor, and every
+send also reads EVENTS and ends that wait if a message has arrived.
 
-One task receives; anyone may send. Sending never waits: a queue that is full, or a peer that is
-not connected, is told to the sender as False.
+Only one task may receive; any task may send. Sending never blocks: `send` returns False if the
+queue is full or the peer is not connected.
 """
 
 from collections.abc import Sequence
@@ -15,13 +15,13 @@
 import trio
 import zmq
 
-# Heartbeats of the transport find a link that is cut but not closed.
+# Transport heartbeats detect a link that is broken but not closed.
 HEARTBEAT_MS: Final = 5000
 HEARTBEAT_TIMEOUT_MS: Final = 12000
-# Messages received and not yet read are not limited; peers limit what they send, by their own
-# queues, and chunks come only when they were asked for. With a limit libzmq 4.3.5 stops polling a
-# connection whose queue is full; if that then breaks, the next heartbeat ends the process by an
-# assertion (`!_io_error`, 3 of 3 runs of its test).
+# The receive queue has no limit; peers limit what they send by their own queues, and chunks arrive
+# only on request. With a limit, libzmq 4.3.5 stops polling a connection whose queue is full; if
+# that connection then breaks, the next heartbeat aborts the process by an assertion (`!_io_error`,
+# seen in 3 of 3 runs of the test for it).
 UNLIMITED_RECEIVE_QUEUE: Final = 0
 RECONNECT_MS: Final = 100
 RECONNECT_MAX_MS: Final = 2000
@@ -30,7 +30,7 @@
 class ZmqSocket:
     """One ZeroMQ socket, used from one trio thread."""
 
-    # Bytes of all frames sent and received, for the control budget.
+    # Bytes of all frames sent and received; they count against the control budget.
     sent_bytes: int
     received_bytes: int
 
@@ -48,35 +48,36 @@
         self._socket.setsockopt(zmq.HEARTBEAT_TIMEOUT, HEARTBEAT_TIMEOUT_MS)
         self._socket.setsockopt(zmq.RECONNECT_IVL, RECONNECT_MS)
         self._socket.setsockopt(zmq.RECONNECT_IVL_MAX, RECONNECT_MAX_MS)
-        # Queue only on links that are up: what cannot leave now must not leave minutes later.
+        # Queue only on connected links: a message that cannot be sent now must not be sent minutes
+        # later.
         self._socket.setsockopt(zmq.IMMEDIATE, 1)
         if kind == zmq.ROUTER:
             self._socket.setsockopt(zmq.ROUTER_MANDATORY, 1)
         descriptor = self._socket.getsockopt(zmq.FD)
         assert isinstance(descriptor, int)
         self._descriptor = descriptor
-        # The receiver's wait; a send that finds something to receive ends it.
+        # Cancelled by a send that finds a message to receive.
         self._wait_scope = trio.CancelScope()
 
     def bind(self, endpoint: str) -> str:
-        """Listen; return the endpoint with its real port."""
+        """Bind; return the endpoint with the assigned port."""
         self._socket.bind(endpoint)
         return self._socket.getsockopt_string(zmq.LAST_ENDPOINT)
 
     def connect(self, endpoint: str) -> None:
-        """Connect in the background, and again whenever the link is lost."""
+        """Connect in the background, and reconnect whenever the link is lost."""
         self._socket.connect(endpoint)
 
     def send(self, frames: Sequence[bytes | memoryview]) -> bool:
         """Queue a message; return False if it cannot be queued now, or the socket is closed."""
         if self._socket.closed:
-            # What ends last while a process stops may still have something to tell.
+            # Tasks that end late during shutdown may still send.
             return False
         try:
             self._socket.send_multipart(frames, zmq.NOBLOCK, copy=True)
         except zmq.ZMQError as error:
             if error.errno in (zmq.EAGAIN, zmq.EHOSTUNREACH):
-                self._wake_receiver()  # a send that fails may have consumed the edge too
+                self._wake_receiver()  # a failed send may have consumed the edge too
                 return False
             raise
         self.sent_bytes += sum(len(frame) for frame in frames)
@@ -92,16 +93,16 @@
                 await self._wait_readable()
                 continue
             self.received_bytes += sum(len(frame) for frame in frames)
-            # A long run of messages must not starve the other tasks.
+            # A long burst of messages must not starve other tasks.
             await trio.lowlevel.checkpoint()
             return frames
 
     def close(self) -> None:
-        """Close at once; queued messages are dropped."""
+        """Close without waiting; queued messages are dropped."""
         self._socket.close(linger=0)
 
     def _is_readable(self) -> bool:
-        """Read EVENTS, which also clears the descriptor's edge."""
+        """Return whether a message is waiting; reading EVENTS clears the descriptor's edge."""
         events = self._socket.getsockopt(zmq.EVENTS)
         assert isinstance(events, int)
         return bool(events & zmq.POLLIN)
