--- a/libs/wire/src/headcross_wire/httpserver.py
+++ b/libs/wire/src/headcross_wire/httpserver.py
@@ -191,7 +191,7 @@
         )
 
     def close_idle(self) -> None:
-        """Close idle connections after CLOSING_IDLE_SECONDS, the others after their answer.
+        """Close idle connections within CLOSING_IDLE_SECONDS, the others after their answer.
 
         The delay lets requests be served that were in transit when this is called.
         """
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -1,4 +1,4 @@
-"""Entries of another writer name no replica; the others hold, whatever order they come in."""
+"""Tests that invalid entries of the replica list are rejected without effect on the others."""
 
 import base64
 import logging
@@ -25,7 +25,7 @@
 from testing.machines import replicas_of, small_site
 
 WAIT_SECONDS = 15.0
-GOOD: dict[str, Any] = {
+VALID_ENTRY: dict[str, Any] = {
     "service": "lm",
     "addr": "10.0.0.1:80",
     "zone": "z",
@@ -38,8 +38,8 @@
     "models": [{"name": "m", "version": 2, "adapters": []}],
     "born": 1764720000000,
 }
-# What a good entry may lack: plain services have no weights, and earlier platforms tell no start.
-OPTIONAL = {"stage", "models", "born"}
+# Plain services have no weights, and earlier platform versions do not report the start.
+OPTIONAL_FIELDS = {"stage", "models", "born"}
 JSON = st.recursive(
     st.none() | st.booleans() | st.integers(-3, 70000) | st.floats(0, 9) | st.text(max_size=5),
     lambda inner: st.lists(inner, max_size=3) | st.dictionaries(st.text(max_size=4), inner),
@@ -47,9 +47,11 @@
 )
 
 
-def entry(**changes: object) -> bytes:
-    """Return a good entry with some fields changed; `...` leaves one out."""
-    fields = {name: value for name, value in {**GOOD, **changes}.items() if value is not ...}
+def list_entry(**changes: object) -> bytes:
+    """Return a valid entry with some fields changed; `...` omits a field."""
+    fields = {
+        name: value for name, value in {**VALID_ENTRY, **changes}.items() if value is not ...
+    }
     return msgspec.json.encode(fields)
 
 
@@ -58,43 +60,45 @@
     return Item(f"{names.REPLICA_PREFIX}{key}", revision, value)
 
 
-def knowing(*items: Item) -> Facts:
-    """Return facts that hold a listing."""
+def facts_with(*items: Item) -> Facts:
+    """Return facts that contain a listing of `items`."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     revision = max((i.revision for i in items), default=1)
     facts.take_listing(Topic.REPLICAS, Listing(items, revision), 0.0, "store")
     return facts
 
 
-FOREIGN: dict[str, bytes] = {
+INVALID_ENTRIES: dict[str, bytes] = {
     "no text": b"\xff\xfe\x00",
     "no document": b"[]",
-    "no address": entry(addr=...),
-    "no seq": entry(seq=...),
-    "no time until warm": entry(cold_left_ms=...),
-    "slots a text": entry(slots="8"),
-    "zone a number": entry(zone=3),
-    "seq a text": entry(seq="4"),
-    "start a text": entry(born="1764720000000"),
-    "start null": entry(born=None),
-    "start half a millisecond": entry(born=1764720000000.5),
-    "another state": entry(state="paused"),
-    "address a name": entry(addr="replica:80"),
-    "models a text": entry(models="m"),
-    "too large": entry(note="x" * MAX_VALUE_BYTES),
+    "no address": list_entry(addr=...),
+    "no seq": list_entry(seq=...),
+    "no time until warm": list_entry(cold_left_ms=...),
+    "slots a text": list_entry(slots="8"),
+    "zone a number": list_entry(zone=3),
+    "seq a text": list_entry(seq="4"),
+    "start a text": list_entry(born="1764720000000"),
+    "start null": list_entry(born=None),
+    "start half a millisecond": list_entry(born=1764720000000.5),
+    "another state": list_entry(state="paused"),
+    "address a name": list_entry(addr="replica:80"),
+    "models a text": list_entry(models="m"),
+    "too large": list_entry(note="x" * MAX_VALUE_BYTES),
 }
 
 
-@pytest.mark.parametrize("value", FOREIGN.values(), ids=FOREIGN.keys())
-def test_an_entry_that_is_not_whole_takes_the_replica_out_and_a_good_one_brings_it_back(
+@pytest.mark.parametrize("value", INVALID_ENTRIES.values(), ids=INVALID_ENTRIES.keys())
+def test_an_invalid_entry_removes_the_replica_and_a_valid_one_restores_it(
     value: bytes, caplog: pytest.LogCaptureFixture
 ) -> None:
-    facts = knowing(item("i-1", 5, entry()), item("i-2", 6, entry(addr="10.0.0.2:80")))
+    facts = facts_with(
+        item("i-1", 5, list_entry()), item("i-2", 6, list_entry(addr="10.0.0.2:80"))
+    )
     directory = Directory(facts)
     directory.update()
     before = directory.serving("lm")[0]
     with caplog.at_level(logging.INFO):
-        for revision in (7, 8, 9):  # written again with every heartbeat
+        for revision in (7, 8, 9):  # rewritten with every heartbeat
             facts.take_changes(Topic.REPLICAS, Changes((item("i-1", revision, value),), revision))
     directory.update()
     assert set(facts.replicas) == {"i-2"} and before.gone
@@ -102,28 +106,28 @@
     assert set(facts.disowned) == {"i-1"}
     lines = [r for r in caplog.records if r.message == "fact rejected"]
     assert len(lines) == 1 and facts.counts["rejected"] == 3
-    facts.take_changes(Topic.REPLICAS, Changes((item("i-1", 10, entry()),), 10))
+    facts.take_changes(Topic.REPLICAS, Changes((item("i-1", 10, list_entry()),), 10))
     directory.update()
     assert set(facts.replicas) == {"i-1", "i-2"} and not facts.disowned
     assert not directory.serving("lm")[0].gone
 
 
-def test_an_unknown_field_is_passed_over() -> None:
-    outcome = decode(item("i-1", 1, entry(colour="red")))
+def test_an_unknown_field_is_ignored() -> None:
+    outcome = decode(item("i-1", 1, list_entry(colour="red")))
     assert isinstance(outcome, Ok) and isinstance(outcome.value, Replica)
 
 
 @pytest.mark.parametrize("key", ["", "a/b", "i-1/"])
-def test_keys_of_another_shape_name_nothing_and_take_nothing_away(key: str) -> None:
-    facts = knowing(item("b", 1, entry()), item("i-1", 2, entry()))
-    for revision, value in ((3, entry()), (4, b"junk"), (5, None)):
+def test_malformed_keys_neither_add_nor_remove_replicas(key: str) -> None:
+    facts = facts_with(item("b", 1, list_entry()), item("i-1", 2, list_entry()))
+    for revision, value in ((3, list_entry()), (4, b"junk"), (5, None)):
         facts.take_changes(Topic.REPLICAS, Changes((item(key, revision, value),), revision))
         assert set(facts.replicas) == {"b", "i-1"}
 
 
-def test_one_value_that_cannot_be_read_costs_itself_alone() -> None:
-    """While it stayed, no listing of its topic could succeed."""
-    good = {"key": "servers/i-2", "revision": 2, "value": base64.b64encode(entry()).decode()}
+def test_an_unreadable_value_rejects_only_itself() -> None:
+    """Guards against an unreadable value that makes every listing of its topic fail."""
+    good = {"key": "servers/i-2", "revision": 2, "value": base64.b64encode(list_entry()).decode()}
     bad = [
         {"key": "servers/i-1", "revision": 7, "value": "no base64!"},
         {"key": "servers/i-3", "revision": 7, "value": 5},
@@ -133,18 +137,18 @@
     body = msgspec.json.encode({"items": [bad[0], good, *bad[1:]], "at": 8, "more": False})
     outcome = store._decode_range(WholeAnswer(200, [], body))
     assert not isinstance(outcome, Failure)
-    facts = knowing(item("i-1", 1, entry()))
+    facts = facts_with(item("i-1", 1, list_entry()))
     facts.take_listing(Topic.REPLICAS, Listing(outcome.value.items, 8), 0.0, "store")
     assert set(facts.replicas) == {"i-2"} and set(facts.disowned) == {"i-1"}
 
 
 @st.composite
-def entries(draw: st.DrawFn) -> tuple[bytes | None, bool]:
-    """Draw what lies under a key, and whether it is a whole entry."""
+def list_entries(draw: st.DrawFn) -> tuple[bytes | None, bool]:
+    """Draw the value of a key, None if deleted, and whether it is a valid entry."""
     kind = draw(st.sampled_from(["good", "gone", "bytes", "document", "lacking", "mutated"]))
     match kind:
         case "good":
-            return entry(slots=draw(st.integers(1, 9))), True
+            return list_entry(slots=draw(st.integers(1, 9))), True
         case "gone":
             return None, False
         case "bytes":
@@ -152,39 +156,39 @@
         case "document":
             return msgspec.json.encode([draw(JSON)]), False
         case "lacking":
-            field = draw(st.sampled_from(sorted(set(GOOD) - OPTIONAL)))
-            return entry(**{field: ...}), False
-    field = draw(st.sampled_from(sorted(GOOD)))
-    wrong = [draw(JSON)]  # no field of a good entry is a list of that
-    return entry(**{field: wrong if field != "models" else "m"}), False
+            field = draw(st.sampled_from(sorted(set(VALID_ENTRY) - OPTIONAL_FIELDS)))
+            return list_entry(**{field: ...}), False
+    field = draw(st.sampled_from(sorted(VALID_ENTRY)))
+    wrong = [draw(JSON)]  # no field of a valid entry is a list of such a value
+    return list_entry(**{field: wrong if field != "models" else "m"}), False
 
 
 @given(
-    st.lists(st.tuples(st.sampled_from(["i-1", "i-2", "i-3"]), entries()), max_size=10),
+    st.lists(st.tuples(st.sampled_from(["i-1", "i-2", "i-3"]), list_entries()), max_size=10),
     st.randoms(use_true_random=False),
 )
-def test_a_replica_is_named_exactly_while_its_newest_entry_is_whole(
+def test_a_replica_is_listed_exactly_while_its_newest_entry_is_valid(
     history: list[tuple[str, tuple[bytes | None, bool]]], order: Any  # noqa: ANN401
 ) -> None:
-    """Through watches, listings and other processes' word, in whatever order they arrive."""
+    """Holds for watches, listings and items received from peers, in any order."""
     items = [item(key, revision, value) for revision, (key, (value, _)) in enumerate(history, 2)]
-    newest = {key: whole for key, (_, whole) in history}
-    named = {key for key, whole in newest.items() if whole}
+    newest = {key: valid for key, (_, valid) in history}
+    listed = {key for key, valid in newest.items() if valid}
     last = len(items) + 1
-    watched = knowing()
+    watched = facts_with()
     for change in items:
         watched.take_changes(Topic.REPLICAS, Changes((change,), change.revision))
-    at_once = knowing()
+    reordered = facts_with()
     shuffled = list(items)
     order.shuffle(shuffled)
-    at_once.take_changes(Topic.REPLICAS, Changes(tuple(shuffled), last))
-    # Another process tells its items as it read them, values that it could not read as well.
-    told = knowing()
+    reordered.take_changes(Topic.REPLICAS, Changes(tuple(shuffled), last))
+    # A peer sends its items as it read them, including values that it could not decode.
+    from_peer = facts_with()
     mirrored = tuple(watched.topics[Topic.REPLICAS].items.values())
-    told.take_listing(Topic.REPLICAS, Listing(mirrored, last), 0.0, "peer")
-    late = items[: len(items) // 2]
-    told.take_listing(Topic.REPLICAS, Listing(tuple(late), 1 + len(late)), 0.0, "peer")
-    assert set(watched.replicas) == set(at_once.replicas) == set(told.replicas) == named
+    from_peer.take_listing(Topic.REPLICAS, Listing(mirrored, last), 0.0, "peer")
+    older = items[: len(items) // 2]
+    from_peer.take_listing(Topic.REPLICAS, Listing(tuple(older), 1 + len(older)), 0.0, "peer")
+    assert set(watched.replicas) == set(reordered.replicas) == set(from_peer.replicas) == listed
 
 
 @given(JSON)
@@ -194,7 +198,7 @@
         decode(Item(key, 1, value))
 
 
-async def test_a_request_under_way_goes_on_where_the_entry_becomes_another_writers(
+async def test_a_running_request_completes_after_its_entry_becomes_invalid(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=0, plain=1) as site:
--- a/tests/test_zmqsocket.py
+++ b/tests/test_zmqsocket.py
@@ -1,4 +1,4 @@
-"""The channel's socket on trio: a message that is here is received."""
+"""Tests the ZeroMQ socket for trio: sends that fail and messages that must not be missed."""
 
 import socket
 import subprocess
@@ -12,16 +12,16 @@
 from headcross_wire.zmqsocket import ZmqSocket
 
 
-async def test_what_is_sent_on_a_closed_socket_is_told_not_to_have_left() -> None:
-    """A daemon that stopped while its replica loaded raised here, and ended with an error."""
+async def test_a_send_on_a_closed_socket_returns_false() -> None:
+    """Guards against a daemon that exits with an error because it sends during shutdown."""
     with zmq.Context() as context:
         channel = ZmqSocket(context, zmq.ROUTER, 10, 1000)
         channel.close()
         assert not channel.send([b"peer", b"x"])
 
 
-class FullSocket:
-    """A ZeroMQ socket that takes no message; every call consumes the edge of its descriptor."""
+class UnwritableSocket:
+    """A ZeroMQ socket whose sends fail; every call consumes the edge of its descriptor."""
 
     closed = False
 
@@ -31,43 +31,46 @@
         self._error = error
 
     def setsockopt(self, option: int, value: int) -> None:
-        """Take an option."""
+        """Ignore an option."""
 
     def getsockopt(self, option: int) -> int:
-        """Return the descriptor, or whether a message is here."""
+        """Return the descriptor or the events."""
         if option == zmq.FD:
             return self._descriptor
         return zmq.POLLIN if self.inbox else 0
 
     def send_multipart(self, frames: Any, flags: int, copy: bool) -> None:  # noqa: ANN401
-        """Refuse a message."""
+        """Raise the error."""
         raise zmq.ZMQError(self._error)
 
     def recv_multipart(self, flags: int) -> list[bytes]:
-        """Return the next message."""
+        """Return the next message, or raise Again."""
         if not self.inbox:
             raise zmq.Again()
         return self.inbox.pop(0)
 
 
-class FullContext:
-    """Makes one such socket."""
+class SingleSocketContext:
+    """A ZeroMQ context that returns a given socket."""
 
-    def __init__(self, made: FullSocket) -> None:
+    def __init__(self, made: UnwritableSocket) -> None:
         self._made = made
 
-    def socket(self, kind: int) -> FullSocket:
+    def socket(self, kind: int) -> UnwritableSocket:
         """Return the socket."""
         return self._made
 
 
 @pytest.mark.parametrize("error", [zmq.EAGAIN, zmq.EHOSTUNREACH])
-async def test_a_send_that_fails_does_not_leave_a_message_lying(error: int) -> None:
-    """The receiver slept on until another send succeeded."""
+async def test_a_failed_send_does_not_strand_a_received_message(error: int) -> None:
+    """Guards against a receiver that keeps waiting although a message has arrived.
+
+    A failed send consumes the descriptor's edge and must wake the receiver too.
+    """
     never_readable, other = socket.socketpair()
     with never_readable, other:
-        full = FullSocket(never_readable.fileno(), error)
-        channel = ZmqSocket(FullContext(full), zmq.DEALER, 10, 1000)  # type: ignore[arg-type]
+        full = UnwritableSocket(never_readable.fileno(), error)
+        channel = ZmqSocket(SingleSocketContext(full), zmq.DEALER, 10, 1000)  # type: ignore[arg-type]
         received: list[list[bytes]] = []
 
         async def receive() -> None:
@@ -82,8 +85,8 @@
         assert received == [[b"here"]]
 
 
-# A listener that does not read, as one whose processor is busy, with fast heartbeats.
-DEAF_LISTENER = """
+# A listener that does not read, like a process without processor time, with fast heartbeats.
+NON_READING_LISTENER = """
 import sys, time, zmq
 from headcross_wire import zmqsocket
 zmqsocket.HEARTBEAT_MS, zmqsocket.HEARTBEAT_TIMEOUT_MS = 100, 20000
@@ -94,14 +97,14 @@
 """
 
 
-def test_a_process_outlives_a_peer_that_goes_while_its_messages_wait_unread() -> None:
-    """Entries ended by themselves on one day in ten, on days with kills of other processes.
+def test_a_process_survives_a_peer_that_disconnects_with_unread_messages() -> None:
+    """Guards against a process abort by libzmq, which ended entries after peers were killed.
 
-    libzmq stops polling a connection once its receive queue is full. When that connection then
-    broke and the next heartbeat was due, libzmq asserted `!_io_error` and ended the process.
+    libzmq stops polling a connection whose receive queue is full. If that connection then breaks,
+    the next heartbeat fails the assertion `!_io_error`.
     """
     listener = subprocess.Popen(
-        [sys.executable, "-c", DEAF_LISTENER],
+        [sys.executable, "-c", NON_READING_LISTENER],
         stdin=subprocess.PIPE,
         stdout=subprocess.PIPE,
         stderr=subprocess.PIPE,
