--- a/libs/native/src/headcross_native/weightsource.py
+++ b/libs/native/src/headcross_native/weightsource.py
@@ -1,12 +1,12 @@
-"""Where weights come from outside: the rate-limited weight store and the origin.
+"""Client of the external sources of weights: the rate-limited weight store and the origin.
 
-Assumed protocol (the real one is not given yet), HTTP/1.1 with ranges (RFC 9110, section 14):
+Assumed protocol (the real one is not specified yet), HTTP/1.1 with ranges (RFC 9110, section 14):
 
     GET /weights/NAME/manifest.json          the manifest
     GET /weights/NAME/files/PATH  + Range    bytes of one file; 429 with Retry-After when limited
 
-The name is the one the fleet file gives. Nothing that comes from here is trusted: the manifest
-must have the digest the fleet file names, and each chunk the digest the manifest names.
+NAME is the name in the fleet file. The sources are not trusted: the manifest must have the digest
+in the fleet file, and each chunk the digest in the manifest.
 """
 
 from dataclasses import dataclass
@@ -20,12 +20,12 @@
 
 MAX_MANIFEST_BYTES: Final = 16 * 1024 * 1024
 MANIFEST_SECONDS: Final = 30.0
-DEFAULT_RETRY_AFTER: Final = 1.0
+DEFAULT_RETRY_AFTER_SECONDS: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
-class TryLater:
-    """The source is at its limit."""
+class SourceBusy:
+    """The source is at its limit; retry after `seconds`."""
 
     seconds: float
 
@@ -34,25 +34,25 @@
 class WeightSource:
     """The store or the origin at one address."""
 
-    name: str  # "store" or "origin", for dumps and metrics
+    name: str  # "store" or "origin", for state dumps and metrics
     address: Address
 
-    async def read_manifest(self, weights: str) -> Ok[bytes] | TryLater | Failure:
-        """Return the bytes of a manifest, unchecked."""
+    async def read_manifest(self, weights: str) -> Ok[bytes] | SourceBusy | Failure:
+        """Return the bytes of a manifest without verifying them."""
         target = f"/weights/{quote(weights, safe='')}/manifest.json"
         return await self._get(target, [], MANIFEST_SECONDS, MAX_MANIFEST_BYTES)
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
-    ) -> Ok[bytes] | TryLater | Failure:
-        """Return `size` bytes of a file from `offset`, unchecked."""
+    ) -> Ok[bytes] | SourceBusy | Failure:
+        """Return `size` bytes of a file from `offset` on without verifying them."""
         target = f"/weights/{quote(weights, safe='')}/files/{quote(path)}"
         headers = [("range", f"bytes={offset}-{offset + size - 1}")]
         return await self._get(target, headers, seconds, size)
 
     async def _get(
         self, target: str, headers: list[tuple[str, str]], seconds: float, max_bytes: int
-    ) -> Ok[bytes] | TryLater | Failure:
+    ) -> Ok[bytes] | SourceBusy | Failure:
         outcome = await call(
             self.address, "GET", target, headers=headers, seconds=seconds, max_bytes=max_bytes
         )
@@ -61,7 +61,9 @@
         answer = outcome.value
         if answer.status in (429, 503):
             retry_after = dict(answer.headers).get("retry-after", "")
-            return TryLater(float(retry_after) if retry_after.isdecimal() else DEFAULT_RETRY_AFTER)
+            return SourceBusy(
+                float(retry_after) if retry_after.isdecimal() else DEFAULT_RETRY_AFTER_SECONDS
+            )
         if answer.status not in (200, 206):
             return Failure(SOURCE_FAILED, f"{self.name}{target}: status {answer.status}")
         return Ok(answer.body)
