--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -158,7 +158,7 @@
                         load = upstream.in_flight + upstream.queued
                         self.picker.report_load(upstream.name, load)
             case Goodbye(host=host, incarnation=incarnation):
-                self.statuses.forget(host, incarnation)
+                self.statuses.mark_departed(host, incarnation)
             case AskTurn() as question:
                 incoming.reply(self._judge.answer(question), None)
             case _:
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -12,7 +12,7 @@
 import trio
 from headcross_base.addresses import Address, parse_address
 from headcross_base.clocks import monotonic, now_ms
-from headcross_facts.following import entry_pace
+from headcross_facts.following import entry_polling
 from headcross_gateway.admission import Admission
 from headcross_gateway.budget import RetryBudget
 from headcross_gateway.containment import Containment
@@ -91,7 +91,7 @@
             adapter,
             self._daemons,
             self._hear,
-            entry_pace(settings.bounds.facts),
+            entry_polling(settings.bounds.facts),
             self._other_entries,
         )
         facts = self.process.facts
--- a/libs/daemon/src/headcross_daemon/heartbeats.py
+++ b/libs/daemon/src/headcross_daemon/heartbeats.py
@@ -92,7 +92,7 @@
             for u in self._report()
         ]
         entries = [entry.control for entry in self._entries()]
-        return (self._documents.versions, upstreams, entries)
+        return (self._documents.revisions, upstreams, entries)
 
     def _period(self) -> float:
         daemons = sum(host.role == "upstream" for host in self._documents.hosts.hosts)
--- a/libs/daemon/src/headcross_daemon/machinecommon.py
+++ b/libs/daemon/src/headcross_daemon/machinecommon.py
@@ -11,7 +11,7 @@
 from headcross_base.clocks import PauseWatch
 from headcross_base.errors import Failure
 from headcross_facts.facts import Facts
-from headcross_facts.following import Follower, FollowingPace
+from headcross_facts.following import Follower, PollingSettings
 from headcross_facts.peerfacts import PeerFacts
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import Topic
@@ -50,7 +50,7 @@
         adapter: Adapter,
         peers: Callable[[], list[Address]],
         handle_rest: Handler,
-        pace: FollowingPace,
+        pace: PollingSettings,
         entries: Callable[[], list[Address]] = list,
     ) -> None:
         self.settings = settings
@@ -150,9 +150,9 @@
     def _handle(self, incoming: Incoming) -> None:
         match incoming.message:
             case AskRevision() as asked:
-                self.peer_facts.tell_revision(asked, incoming.reply)
+                self.peer_facts.answer_revision(asked, incoming.reply)
             case KnownRevision() as known:
-                self.peer_facts.hear_revision(known, incoming.reply)
+                self.peer_facts.receive_revision(known, incoming.reply)
             case AskFacts() as question:
                 self.peer_facts.answer(question, incoming.reply)
             case TopicFacts() as facts:
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -8,7 +8,7 @@
 import trio
 from headcross_base.addresses import Address, parse_address
 from headcross_base.clocks import monotonic
-from headcross_facts.following import daemon_pace
+from headcross_facts.following import daemon_polling
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import LoadedModel, Replica, Topic
 from headcross_renewal.confirmation import LoadStatus
@@ -81,7 +81,7 @@
             adapter,
             self._daemons,
             self._hear,
-            daemon_pace(settings.bounds.facts),
+            daemon_polling(settings.bounds.facts),
         )
         facts = self.process.facts
         address = parse_address(settings.replica.address)
@@ -259,7 +259,7 @@
         return listing_order(replica.address.ip for replica in self._region_replicas())
 
     def _set_busy(self, busy: bool) -> None:
-        self.process.follower.set_hurried(Topic.REPLICAS, busy)
+        self.process.follower.set_urgent(Topic.REPLICAS, busy)
 
     def _find_origin_anew(self) -> None:
         """Have the plan sought, or the configuration listed where the origin may have moved.
--- a/libs/daemon/src/headcross_daemon/versionnews.py
+++ b/libs/daemon/src/headcross_daemon/versionnews.py
@@ -31,7 +31,7 @@
 def hear_versions(facts: Facts, news: Iterable[NamedVersionNews]) -> None:
     """Take the news of another process."""
     for each in news:
-        facts.hear_version(each.model, each.version, each.age)
+        facts.record_named_version(each.model, each.version, each.age)
 
 
 def _newest_lately(notices: Sequence[VersionNotice], now: float) -> list[VersionNotice]:
--- a/libs/facts/src/headcross_facts/__init__.py
+++ b/libs/facts/src/headcross_facts/__init__.py
@@ -1,1 +1,1 @@
-"""Following what a platform publishes, from the store or, where that fails, from other daemons."""
+"""Keeps a process up to date with the platform's store, or with its peers if the store fails."""
--- a/libs/facts/src/headcross_facts/facts.py
+++ b/libs/facts/src/headcross_facts/facts.py
@@ -1,7 +1,8 @@
-"""The facts a process goes by: the configuration in force, the named versions, the replicas.
+"""What a process knows from the platform: configuration, named versions and replicas.
 
-Every fact has a revision and the moment it was last known to be the newest. A configuration that
-cannot be read is reported once and the last good one stays; its version never goes back.
+Each topic has a revision and the time at which that was last known to be the newest. A
+configuration that cannot be decoded is reported once and the last valid one stays in force. The
+version of the configuration in force never decreases.
 """
 
 import logging
@@ -27,11 +28,12 @@
 from headcross_facts.topicstate import TopicState
 
 FROM_STORE: Final = "store"
-# Another process's news of a known version count if they are older than this one's by so much;
-# less is the time that messages take.
-EARLIER_SECONDS: Final = 0.05
-# Replicas whose entries go within so long of the last call that the store did not serve may have
-# lost them because they could not renew them either. Calls are made again after 1.2 s at most.
+# A peer's time for a known version replaces the local one only if it is earlier by more than this;
+# smaller differences are message latency.
+NAMING_TIME_TOLERANCE_SECONDS: Final = 0.05
+# An entry of a replica that disappears within this time of a failed call to the store may have
+# expired because the replica could not renew it either. Failed calls are retried after 1.2 s at
+# most.
 LAPSE_SECONDS: Final = 3.0
 
 logger = logging.getLogger(__name__)
@@ -39,78 +41,80 @@
 
 @dataclass(frozen=True, slots=True)
 class VersionNotice:
-    """When this process learned that a version of a model was named."""
+    """The time at which a version of a model was named, as far as this process knows."""
 
     version: int
     seen_at: float  # monotonic
-    at_start: bool  # it was named before this process first read the topic
+    at_start: bool  # whether it was named before this process first read the topic
 
 
 class Facts:
-    """Everything one process knows from the platform."""
+    """The newest known configuration, named versions and replicas of the platform."""
 
     configuration: Configuration | None
-    # The list of replicas, by id.
+    # Listed replicas by id.
     replicas: dict[str, Replica]
-    # Replicas whose entries were whole before and are another writer's now, by id, as they were
-    # last named. Nothing new goes there, and no order, until a whole entry is back.
-    disowned: dict[str, Replica]
-    # When the entries of replicas lapsed, around an outage of the store (monotonic), by id: those
-    # that live are listed again within two seconds or so of its return (the platform's pages).
+    # Replicas whose valid entry was overwritten with one that cannot be decoded, by id, as they
+    # were last listed. They get no new requests and no orders until a valid entry is back.
+    overwritten: dict[str, Replica]
+    # When entries of replicas expired around an outage of the store (monotonic), by id. Replicas
+    # that still run are listed again about two seconds after the store is back, as the platform
+    # documents it.
     lapsed_at: dict[str, float]
     # The named versions of each model, oldest first.
     versions: dict[str, list[VersionNotice]]
     topics: dict[Topic, TopicState]
-    # Items by what became of them: taken, rejected, ignored.
+    # Number of items and listings by outcome: taken, rejected, ignored.
     counts: Counter[str]
 
     def __init__(self, store: PublishedStore) -> None:
         self.configuration = None
         self.replicas = {}
-        self.disowned = {}
+        self.overwritten = {}
         self.lapsed_at = {}
         self.versions = {}
         self.topics = {topic: TopicState(topic) for topic in Topic}
         self.counts = Counter()
         self._store = store
-        # Why the newest entry under an id names no replica.
-        self._foreign: dict[str, str] = {}
+        # Why the newest entry of a replica cannot be decoded, by id.
+        self._invalid_reasons: dict[str, str] = {}
         self._changed = trio.Event()
         self._started_at = monotonic()
-        # When the store last failed to serve the list of replicas (monotonic).
+        # When a call for the list of replicas last failed (monotonic).
         self._list_failed_at = float("-inf")
 
     @property
     def complete(self) -> bool:
-        """Whether there is a configuration and a list of replicas to go by."""
+        """Whether both a configuration and a list of replicas are known."""
         return self.configuration is not None and self.topics[Topic.REPLICAS].known
 
     async def wait_change(self) -> None:
-        """Wait until another fact comes into force."""
+        """Wait for the next change of any fact."""
         await self._changed.wait()
 
     def newest_version(self, model: str) -> int | None:
-        """Return the newest named version of a model."""
+        """Return the newest named version of a model, None if none is known."""
         notices = self.versions.get(model)
         return notices[-1].version if notices else None
 
     def named_since_start(self, notice: VersionNotice) -> bool:
-        """Tell whether a version was named while this process ran."""
+        """Return whether a version was named after this process started."""
         return not notice.at_start and notice.seen_at >= self._started_at
 
-    def hear_version(self, model: str, version: int, age: float) -> None:
-        """Take the word of a daemon that a version was named so many seconds ago.
+    def record_named_version(self, model: str, version: int, age: float) -> None:
+        """Record that a daemon reports a version as named `age` seconds ago.
 
-        The news may be here before those of the store, which come together with a configuration of
-        hundreds of kilobytes: an entry that learned of a version 1.9 s late served an older one
-        past the bound. The earliest news of a version count, since its bound runs from when it
-        was named; those of one that a newer one followed count too, since each has its own bound.
+        The report may arrive before the store's change, which comes together with a configuration
+        of hundreds of kilobytes: an entry that learned of a version 1.9 s late served an older one
+        past the bound. The earliest report of a version counts, since its bound runs from the time
+        it was named. A version that a newer one has already followed is recorded as well, since
+        each version has its own bound.
         """
         notice = VersionNotice(version, monotonic() - age, at_start=False)
         notices = self.versions.setdefault(model, [])
         known = next((n for n in notices if n.version == version), None)
         if known is not None:
-            if notice.seen_at > known.seen_at - EARLIER_SECONDS:
+            if notice.seen_at > known.seen_at - NAMING_TIME_TOLERANCE_SECONDS:
                 return
             notices.remove(known)
         notices.append(notice)
@@ -120,8 +124,12 @@
         self._changed.set()
         self._changed = trio.Event()
 
-    def topic_known(self, topic: Topic) -> TopicState:
-        """Return what is known of a topic, also where only the whole of it is followed."""
+    def topic_state(self, topic: Topic) -> TopicState:
+        """Return the state of a topic.
+
+        The named versions are part of the control topic: where that is followed and newer, they
+        are taken from it.
+        """
         state = self.topics[topic]
         control = self.topics[Topic.CONTROL]
         if topic is not Topic.VERSIONS or not control.known or control.revision <= state.revision:
@@ -130,12 +138,12 @@
         return TopicState(topic, True, control.revision, control.fresh_at, items)
 
     def note_failure(self, topic: Topic) -> None:
-        """Note that the store did not serve a topic just now."""
+        """Record that a call to the store for a topic has just failed."""
         if topic is Topic.REPLICAS:
             self._list_failed_at = monotonic()
 
     def take_listing(self, topic: Topic, listing: Listing, age: float, source: str) -> bool:
-        """Take a whole topic; return whether anything was new."""
+        """Apply a listing that was the newest `age` seconds ago; return whether it had news."""
         state = self.topics[topic]
         first = not state.known
         news = state.take_listing(listing, age)
@@ -147,7 +155,7 @@
         return self._take(topic, news, source, at_start=first)
 
     def take_changes(self, topic: Topic, changes: Changes) -> bool:
-        """Take changes read from the store; return whether anything was new."""
+        """Apply changes that were read from the store; return whether there were any new ones."""
         news = self.topics[topic].take_changes(changes)
         return self._take(topic, news, FROM_STORE, at_start=False)
 
@@ -162,7 +170,7 @@
     def _take_item(self, topic: Topic, item: Item, source: str, at_start: bool) -> None:
         fields = {"key": item.key, "revision": item.revision, "source": source}
         if item.value is None:
-            self._take_gone(topic, item)
+            self._take_deletion(topic, item)
             logger.info("fact gone", extra=fields)
             return
         outcome = self._store.decode(item)
@@ -170,7 +178,7 @@
             self.counts["rejected"] += 1
             replica_id = self._store.replica_id(item.key) if topic is Topic.REPLICAS else None
             if replica_id is not None:
-                self._take_foreign_entry(replica_id, outcome.detail, fields)
+                self._take_invalid_replica(replica_id, outcome.detail, fields)
             else:
                 logger.error("fact rejected", extra={**fields, "reason": outcome.detail})
             return
@@ -185,31 +193,31 @@
                 return
         self.counts["taken"] += 1
 
-    def _take_gone(self, topic: Topic, item: Item) -> None:
+    def _take_deletion(self, topic: Topic, item: Item) -> None:
         replica_id = self._store.replica_id(item.key) if topic is Topic.REPLICAS else None
         if replica_id is None:
             return
-        self._foreign.pop(replica_id, None)
-        self.disowned.pop(replica_id, None)
+        self._invalid_reasons.pop(replica_id, None)
+        self.overwritten.pop(replica_id, None)
         replica = self.replicas.pop(replica_id, None)
         now = monotonic()
         outage = now - self._list_failed_at < LAPSE_SECONDS
         if replica is not None and outage and not replica.draining:
             self.lapsed_at[replica_id] = now
 
-    def _take_foreign_entry(self, replica_id: str, why: str, fields: dict[str, object]) -> None:
-        """Take an entry of another writer: it names no replica, and the earlier word goes.
+    def _take_invalid_replica(self, replica_id: str, why: str, fields: dict[str, object]) -> None:
+        """Remove a replica whose entry was overwritten with one that cannot be decoded.
 
-        Requests under way there go on. A line is written when an id's standing changes only, since
+        Requests in flight there continue. A line is logged only when the reason changes, since
         such an entry may be written again with every heartbeat.
         """
-        if self._foreign.get(replica_id) == why:
+        if self._invalid_reasons.get(replica_id) == why:
             return
-        self._foreign[replica_id] = why
+        self._invalid_reasons[replica_id] = why
         replica = self.replicas.pop(replica_id, None)
         self.lapsed_at.pop(replica_id, None)
         if replica is not None:
-            self.disowned[replica_id] = replica
+            self.overwritten[replica_id] = replica
         detail = {"replica": replica_id, "was_listed": replica is not None, "reason": why}
         logger.error("fact rejected", extra={**fields, **detail})
 
@@ -236,9 +244,9 @@
         held = self.replicas.get(replica.id)
         self.replicas[replica.id] = replica
         self.lapsed_at.pop(replica.id, None)
-        self.disowned.pop(replica.id, None)
-        self._foreign.pop(replica.id, None)
-        if held is None or _standing(held) != _standing(replica):
+        self.overwritten.pop(replica.id, None)
+        self._invalid_reasons.pop(replica.id, None)
+        if held is None or _logged_state(held) != _logged_state(replica):
             detail = {
                 "replica": replica.id,
                 "service": replica.service,
@@ -250,6 +258,6 @@
             logger.info("replica listed", extra={**fields, **detail})
 
 
-def _standing(replica: Replica) -> tuple[bool, tuple[LoadedModel, ...], int | None]:
-    """Return what of an entry is worth a line when it changes."""
+def _logged_state(replica: Replica) -> tuple[bool, tuple[LoadedModel, ...], int | None]:
+    """Return the parts of an entry whose changes are logged."""
     return replica.draining, replica.loaded, replica.started_ms
--- a/libs/facts/src/headcross_facts/following.py
+++ b/libs/facts/src/headcross_facts/following.py
@@ -1,14 +1,14 @@
-"""Following the store: a listing first, then one watch after the other.
+"""Follows the topics of the store: one listing, then a sequence of watches (long polls).
 
 A daemon beside a replica needs little of the configuration, which is large and may change several
-times a second, while its link is narrow: it watches the named versions, and lists the rest only
-when it is asked to.
-
-A watch that hears nothing proves nothing: the store may have said nothing to anybody for a moment,
-have served everyone since, and never answer this one call. So each is short, and shorter still
-while the store is lost (see `entry_pace`). A call that fails is made again after a pause that
-grows, and meanwhile other processes are asked (see `peerfacts`). A process that stood still gives
-up its watch, whose connection may be dead, and asks again at once.
+times a second, while the daemon's link is narrow: it watches the named versions and lists the rest
+on demand only.
+
+A watch without an answer does not show that there was no change: the store may have been silent
+for a moment, have answered everyone else since, and never answer this one call. So each watch is
+short, and shorter still after a failed call (see `entry_polling`). A failed call is retried after
+a growing pause, and meanwhile peers are asked (see `peerfacts`). After a pause of the process the
+watch is cancelled, since its connection may be dead, and a new call is made at once.
 """
 
 import logging
@@ -25,10 +25,11 @@
 
 PAUSE_CHECK_SECONDS: Final = 0.2
 FIRST_RETRY_SECONDS: Final = 0.15
-# Pauses between failed calls are drawn up to this much longer or shorter, so that processes which
-# lost the store together do not come back together.
+# Pauses between failed calls are lengthened or shortened at random by up to this share, so that
+# processes that lost the store at the same time do not all retry at the same time.
 RETRY_SPREAD: Final = 0.3
-# A failed call that lasted longer gets a line of its own: the store answers in milliseconds.
+# A failed call that lasted longer is logged even during a known outage, since the store usually
+# answers within milliseconds.
 LONG_CALL_SECONDS: Final = 1.0
 
 logger = logging.getLogger(__name__)
@@ -36,201 +37,203 @@
 
 @dataclass(frozen=True, slots=True)
 class FactBounds:
-    """How soon the users want news to be in force, in seconds."""
+    """The bounds within which changes must take effect, in seconds."""
 
-    configuration: float = 2.0  # from its publication to its effect at every entry
-    leaving: float = 2.0  # from the news that a replica leaves to its last request
-    # Both count for a process that the store has served for so long.
+    configuration: float = 2.0  # from the publication of a configuration to its use by all entries
+    leaving: float = 2.0  # from the report that a replica leaves to the last request it gets
+    # Both apply to a process once the store has been answering it for this long.
     reached: float = 3.0
 
 
 @dataclass(frozen=True, slots=True)
 class WatchLimits:
-    """How long one watch may last, in seconds."""
+    """The time limits of one watch, in seconds."""
 
-    wait: float  # without news, the store answers after this
-    answer: float  # so much later the call has failed, unless its answer has begun
+    wait: float  # the store answers after this if there is no change
+    answer: float  # the call fails this much later unless its answer has begun
 
     @property
     def longest(self) -> float:
-        """How long a store that went silent can hold the call."""
+        """Duration of a watch that the store never answers, in seconds."""
         return self.wait + self.answer
 
 
 @dataclass(frozen=True, slots=True)
-class FollowingPace:
-    """How often the store is asked."""
+class PollingSettings:
+    """Which topics of the store are followed, and the time limits and pauses of the calls."""
 
     watch: WatchLimits = WatchLimits(3.0, 1.5)
-    # The same for the list of replicas, which a daemon beside one needs less urgently.
+    # Limits for the list of replicas, which a daemon beside a replica needs less urgently.
     list_watch: WatchLimits = WatchLimits(3.0, 1.5)
-    # After a call failed, until one is answered; None: as before.
+    # Limits after a failed call, until a call is answered; None for no change.
     lost_watch: WatchLimits | None = None
-    # The longest pause between failed calls, before it is spread.
+    # Longest pause between failed calls, before it is randomized.
     max_retry_seconds: float = 0.9
-    # After news, so that a burst of changes comes in one answer.
-    rest_seconds: float = 0.15
-    list_rest_seconds: float = 0.15
-    # The same while a process has no need of fresh news of it; see `Follower.set_hurried`.
-    calm_list_rest_seconds: float = 0.15
-    # Topics that are watched, and those that are only listed when that is asked for.
+    # Pauses after a change, so that one answer contains a burst of changes.
+    batch_delay_seconds: float = 0.15
+    list_batch_delay_seconds: float = 0.15
+    # Pause after a change of the list while it is not urgent; see `Follower.set_urgent`.
+    idle_list_batch_delay_seconds: float = 0.15
+    # Topics that are watched, and topics that are listed on demand only.
     watched: tuple[Topic, ...] = (Topic.CONTROL, Topic.REPLICAS)
     listed: tuple[Topic, ...] = ()
 
-    def watch_of(self, topic: Topic, lost: bool) -> WatchLimits:
-        """Return how long a watch of a topic may last."""
+    def watch_limits(self, topic: Topic, lost: bool) -> WatchLimits:
+        """Return the time limits of a watch of a topic; `lost` after a failed call."""
         if lost and self.lost_watch is not None:
             return self.lost_watch
         return self.list_watch if topic is Topic.REPLICAS else self.watch
 
-    def rest_of(self, topic: Topic, hurried: bool) -> float:
-        """Return the pause after news of a topic."""
+    def batch_delay(self, topic: Topic, urgent: bool) -> float:
+        """Return the pause after a change of a topic, in seconds."""
         if topic is not Topic.REPLICAS:
-            return self.rest_seconds
-        return self.list_rest_seconds if hurried else self.calm_list_rest_seconds
+            return self.batch_delay_seconds
+        return self.list_batch_delay_seconds if urgent else self.idle_list_batch_delay_seconds
 
     def pause_after(self, failures: int) -> float:
-        """Return the pause after so many failed calls in a row and one more."""
+        """Return the pause in seconds after a failed call that `failures` others preceded."""
         pause = min(self.max_retry_seconds, FIRST_RETRY_SECONDS * 2.0**failures)
         return pause * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
 
 
-# What is left of a bound when the next call begins: for the pause after a first failure (0.2 s),
-# a store that answers slowly (0.24 s at sixty times its usual 4 ms), and for taking a document of
-# hundreds of kilobytes into force.
+# Part of a bound that remains when the next call begins. It covers the pause after a first failure
+# (0.2 s), a slow answer of the store (0.24 s, sixty times its usual 4 ms), and the time to apply a
+# document of hundreds of kilobytes.
 NEWS_MARGIN_SECONDS: Final = 0.8
-# The store answers in 4 ms (its sheet): two hundred times that. After a failure the store may be
-# slow and not silent, so its answer has longer; then the watch itself is over at once.
+# Two hundred times the 4 ms in which the store is specified to answer. After a failure the store
+# may be slow rather than silent, so its answer gets more time and the watch itself ends almost at
+# once.
 ANSWER_SECONDS: Final = 0.8
 LOST_ANSWER_SECONDS: Final = 1.2
 LOST_WAIT_SECONDS: Final = 0.1
 LOST_MAX_RETRY_SECONDS: Final = 0.5
-LEAST_WATCH_SECONDS: Final = 0.5
-# The rest after news, as parts of the bounds: each process asks again after every rest.
-REST_PART: Final = 0.075
-LIST_REST_PART: Final = 0.1
-# Daemons beside replicas give no caller an answer, so none of the bounds counts for them. What
-# they learn late costs time until new weights are here; each of their calls costs as much as an
-# entry's, and there are many more of them. Their watches last as long as the bounds together, less
-# a margin, times these factors. News of the list of replicas wait so long while a version is
-# brought in, and otherwise.
+MIN_WATCH_SECONDS: Final = 0.5
+# Pauses after a change as shares of the bounds. Each process makes one call after every pause.
+BATCH_DELAY_SHARE: Final = 0.075
+LIST_BATCH_DELAY_SHARE: Final = 0.1
+# Daemons beside replicas answer no callers, so none of the bounds applies to them. A late change
+# delays new weights; but each of their calls costs the store as much as an entry's, and there are
+# many more daemons than entries. A watch of theirs lasts for the sum of the bounds, less
+# DAEMON_MARGIN_SECONDS, times the factor of its topic. The two pauses after a change of the list
+# of replicas apply while a version is being fetched, and otherwise.
 DAEMON_MARGIN_SECONDS: Final = 2.0
 DAEMON_ANSWER_SECONDS: Final = 1.5
 VERSIONS_WATCH_FACTOR: Final = 1.4
 REPLICAS_WATCH_FACTOR: Final = 2.4
-DAEMON_LIST_REST_SECONDS: Final = 0.8
-DAEMON_CALM_LIST_REST_SECONDS: Final = 5.0
+DAEMON_LIST_BATCH_DELAY_SECONDS: Final = 0.8
+DAEMON_IDLE_LIST_BATCH_DELAY_SECONDS: Final = 5.0
 
 
-def entry_pace(bounds: FactBounds) -> FollowingPace:
-    """Return how often an entry asks: as seldom as the bounds allow, since each call is priced.
+def entry_polling(bounds: FactBounds) -> PollingSettings:
+    """Return the polling settings of an entry: as few calls as the bounds allow.
 
-    A call that begins just before a silent store serves again hears nothing of that. Once the
-    store has served for `reached`, the bound counts for all that was published since: the two
-    spans run at the same time. So the next call has to begin before the longer one is over;
-    watches of 3 s with 1.5 s for the answer let an entry go by an old configuration for 3.9 s.
+    Calls are few since each call to the store has a cost. A call that begins just before a silent
+    store answers again gets no answer. Once the store has answered for `reached` seconds, the
+    bound applies to everything published since its return: the two times run in parallel. So the
+    next call has to begin before the longer of them is over. Watches of 3 s with 1.5 s for the
+    answer let an entry use an old configuration for 3.9 s.
 
-    >>> entry_pace(FactBounds()).watch
+    >>> entry_polling(FactBounds()).watch
     WatchLimits(wait=1.4, answer=0.8)
     """
-    wait = max(LEAST_WATCH_SECONDS, round(longest_call(bounds) - ANSWER_SECONDS, 3))
+    wait = max(MIN_WATCH_SECONDS, round(longest_call(bounds) - ANSWER_SECONDS, 3))
     limits = WatchLimits(wait, ANSWER_SECONDS)
-    return FollowingPace(
+    return PollingSettings(
         watch=limits,
         list_watch=limits,
         lost_watch=WatchLimits(LOST_WAIT_SECONDS, LOST_ANSWER_SECONDS),
         max_retry_seconds=LOST_MAX_RETRY_SECONDS,
-        rest_seconds=REST_PART * bounds.configuration,
-        list_rest_seconds=LIST_REST_PART * bounds.leaving,
-        calm_list_rest_seconds=LIST_REST_PART * bounds.leaving,
+        batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
+        list_batch_delay_seconds=LIST_BATCH_DELAY_SHARE * bounds.leaving,
+        idle_list_batch_delay_seconds=LIST_BATCH_DELAY_SHARE * bounds.leaving,
     )
 
 
-def daemon_pace(bounds: FactBounds) -> FollowingPace:
-    """Return how often a daemon beside a replica asks."""
+def daemon_polling(bounds: FactBounds) -> PollingSettings:
+    """Return the polling settings of a daemon beside a replica."""
     shortest = min(bounds.configuration, bounds.leaving)
-    calm = max(LEAST_WATCH_SECONDS, bounds.reached + shortest - DAEMON_MARGIN_SECONDS)
-    return FollowingPace(
+    calm = max(MIN_WATCH_SECONDS, bounds.reached + shortest - DAEMON_MARGIN_SECONDS)
+    return PollingSettings(
         watch=WatchLimits(VERSIONS_WATCH_FACTOR * calm, DAEMON_ANSWER_SECONDS),
         list_watch=WatchLimits(REPLICAS_WATCH_FACTOR * calm, DAEMON_ANSWER_SECONDS),
-        rest_seconds=REST_PART * bounds.configuration,
-        list_rest_seconds=DAEMON_LIST_REST_SECONDS,
-        calm_list_rest_seconds=DAEMON_CALM_LIST_REST_SECONDS,
+        batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
+        list_batch_delay_seconds=DAEMON_LIST_BATCH_DELAY_SECONDS,
+        idle_list_batch_delay_seconds=DAEMON_IDLE_LIST_BATCH_DELAY_SECONDS,
         watched=(Topic.VERSIONS, Topic.REPLICAS),
         listed=(Topic.CONTROL,),
     )
 
 
 def longest_call(bounds: FactBounds) -> float:
-    """Return how many seconds a call may last that hears nothing of the store's return."""
+    """Return how many seconds a call may last that misses the return of a silent store."""
     shortest = min(bounds.configuration, bounds.leaving)
     return max(bounds.reached, shortest) - NEWS_MARGIN_SECONDS
 
 
 class Follower:
-    """Follows all topics of one store."""
+    """Keeps `Facts` up to date from the store."""
 
-    # Topics whose last call to the store failed, with the number of failures in a row.
+    # Topics whose last call to the store failed, with the number of consecutive failures.
     failing: dict[Topic, int]
 
     def __init__(
-        self, store: PublishedStore, facts: Facts, pauses: PauseWatch, pace: FollowingPace
+        self, store: PublishedStore, facts: Facts, pauses: PauseWatch, polling: PollingSettings
     ) -> None:
         self.failing = {}
         self._store = store
         self._facts = facts
         self._pauses = pauses
-        self._pace = pace
+        self._polling = polling
         self._scopes: dict[Topic, trio.CancelScope] = {}
-        # When the last call to the store began, and when the store was lost (monotonic).
+        # When the last call to the store began, and when its calls began to fail (monotonic).
         self._called_at: dict[Topic, float] = {}
         self._lost_at: dict[Topic, float] = {}
-        # Topics that wait until a listing is asked for, and those that rest after news.
-        self._unasked: dict[Topic, trio.Event] = {}
-        self._resting: dict[Topic, trio.CancelScope] = {}
-        self._hurried: set[Topic] = set()
+        # Topics that wait for `list_now`, and topics that pause after a change.
+        self._listing_requests: dict[Topic, trio.Event] = {}
+        self._batch_delays: dict[Topic, trio.CancelScope] = {}
+        self._urgent: set[Topic] = set()
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow all topics of the polling settings until cancelled."""
         async with trio.open_nursery() as nursery:
-            for topic in self._pace.watched:
+            for topic in self._polling.watched:
                 nursery.start_soon(self._follow, topic)
-            for topic in self._pace.listed:
+            for topic in self._polling.listed:
                 nursery.start_soon(self._follow_by_listing, topic)
-            nursery.start_soon(self._watch_pauses)
+            nursery.start_soon(self._reset_after_pauses)
 
     def reset(self) -> None:
-        """Give up every call under way and ask again at once."""
+        """Cancel every call in progress and make a new one at once."""
         for scope in self._scopes.values():
             scope.cancel()
 
     @property
     def complete(self) -> bool:
-        """Whether all topics that are watched have been read once."""
-        return all(self._facts.topics[topic].known for topic in self._pace.watched)
+        """Whether a listing of every watched topic has been taken."""
+        return all(self._facts.topics[topic].known for topic in self._polling.watched)
 
     def call_age(self, topic: Topic) -> float:
-        """Return the seconds since the last call to the store about a topic began, 0 for none."""
+        """Return the seconds since the last call for a topic began, 0 if there was none."""
         called_at = self._called_at.get(topic)
         return monotonic() - called_at if called_at is not None else 0.0
 
     def watches(self, topic: Topic) -> bool:
-        """Tell whether a topic is watched, and not only listed when that is asked for."""
-        return topic in self._pace.watched
+        """Return whether a topic is watched rather than listed on demand."""
+        return topic in self._polling.watched
 
     def list_now(self, topic: Topic) -> None:
-        """List a topic that is listed only when that is asked for, unless that is under way."""
-        if topic in self._unasked:
-            self._unasked[topic].set()
-
-    def set_hurried(self, topic: Topic, hurried: bool) -> None:
-        """Follow a topic closely from now on, or let its news wait for longer."""
-        if not hurried:
-            self._hurried.discard(topic)
-        elif topic not in self._hurried:
-            self._hurried.add(topic)
-            if topic in self._resting:
-                self._resting[topic].cancel()
+        """List a topic that is listed on demand, unless a listing is already in progress."""
+        if topic in self._listing_requests:
+            self._listing_requests[topic].set()
+
+    def set_urgent(self, topic: Topic, urgent: bool) -> None:
+        """Set whether changes of a topic are read after the short pause or the long one."""
+        if not urgent:
+            self._urgent.discard(topic)
+        elif topic not in self._urgent:
+            self._urgent.add(topic)
+            if topic in self._batch_delays:
+                self._batch_delays[topic].cancel()
 
     async def _follow(self, topic: Topic) -> None:
         listed = False
@@ -239,68 +242,68 @@
                 self._scopes[topic] = scope
                 listed = await self._step(topic, listed)
             if scope.cancelled_caught:
-                logger.info("watch given up", extra={"topic": topic.value})
+                logger.info("watch cancelled", extra={"topic": topic.value})
 
     async def _follow_by_listing(self, topic: Topic) -> None:
         while True:
             asked = trio.Event()
-            self._unasked[topic] = asked
+            self._listing_requests[topic] = asked
             await asked.wait()
-            del self._unasked[topic]
+            del self._listing_requests[topic]
             listed = False
             while not listed:
                 with trio.CancelScope() as scope:
                     self._scopes[topic] = scope
                     listed = await self._step(topic, listed=False)
 
-    async def _rest_after_news(self, topic: Topic) -> None:
-        seconds = self._pace.rest_of(topic, topic in self._hurried)
+    async def _delay_after_news(self, topic: Topic) -> None:
+        seconds = self._polling.batch_delay(topic, topic in self._urgent)
         with trio.move_on_after(seconds) as scope:
-            self._resting[topic] = scope
+            self._batch_delays[topic] = scope
             await trio.sleep_forever()
-        self._resting.pop(topic, None)
+        self._batch_delays.pop(topic, None)
 
     async def _step(self, topic: Topic, listed: bool) -> bool:
-        """Make one call; return whether changes may be watched for next."""
+        """Make one call; return whether the next one may be a watch instead of a listing."""
         self._called_at[topic] = monotonic()
         if not listed:
             listing = await self._store.read(topic)
             if isinstance(listing, Failure):
-                await self._rest_after_failure(topic, listing)
+                await self._pause_after_failure(topic, listing)
                 return False
-            self._regained(topic)
+            self._note_recovery(topic)
             self._facts.take_listing(topic, listing.value, 0.0, FROM_STORE)
             return True
         revision = self._facts.topics[topic].revision
-        limits = self._pace.watch_of(topic, lost=topic in self.failing)
+        limits = self._polling.watch_limits(topic, lost=topic in self.failing)
         outcome = await self._store.watch(topic, revision, limits.wait, limits.answer)
         match outcome:
             case Ok(value=changes):
-                self._regained(topic)
+                self._note_recovery(topic)
                 if self._facts.take_changes(topic, changes):
-                    await self._rest_after_news(topic)
+                    await self._delay_after_news(topic)
                 return True
             case HistoryLost():
                 logger.info("history lost", extra={"topic": topic.value, "revision": revision})
                 return False
             case Failure():
-                await self._rest_after_failure(topic, outcome)
+                await self._pause_after_failure(topic, outcome)
                 return True
 
-    async def _rest_after_failure(self, topic: Topic, failure: Failure) -> None:
+    async def _pause_after_failure(self, topic: Topic, failure: Failure) -> None:
         failures = self.failing.get(topic, 0)
         self.failing[topic] = failures + 1
         self._facts.note_failure(topic)
         if not failures:
             self._lost_at[topic] = monotonic()
         fields = {"topic": topic.value, "call_seconds": round(self.call_age(topic), 3)}
-        # One line for an outage, and one for each call that it kept for long: news waited for it.
+        # One line per outage, and one for each long call, since changes were late by its duration.
         if not failures or self.call_age(topic) > LONG_CALL_SECONDS:
             message = "store still lost" if failures else "store lost"
             logger.warning(message, extra={**fields, "reason": failure.detail[:300]})
-        await trio.sleep(self._pace.pause_after(failures))
+        await trio.sleep(self._polling.pause_after(failures))
 
-    def _regained(self, topic: Topic) -> None:
+    def _note_recovery(self, topic: Topic) -> None:
         failures = self.failing.pop(topic, 0)
         if failures:
             fields = {
@@ -311,7 +314,7 @@
             }
             logger.info("store regained", extra=fields)
 
-    async def _watch_pauses(self) -> None:
+    async def _reset_after_pauses(self) -> None:
         seen = self._pauses.check()
         while True:
             await trio.sleep(PAUSE_CHECK_SECONDS)
--- a/libs/facts/src/headcross_facts/peerfacts.py
+++ b/libs/facts/src/headcross_facts/peerfacts.py
@@ -1,15 +1,17 @@
-"""Facts from other processes, for a process that the store does not serve.
-
-Only a process whose own calls fail asks. A topic may be hundreds of kilobytes: asking several
-processes for all of it, and again before the answer could be here, had filled the links between
-regions after a restart of all. So it first asks some, again and again, how much they know, which
-takes a few bytes, and then one that knows more for the whole. A process that knows nothing says so
-at once: its silence cannot be told from an answer that is on its way, and waiting for that had
-kept an entry from asking those that knew.
-
-Entries are asked first, since they follow everything, and another process beside them when no
-entry is served by the store either. A process that only lists a topic asks nobody for it, and
-lists it when it is asked. Nothing is pushed, so a store that serves everyone costs no traffic.
+"""Fetches topics from other processes while the store does not answer this one.
+
+Only a process whose own calls to the store fail asks its peers. A topic may be hundreds of
+kilobytes: requesting all of it from several peers, and again before the answer could arrive,
+filled the links between regions when all processes restarted at once. So a process first asks a
+few peers periodically for their revision, which takes a few bytes, and then requests the whole
+topic from one that has a newer revision. A process that knows nothing answers so at once: without
+an answer it could not be told from one whose answer is under way, and waiting for that kept an
+entry from asking peers that had the topic.
+
+Entries are asked first, since they follow every topic; one other process is asked in addition
+while the store does not answer any entry either. A process that only lists a topic on demand
+does not ask peers for it, and lists it when it is asked. Nothing is pushed, so there is no traffic
+between peers while the store answers everyone.
 """
 
 import logging
@@ -33,59 +35,61 @@
 
 from headcross_facts.facts import Facts
 from headcross_facts.following import Follower
-from headcross_facts.topicstate import NOTHING
+from headcross_facts.topicstate import UNKNOWN_REVISION
 
-ASK_SECONDS: Final = 0.3
-# Entries that are asked at a time how much they know. In the worst outage seen three of four knew
-# nothing; three rounds of four then reach the one that does.
+ASK_INTERVAL_SECONDS: Final = 0.3
+# Entries asked for their revision per round. In the worst outage observed three of four entries
+# knew nothing; three rounds out of four then reach the one that does.
 ENTRIES_ASKED: Final = 3
-# Another process is asked beside them when nobody has had fresh facts for so long, and the same
-# one for so long: one that only lists the topic lists it for this, on a narrow link.
-ENTRIES_SECONDS: Final = 0.9
-OTHER_SECONDS: Final = 3.0
-# A whole topic that was asked for may be on its way for so long before it is asked for again;
-# twice as long after each that did not come, up to a limit.
+# Another process is asked in addition once no peer has had fresh facts for FALLBACK_DELAY_SECONDS.
+# It stays the same one for FALLBACK_PEER_SECONDS, since a process that lists the topic on demand
+# makes a listing for this over a narrow link.
+FALLBACK_DELAY_SECONDS: Final = 0.9
+FALLBACK_PEER_SECONDS: Final = 3.0
+# Time that a requested topic may take to arrive before it is requested again; it doubles after
+# each that did not arrive, up to the maximum.
 FIRST_TRANSFER_SECONDS: Final = 0.9
 MAX_TRANSFER_SECONDS: Final = 5.0
-# An answer from one that was itself last served so long ago is none to rely on.
+# A peer's answer does not count as fresh if the store last answered that peer longer ago.
 STALE_SECONDS: Final = 2.0
-# A process that is asked for a topic that it only lists lists it anew, unless it is this fresh.
+# A process that is asked for a topic that it lists on demand lists it again, unless its state is
+# no older than this.
 FRESH_SECONDS: Final = 0.7
 
 logger = logging.getLogger(__name__)
 
 
 @dataclass(slots=True)
-class _Search:
-    """What a process does to learn of a topic from others (times monotonic)."""
+class _TopicFetch:
+    """The state of fetching one topic from peers (times are monotonic)."""
 
-    # When a process that the store serves was last heard from.
+    # When a peer with fresh facts last answered.
     fresh_at: float
-    # A process other than an entry that is asked beside them, and until when.
-    other: Address | None = None
-    other_until: float = float("-inf")
-    # The whole topic was asked for and may be on its way until then.
+    # A process other than an entry that is asked in addition, and until when.
+    fallback_peer: Address | None = None
+    fallback_until: float = float("-inf")
+    # Until when a requested topic may still arrive.
     transfer_until: float = float("-inf")
-    patience: float = FIRST_TRANSFER_SECONDS
+    transfer_timeout: float = FIRST_TRANSFER_SECONDS
     transferring: bool = False
 
     def begin_transfer(self, now: float) -> None:
-        """Note that the whole topic was asked for."""
+        """Record that the whole topic was requested, and double the next timeout."""
         self.transferring = True
-        self.transfer_until = now + self.patience
-        self.patience = min(MAX_TRANSFER_SECONDS, 2 * self.patience)
+        self.transfer_until = now + self.transfer_timeout
+        self.transfer_timeout = min(MAX_TRANSFER_SECONDS, 2 * self.transfer_timeout)
 
     def end_transfer(self) -> None:
-        """Note that it came."""
+        """Record that the topic arrived, and reset the timeout."""
         self.transferring = False
         self.transfer_until = float("-inf")
-        self.patience = FIRST_TRANSFER_SECONDS
+        self.transfer_timeout = FIRST_TRANSFER_SECONDS
 
 
 class PeerFacts:
-    """Asks and answers for topics."""
+    """Requests topics from peers while the store fails, and answers such requests of peers."""
 
-    # Questions for how much others know, and listings taken from them.
+    # Number of questions sent for a revision, and of listings taken from peers.
     asked: int
     taken: int
 
@@ -104,54 +108,60 @@
         self._node = node
         self._peers = peers
         self._entries = entries
-        self._searches: dict[Topic, _Search] = {}
+        self._fetches: dict[Topic, _TopicFetch] = {}
 
     async def run(self) -> None:
-        """Ask for topics that the store does not serve, until cancelled."""
+        """Ask peers for the topics whose calls to the store fail, until cancelled."""
         while True:
-            await trio.sleep(ASK_SECONDS * random.uniform(0.7, 1.3))
+            await trio.sleep(ASK_INTERVAL_SECONDS * random.uniform(0.7, 1.3))
             failing = {t for t in self._follower.failing if self._follower.watches(t)}
-            for topic in set(self._searches) - failing:
-                del self._searches[topic]
+            for topic in set(self._fetches) - failing:
+                del self._fetches[topic]
             for topic in failing:
                 self._ask(topic)
 
-    def tell_revision(self, question: AskRevision, reply: Reply) -> None:
-        """Tell another process how much this one knows, even if that is nothing."""
-        topic = _topic_named(question.topic)
+    def answer_revision(self, question: AskRevision, reply: Reply) -> None:
+        """Answer a peer with the revision that this process has, even if it has none."""
+        topic = _parse_topic(question.topic)
         if topic is None:
             return
-        state = self._facts.topic_known(topic)
+        state = self._facts.topic_state(topic)
         if state.age() > FRESH_SECONDS:
             self._follower.list_now(topic)
-        revision = state.revision if state.known else NOTHING
+        revision = state.revision if state.known else UNKNOWN_REVISION
         reply(KnownRevision(question.topic, revision, state.age()), None)
 
-    def hear_revision(self, message: KnownRevision, reply: Reply) -> None:
-        """Ask a process that knows more for all of it, unless that is on its way already."""
-        topic = _topic_named(message.topic)
-        search = self._searches.get(topic) if topic is not None else None
-        if topic is None or search is None:
+    def receive_revision(self, message: KnownRevision, reply: Reply) -> None:
+        """Request the whole topic from a peer that has a newer revision.
+
+        Nothing is requested while an earlier request may still be answered.
+        """
+        topic = _parse_topic(message.topic)
+        fetch = self._fetches.get(topic) if topic is not None else None
+        if topic is None or fetch is None:
             return
         now = monotonic()
         if message.age <= STALE_SECONDS:
-            search.fresh_at = now
+            fetch.fresh_at = now
         held = self._revision_held(topic)
-        if message.revision <= held or now < search.transfer_until:
+        if message.revision <= held or now < fetch.transfer_until:
             return
         fields = {"topic": topic.value, "held": held}
-        if search.transferring:
+        if fetch.transferring:
             logger.info("facts not answered", extra=fields)
         if reply(AskFacts(topic.value, held), None):
-            search.begin_transfer(now)
+            fetch.begin_transfer(now)
             logger.info("facts asked", extra={**fields, "revision": message.revision})
 
     def answer(self, question: AskFacts, reply: Reply) -> None:
-        """Tell another process all that this one knows of a topic, if that is newer."""
-        topic = _topic_named(question.topic)
+        """Answer a peer with the topic; without its items if the peer has the same revision.
+
+        A peer that has a newer revision gets no answer.
+        """
+        topic = _parse_topic(question.topic)
         if topic is None:
             return
-        state = self._facts.topic_known(topic)
+        state = self._facts.topic_state(topic)
         if not state.known or state.revision < question.revision:
             return
         items: list[PublishedItem] = []
@@ -163,12 +173,12 @@
         reply(TopicFacts(question.topic, state.revision, state.age(), items), None)
 
     def receive(self, message: TopicFacts, sender: str) -> None:
-        """Take what another process knows."""
-        topic = _topic_named(message.topic)
+        """Apply a topic that a peer sent, if its revision is newer."""
+        topic = _parse_topic(message.topic)
         if topic is None:
             return
-        if topic in self._searches:
-            self._searches[topic].end_transfer()
+        if topic in self._fetches:
+            self._fetches[topic].end_transfer()
         held = self._revision_held(topic)
         fields = {"topic": topic.value, "revision": message.revision, "held": held}
         logger.info("facts answered", extra={**fields, "age": round(min(message.age, 1e9), 3)})
@@ -179,37 +189,37 @@
         self._facts.take_listing(topic, Listing(items, message.revision), message.age, sender)
 
     def _revision_held(self, topic: Topic) -> int:
-        """Return the revision of what is known here; a whole topic may have revision 0."""
+        """Return the known revision of a topic; that of a complete listing may be 0."""
         state = self._facts.topics[topic]
-        return state.revision if state.known else NOTHING
+        return state.revision if state.known else UNKNOWN_REVISION
 
     def _ask(self, topic: Topic) -> None:
-        """Ask some processes how much they know, unless the whole topic is on its way."""
+        """Ask some peers for their revision, unless a requested topic may still arrive."""
         now = monotonic()
-        search = self._searches.setdefault(topic, _Search(fresh_at=now))
-        if now < search.transfer_until:
+        fetch = self._fetches.setdefault(topic, _TopicFetch(fresh_at=now))
+        if now < fetch.transfer_until:
             return
-        for peer in self._to_ask(search, now):
-            # The first message to a process only opens the link.
+        for peer in self._peers_to_ask(fetch, now):
+            # The first message to a peer only opens the link and is not sent.
             self.asked += self._node.send(peer, AskRevision(topic.value))
 
-    def _to_ask(self, search: _Search, now: float) -> list[Address]:
-        """Return some entries, and another process if none of them has fresh facts."""
+    def _peers_to_ask(self, fetch: _TopicFetch, now: float) -> list[Address]:
+        """Return a random sample of entries, and another process if none has fresh facts."""
         entries = self._entries()
         asked = random.sample(entries, min(ENTRIES_ASKED, len(entries)))
-        if entries and now - search.fresh_at < ENTRIES_SECONDS:
+        if entries and now - fetch.fresh_at < FALLBACK_DELAY_SECONDS:
             return asked
-        if now >= search.other_until:
+        if now >= fetch.fallback_until:
             peers = self._peers()
-            search.other = random.choice(peers) if peers else None
-            search.other_until = now + OTHER_SECONDS
-        if search.other is not None and search.other not in asked:
-            asked.append(search.other)
+            fetch.fallback_peer = random.choice(peers) if peers else None
+            fetch.fallback_until = now + FALLBACK_PEER_SECONDS
+        if fetch.fallback_peer is not None and fetch.fallback_peer not in asked:
+            asked.append(fetch.fallback_peer)
         return asked
 
 
-def _topic_named(name: str) -> Topic | None:
-    """Return the topic that a message is about, None for one of a newer version."""
+def _parse_topic(name: str) -> Topic | None:
+    """Return the topic that a message names, None if this release does not know it."""
     try:
         return Topic(name)
     except ValueError:
--- a/libs/facts/src/headcross_facts/topicstate.py
+++ b/libs/facts/src/headcross_facts/topicstate.py
@@ -1,7 +1,7 @@
-"""What a process knows of one topic: its items, their revision, and when that was the newest.
+"""The state of one topic: its items, their revision, and when that revision was the newest.
 
-Items only ever move forward within one life of the process, whatever order listings, changes and
-the word of other daemons arrive in.
+Revisions of items never decrease while the process runs, in whatever order listings, changes and
+messages of other daemons arrive.
 """
 
 from collections.abc import Iterable
@@ -11,29 +11,32 @@
 from headcross_base.clocks import monotonic
 from headcross_ports.published import Changes, Item, Listing, Topic
 
-# Less than every revision: nothing is known yet.
-NOTHING: Final = -1
+# Lower than every revision: no listing has been taken yet.
+UNKNOWN_REVISION: Final = -1
 
 
 @dataclass(slots=True)
 class TopicState:
-    """One topic."""
+    """The items of one topic at its newest known revision."""
 
     topic: Topic
-    known: bool = False  # a whole listing was taken once
-    revision: int = 0  # every change up to this one is known
-    fresh_at: float = float("-inf")  # monotonic; nothing newer existed then
+    known: bool = False  # whether a complete listing has been taken
+    revision: int = 0  # all changes up to and including this revision are applied
+    fresh_at: float = float("-inf")  # monotonic; the latest time at which this was the newest
     items: dict[str, Item] = field(default_factory=dict)
 
     def age(self) -> float:
-        """Return the seconds since this was known to be the newest state."""
+        """Return the seconds since this state was last known to be the newest."""
         return monotonic() - self.fresh_at
 
     def take_listing(self, listing: Listing, age: float) -> list[Item] | None:
-        """Take a whole topic; return what is new, or None if the listing is older than this."""
+        """Apply a listing of the topic; return the new items, or None if it is older than this.
+
+        Items that are no longer listed are returned without a value.
+        """
         if self.known and listing.revision < self.revision:
             return None
-        complete = self.revision if self.known else NOTHING
+        complete = self.revision if self.known else UNKNOWN_REVISION
         self.known = True
         listed = {item.key for item in listing.items}
         gone = [
@@ -44,12 +47,12 @@
         return self._take([*listing.items, *gone], listing.revision, age, complete)
 
     def take_changes(self, changes: Changes) -> list[Item]:
-        """Take the changes after this state's revision; return what is new."""
+        """Apply the changes after this state's revision; return the new items."""
         return self._take(changes.items, changes.revision, 0.0, self.revision)
 
     def _take(self, items: Iterable[Item], revision: int, age: float, complete: int) -> list[Item]:
         news: list[Item] = []
-        # One answer may hold several changes of one item.
+        # One answer may contain several changes of the same item.
         for item in sorted(items, key=lambda item: item.revision):
             if not self._is_news(item, complete):
                 continue
@@ -63,10 +66,10 @@
         return news
 
     def _is_news(self, item: Item, complete: int) -> bool:
-        """Tell whether an item says more than what was known up to the revision `complete`.
+        """Return whether an item is newer than this state, which was complete up to `complete`.
 
-        An item that is not held although its revision was known has gone since; news that were
-        overtaken on their way must not bring it back.
+        An item that is not held although its revision is at most `complete` has been deleted
+        since; a delayed message must not restore it.
         """
         held = self.items.get(item.key)
         if held is None:
--- a/libs/fleet/src/headcross_fleet/__init__.py
+++ b/libs/fleet/src/headcross_fleet/__init__.py
@@ -1,1 +1,1 @@
-"""What the operators want (the fleet file), how each process learns of it, and who is there."""
+"""The fleet file, its distribution to all processes, and the known state of all upstreams."""
--- a/libs/fleet/src/headcross_fleet/documents.py
+++ b/libs/fleet/src/headcross_fleet/documents.py
@@ -1,12 +1,12 @@
-"""The documents a process has accepted: never older than before, whole or not at all.
+"""Holds the configuration documents of a process: the newest revisions and those in force.
 
-A document comes from the service or from a peer. Its revision must be above the one held. The
-fleet file must pass its check; a file that does not is remembered as rejected (so that everyone
-can see it) and the last good one stays. Two bodies under one revision mean that the service is
-split or damaged: the one held stays, and the conflict is counted and shown.
+A document comes from the service or from a peer and must have a higher revision than the one held.
+The fleet file is validated as a whole; an invalid file is kept as rejected, so that it can be
+shown, and the last valid one stays in force. Two bodies under one revision mean that the service
+is split or damaged: the one held stays, and the conflict is counted and shown.
 
-Freshness: each process keeps the moment up to which it knows that the service had nothing newer,
-by its own reading or by a peer's word with its age.
+Freshness: each process records the latest time at which it knows that the service had nothing
+newer, from its own reads or from a peer's message with its age.
 """
 
 import logging
@@ -31,11 +31,11 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Versions:
-    """The two revisions that a placement follows from.
+class DocumentRevisions:
+    """The revisions of the two documents that determine a placement.
 
-    Daemons with the same pair take the same decisions; a row of another pair says nothing about
-    what its daemon is about to do.
+    Daemons with the same revisions take the same decisions; a status with other revisions does not
+    show what its daemon is about to do.
     """
 
     fleet: int
@@ -43,8 +43,8 @@
 
 
 @dataclass(slots=True)
-class Held:
-    """What a process holds of one document."""
+class HeldDocument:
+    """The newest known revision of one document and the newest one in force."""
 
     key: str
     revision: int = NO_REVISION  # newest revision seen, accepted or rejected
@@ -53,24 +53,24 @@
     accepted_revision: int = NO_REVISION  # newest revision in force
     accepted_digest: str = ""
     accepted_body: bytes = b""
-    fresh_at: float = float("-inf")  # monotonic; the service had nothing newer then
+    fresh_at: float = float("-inf")  # monotonic; the latest time with nothing newer at the service
     rejection: str = ""  # why the newest revision is not in force, empty if it is
 
     def age(self) -> float:
-        """Return the seconds since the service was known to have nothing newer."""
+        """Return the seconds since the service was last known to have nothing newer."""
         return monotonic() - self.fresh_at
 
 
 class Documents:
-    """The fleet file and the host list in force, and news of changes."""
+    """The fleet file and the host list in force; `wait_change` waits for a change of either."""
 
-    # The fleet file in force and its revision.
+    # The fleet file in force.
     fleet: FleetFile
     # The host list in force.
     hosts: HostList
-    # Events worth counting, by name: accepted, rejected, old, conflict.
+    # Number of events by name: accepted, rejected, old, conflict, damaged.
     counts: Counter[str]
-    # When the service or a peer was last heard, on the monotonic clock.
+    # When a document or a confirmation last came from the service or a peer (monotonic).
     contact_at: float
 
     def __init__(self, journal: Journal) -> None:
@@ -79,7 +79,7 @@
         self.counts = Counter()
         self.contact_at = float("-inf")
         self._journal = journal
-        self._held = {key: Held(key) for key in KEYS}
+        self._held = {key: HeldDocument(key) for key in KEYS}
         self._changed = trio.Event()
 
     @property
@@ -93,16 +93,16 @@
         return self._held[HOSTS_KEY].accepted_revision
 
     @property
-    def versions(self) -> "Versions":
+    def revisions(self) -> "DocumentRevisions":
         """Revisions of both documents in force."""
-        return Versions(self.revision, self.hosts_revision)
+        return DocumentRevisions(self.revision, self.hosts_revision)
 
-    def held(self, key: str) -> Held:
-        """Return what is held of a document."""
+    def held(self, key: str) -> HeldDocument:
+        """Return the held state of a document."""
         return self._held[key]
 
     def contact_age(self) -> float:
-        """Return the seconds since the service or a peer was last heard."""
+        """Return the seconds since the service or a peer was last in contact."""
         return monotonic() - self.contact_at
 
     async def wait_change(self) -> None:
@@ -110,9 +110,9 @@
         await self._changed.wait()
 
     def offer(self, key: str, revision: int, body: bytes, age: float) -> bool:
-        """Take a document if it is newer than what is held; return whether it was new.
+        """Take a document if it is newer than the one held; return whether it was new.
 
-        `age` is how long ago (seconds) the service had nothing newer than this revision.
+        `age` is the number of seconds since the service was known to have nothing newer.
         """
         self.contact_at = monotonic()
         held = self._held[key]
@@ -133,17 +133,17 @@
         failure = self._put_in_force(held, revision, body)
         held.rejection = str(failure) if failure else ""
         self._report(held)
-        self._announce()
+        self._notify_waiters()
         return True
 
     def confirm(self, key: str, revision: int, digest: str, age: float) -> None:
-        """Note that a peer, `age` seconds ago, knew of nothing newer than `revision`."""
+        """Record that the service had nothing newer than `revision` `age` seconds ago."""
         self.contact_at = monotonic()
         held = self._held[key]
         if revision == held.revision and revision != NO_REVISION:
             self._confirm(held, digest, age)
 
-    def _confirm(self, held: Held, digest: str, age: float) -> None:
+    def _confirm(self, held: HeldDocument, digest: str, age: float) -> None:
         if digest != held.digest:
             self.counts["conflict"] += 1
             reason = f"{REVISION_CONFLICT.code}: revision {held.revision} has two bodies"
@@ -151,20 +151,20 @@
             return
         held.fresh_at = max(held.fresh_at, monotonic() - age)
 
-    def _take_last_good(self, held: Held, revision: int, body: bytes) -> bool:
-        """Put a file in force that is newer than ours, though older than a rejected one."""
+    def _take_last_good(self, held: HeldDocument, revision: int, body: bytes) -> bool:
+        """Put a document in force that is older than a rejected one; return if it is valid."""
         if self._put_in_force(held, revision, body) is not None:
             return False
         self._journal.record("document-accepted", f"{held.key}@{revision}", "last good one")
-        self._announce()
+        self._notify_waiters()
         return True
 
-    def _announce(self) -> None:
+    def _notify_waiters(self) -> None:
         self._changed.set()
         self._changed = trio.Event()
 
-    def _put_in_force(self, held: Held, revision: int, body: bytes) -> Failure | None:
-        """Parse a body; change what is in force only if all of it is good."""
+    def _put_in_force(self, held: HeldDocument, revision: int, body: bytes) -> Failure | None:
+        """Parse a body and put it in force; if it is invalid, return why and change nothing."""
         if held.key == FLEET_KEY:
             fleet = parse_fleet_file(body)
             if isinstance(fleet, Failure):
@@ -180,7 +180,7 @@
         held.accepted_body = body
         return None
 
-    def _report(self, held: Held) -> None:
+    def _report(self, held: HeldDocument) -> None:
         fields = {"document": held.key, "revision": held.revision, "digest": held.digest}
         if held.rejection:
             self.counts["rejected"] += 1
--- a/libs/fleet/src/headcross_fleet/fleetfile.py
+++ b/libs/fleet/src/headcross_fleet/fleetfile.py
@@ -1,8 +1,8 @@
-"""The fleet file: what should run where, in TOML, checked whole.
+"""Parses and validates the fleet file, the TOML file that says what should run where.
 
 The types below are the file's schema. `parse_fleet_file` is a pure function of the bytes, so every
-process accepts or rejects a file alike; anything that depends on the hosts of the moment (too few
-of them, say) is not part of it. Each error names the field and the reason.
+process accepts or rejects a file alike; anything that depends on the current hosts (such as too
+few of them) is not checked here. Each error names the field and the reason.
 """
 
 import tomllib
@@ -13,8 +13,8 @@
 from headcross_base.errorcodes import FILE_REJECTED
 from headcross_base.errors import Failure, Ok
 
-MAX_FILE_BYTES: Final = 1024 * 1024  # source: brief, values of the configuration service
-MAX_TABLE_ENTRIES: Final = 1000  # models, pools, teams, ... in one file
+MAX_FILE_BYTES: Final = 1024 * 1024  # the configuration service's limit for a value
+MAX_TABLE_ENTRIES: Final = 1000  # entries of each table: models, pools, teams, ...
 
 Name = Annotated[str, msgspec.Meta(pattern=r"^[a-z0-9][a-z0-9._-]{0,62}$")]
 Digest = Annotated[str, msgspec.Meta(pattern=r"^[0-9a-f]{64}$")]
@@ -24,18 +24,18 @@
 
 
 class _Table(msgspec.Struct, frozen=True, forbid_unknown_fields=True, kw_only=True):
-    """Common options of all tables."""
+    """Base class of all tables: unknown fields are rejected."""
 
 
 class Weights(_Table, frozen=True, kw_only=True):
-    """One version of a model or an adapter: which bytes it is."""
+    """The weights of one version of a model or an adapter."""
 
     digest: Digest  # SHA-256 of the manifest, as `headcross manifest` prints it
-    weights: Name  # name at the store and the origin
+    weights: Name  # name of the weights at the store and the origin
 
 
 class Model(_Table, frozen=True, kw_only=True):
-    """A model and its versions."""
+    """A model and the weights of its versions."""
 
     versions: dict[Name, Weights]
 
@@ -48,43 +48,43 @@
 
 
 class Pool(_Table, frozen=True, kw_only=True):
-    """Replicas of one model version, and how they are moved to another one."""
+    """Replicas of one model version, and how they are rolled out to another one."""
 
     model: Name
     version: Name
-    adapters: dict[Name, Name] = {}  # adapter to version
+    adapters: dict[Name, Name] = {}  # version by adapter
     replicas: Count
     zones: Annotated[list[Name], msgspec.Meta(min_length=1, max_length=64)]
-    # How many hosts of the pool fetch each chunk from the origin: 1 spares the origin, more
-    # saves time when a fetcher is slow.
+    # Number of hosts of the pool that fetch each chunk from the origin: 1 keeps the load on the
+    # origin lowest, a higher number saves time when one of these hosts is slow.
     origin_copies: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1
-    max_unavailable: Count = 1  # replicas that may be away at once in a rollout
-    # A leaving replica lets its requests end for so long; then they are resumed elsewhere.
+    max_unavailable: Count = 1  # replicas that may be unavailable at once during a rollout
+    # Time for the requests of a leaving replica to end; then they are resumed elsewhere.
     drain_seconds: Seconds = 60.0
-    # A silent host's place is taken by the next one after so long.
+    # Time without heartbeats after which another host replaces a silent one.
     stand_in_seconds: Seconds = 30.0
 
 
 class Service(_Table, frozen=True, kw_only=True):
-    """A plain service; its upstreams are those the host list gives to it."""
+    """A plain service; the host list names its upstreams."""
 
     drain_seconds: Seconds = 60.0
 
 
 class Team(_Table, frozen=True, kw_only=True):
-    """A team and its limits, which hold at each entry."""
+    """A team and its limits, which each entry applies on its own."""
 
     requests_per_second: Rate
     burst: Count = 20
     max_in_flight: Count = 100
-    weight: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # share of a full upstream
-    priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5  # 0 goes first; passed to engines
+    weight: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # relative share of a full upstream
+    priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5  # 0 is highest; passed to engines
 
 
 class Route(_Table, frozen=True, kw_only=True):
-    """Which requests go to which pool or service."""
+    """Maps the requests under a path to a pool or a service."""
 
-    path: Annotated[str, msgspec.Meta(pattern=r"^/[!-~]*$", max_length=512)]  # a prefix
+    path: Annotated[str, msgspec.Meta(pattern=r"^/[!-~]*$", max_length=512)]  # path prefix
     pool: Name | None = None
     service: Name | None = None
     repeatable: bool = False  # whether a POST may run twice unless its caller says otherwise
@@ -93,7 +93,7 @@
 
 
 class FleetFile(_Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The top level of the fleet file."""
 
     models: dict[Name, Model] = {}
     adapters: dict[Name, Adapter] = {}
@@ -121,7 +121,7 @@
 
 
 def parse_fleet_file(body: bytes) -> Ok[FleetFile] | Failure:
-    """Check a fleet file whole; the failure's detail gives field and reason."""
+    """Parse and validate a fleet file; a failure's detail gives the first bad field and why."""
     if len(body) > MAX_FILE_BYTES:
         return Failure(FILE_REJECTED, f"file: {len(body)} bytes, at most {MAX_FILE_BYTES}")
     try:
@@ -137,7 +137,7 @@
 
 
 def pool_artifacts(fleet: FleetFile, pool: Pool) -> list[Artifact]:
-    """Return the weights a replica of `pool` holds: the model's first, then its adapters'."""
+    """Return the weights of a replica of `pool`: the model's first, then its adapters'."""
     model = fleet.models[pool.model].versions[pool.version]
     artifacts = [Artifact(name=model.weights, digest=model.digest)]
     for adapter, version in sorted(pool.adapters.items()):
@@ -147,7 +147,7 @@
 
 
 class _FieldError(Exception):
-    """A field is wrong; the text is `field: reason`."""
+    """A field is invalid; the text is `field: reason`."""
 
 
 def _convert_file(raw: dict[str, Any]) -> FleetFile:
@@ -179,7 +179,7 @@
 
 
 def _problems(fleet: FleetFile) -> Iterator[str]:
-    """Yield what no single field shows: dangling names and impossible counts."""
+    """Yield the errors that span several fields: undefined names and impossible counts."""
     yield from _adapter_problems(fleet)
     for name, pool in fleet.pools.items():
         yield from _pool_problems(fleet, f"pools.{name}", pool)
@@ -235,7 +235,7 @@
 
 
 def _artifact_problems(fleet: FleetFile) -> Iterator[str]:
-    """One name at the origin must not stand for two digests: names would be mixed up."""
+    """Yield an error for each name at the origin that has two digests, which is ambiguous."""
     digests: dict[str, str] = {}
     for kind, owners in (("models", fleet.models), ("adapters", fleet.adapters)):
         for name, owner in owners.items():
--- a/libs/fleet/src/headcross_fleet/following.py
+++ b/libs/fleet/src/headcross_fleet/following.py
@@ -1,16 +1,17 @@
-"""Following the configuration: few readers, everyone told, nobody left behind.
+"""Follows the configuration service: a few hosts watch it and spread changes to all others.
 
 The tasks of a follower:
 
-* start: ask the service and the peers for their newest; `settled` is set when both answered or the
-  stated time is over, and the daemon takes no work and gives no order before that;
+* start: ask the service and the peers for their newest documents; `settled` is set when both
+  answered or `SETTLE_SECONDS` are over, and the daemon takes no work and issues no orders before;
 * watch: if this host is a reader of a key (see `topology`), keep a long poll on it;
-* tell: on a change, tell the neighbours (key, revision, digest) at once; they ask for the body.
-  The same hint, repeated, carries freshness outwards from the readers;
-* guard: when no word of freshness came for too long, read for itself, with jitter and backoff.
+* hint: on a change, send key, revision and digest to the neighbours at once; they ask for the
+  body. Repeated hints also spread the readers' freshness;
+* fallback: when the document has not been confirmed as fresh for too long, read the service, with
+  jitter and backoff.
 
 A change reaches everyone within `FRESH_SECONDS` + jitter + a read even if every hint is lost and
-all readers are dead; with them alive it takes a few message delays.
+all readers are dead; while they are alive it takes a few message delays.
 """
 
 import random
@@ -29,29 +30,30 @@
 from headcross_fleet.documents import NO_REVISION, Documents
 from headcross_fleet.topology import neighbours_of, readers_of
 
-# A reader's long poll; it confirms freshness this often, at 21 calls a second for 42 watches.
+# Duration of a reader's long poll, and so the interval at which it confirms freshness. With 42
+# watches the service gets 21 calls a second.
 WATCH_SECONDS: Final = 2.0
-# Freshness is passed on at most this often.
+# Minimum interval between hints that only improve freshness.
 HINT_SECONDS: Final = 1.5
-# Hints that improve freshness by less than this are not passed on.
+# An improvement of freshness by less than this causes no hint.
 HINT_GAIN_SECONDS: Final = 1.0
-# Without word of freshness for so long, a process reads for itself: with a jitter of 1 s and a
-# read of at most 2 s that is just within the 8 s of letter 1.
+# A process reads the service itself if its document is older than this. With a jitter of 1 s and a
+# read of at most 2 s, that is just within the 8 s allowed for a change to reach everyone.
 FRESH_SECONDS: Final = 5.0
-GUARD_JITTER_SECONDS: Final = 1.0
-# While the service is down, own reads back off up to this.
-GUARD_BACKOFF_MAX_SECONDS: Final = 20.0
-# A starting process waits this long for both service and peers.
+READ_JITTER_SECONDS: Final = 1.0
+# Maximum backoff between these reads while the service is down.
+MAX_READ_BACKOFF_SECONDS: Final = 20.0
+# Time that a starting process waits for answers of both the service and the peers.
 SETTLE_SECONDS: Final = 10.0
 SETTLE_RETRY_SECONDS: Final = 0.5
-# Peers that are asked in place of the service answer within this, or there are none.
+# Time to wait for an answer of any peer when peers are asked in place of the service.
 PEER_ANSWER_SECONDS: Final = 2.0
 
 
 class ConfigFollower:
-    """Keeps the documents of one process up to date."""
+    """Keeps the documents of one process up to date from the service and its peers."""
 
-    # Set once the process may take work and give orders.
+    # Set once the process may take work and issue orders.
     settled: trio.Event
 
     def __init__(
@@ -69,25 +71,25 @@
         self._documents = documents
         self._service = service
         self._node = node
-        self._seeds = seeds  # peers from the settings, for a start with the service down
+        self._seeds = seeds  # peers from the settings, used to start while the service is down
         self._service_answered: set[str] = set()
         self._peer_answered: set[str] = set()
         self._documents_received = dict.fromkeys(KEYS, 0)
-        self._told_at = {key: float("-inf") for key in KEYS}
-        self._told_fresh = {key: float("-inf") for key in KEYS}
-        self._told_revision = {key: NO_REVISION for key in KEYS}
+        self._hinted_at = {key: float("-inf") for key in KEYS}
+        self._hinted_fresh_at = {key: float("-inf") for key in KEYS}
+        self._hinted_revision = {key: NO_REVISION for key in KEYS}
 
     async def run(self) -> None:
-        """Follow until cancelled."""
+        """Follow all documents until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._settle)
             for key in KEYS:
                 nursery.start_soon(self._watch, key)
-                nursery.start_soon(self._guard, key)
-                nursery.start_soon(self._tell_regularly, key)
+                nursery.start_soon(self._read_when_stale, key)
+                nursery.start_soon(self._repeat_hints, key)
 
     def handle(self, message: PeerMessage, reply: Reply) -> bool:
-        """Take a message of the control channel; return whether it was one of ours."""
+        """Handle a message of the control channel; return whether it was about a document."""
         match message:
             case Hint(key=key) if key in KEYS:
                 self._handle_hint(message, reply)
@@ -100,16 +102,16 @@
         return True
 
     async def refresh(self) -> bool:
-        """Read everything anew, of the service or else of peers; return whether that worked.
+        """Read all documents from the service, or else from peers; return whether all were read.
 
-        Only answers to questions asked now count: a process that wakes up after a pause finds old
-        messages in its queues.
+        Only documents that arrive from now on count: a process that resumes after a pause finds
+        old messages in its queues.
         """
         answers = [await self._read(key) or await self._ask_peers(key) for key in KEYS]
         return all(answers)
 
     async def _ask_peers(self, key: str) -> bool:
-        """Ask the peers for a document and wait for one of them."""
+        """Ask the peers for a document; return whether one arrived in time."""
         before = self._documents_received[key]
         with trio.move_on_after(PEER_ANSWER_SECONDS):
             while self._documents_received[key] == before:
@@ -119,9 +121,9 @@
         return self._documents_received[key] > before
 
     def is_reader(self, key: str) -> bool:
-        """Tell whether this host is to watch a key."""
+        """Return whether this host should watch a key."""
         readers = readers_of(self._documents.hosts, self._zone, key)
-        # A host that is not listed yet must not wait for others to tell it.
+        # A host that is not listed yet is nobody's neighbour and gets no hints.
         return self._host in readers or self._documents.hosts.find(self._host) is None
 
     # Messages from peers.
@@ -132,11 +134,11 @@
         if hint.revision > held.revision or hint.accepted > held.accepted_revision:
             reply(AskDocument(hint.key), None)
         elif hint.revision < held.revision:
-            # The peer is behind; tell it what is held here.
-            reply(self._hint(hint.key), None)
+            # The peer has an older revision.
+            reply(self._make_hint(hint.key), None)
         else:
             self._documents.confirm(hint.key, hint.revision, hint.digest, hint.age)
-            self._tell_if_due(hint.key)
+            self._send_hint_if_due(hint.key)
 
     def _handle_document(self, document: Document) -> None:
         self._peer_answered.add(document.key)
@@ -145,58 +147,58 @@
             return
         self._documents_received[document.key] += 1
         self._documents.offer(document.key, document.revision, document.body, document.age)
-        self._tell_if_due(document.key)
+        self._send_hint_if_due(document.key)
 
     def _answer(self, key: str, reply: Reply) -> None:
         held = self._documents.held(key)
         if held.revision == NO_REVISION:
-            reply(self._hint(key), None)
+            reply(self._make_hint(key), None)
             return
         if held.accepted_revision not in (NO_REVISION, held.revision):
-            # The newest was rejected; who starts now needs the last good one as well.
+            # The newest revision was rejected; a starting process also needs the last valid one.
             last_good = held.accepted_revision, held.accepted_digest, held.age()
             reply(Document(key, *last_good, held.accepted_body), None)
         reply(Document(key, held.revision, held.digest, held.age(), held.body), None)
 
-    def _hint(self, key: str) -> Hint:
+    def _make_hint(self, key: str) -> Hint:
         held = self._documents.held(key)
         return Hint(key, held.revision, held.digest, held.accepted_revision, held.age())
 
-    # Telling others.
+    # Hints to neighbours.
 
-    def _tell_if_due(self, key: str) -> None:
-        """Tell the neighbours of a new revision at once, and of better freshness if it is due."""
+    def _send_hint_if_due(self, key: str) -> None:
+        """Send a hint at once for a new revision, and at intervals for improved freshness."""
         held = self._documents.held(key)
-        if held.revision > self._told_revision[key]:
-            self._tell(key)
+        if held.revision > self._hinted_revision[key]:
+            self._send_hint(key)
             return
-        due = monotonic() - self._told_at[key] >= HINT_SECONDS
-        if due and held.fresh_at - self._told_fresh[key] >= HINT_GAIN_SECONDS:
-            self._tell(key)
+        due = monotonic() - self._hinted_at[key] >= HINT_SECONDS
+        if due and held.fresh_at - self._hinted_fresh_at[key] >= HINT_GAIN_SECONDS:
+            self._send_hint(key)
 
-    def _tell(self, key: str) -> None:
+    def _send_hint(self, key: str) -> None:
         held = self._documents.held(key)
-        self._told_at[key] = monotonic()
-        self._told_fresh[key] = held.fresh_at
-        self._told_revision[key] = held.revision
-        hint = self._hint(key)
+        self._hinted_at[key] = monotonic()
+        self._hinted_fresh_at[key] = held.fresh_at
+        self._hinted_revision[key] = held.revision
+        hint = self._make_hint(key)
         for address in self._peer_addresses():
             self._node.send(address, hint)
 
-    async def _tell_regularly(self, key: str) -> None:
-        """Repeat hints so that a lost one, or a healed partition, is made good."""
+    async def _repeat_hints(self, key: str) -> None:
+        """Repeat hints to make up for lost ones and for network partitions that have ended."""
         while True:
             await trio.sleep(HINT_SECONDS * random.uniform(1.5, 2.5))
-            if monotonic() - self._told_at[key] >= HINT_SECONDS:
-                self._tell(key)
+            if monotonic() - self._hinted_at[key] >= HINT_SECONDS:
+                self._send_hint(key)
 
     def _peer_addresses(self) -> list[Address]:
-        me = self._me()
+        me = self._own_host()
         if me is None:
             return self._seeds
         return [host.control_address for host in neighbours_of(self._documents.hosts, me)]
 
-    def _me(self) -> Host | None:
+    def _own_host(self) -> Host | None:
         return self._documents.hosts.find(self._host)
 
     # Reading the service.
@@ -213,11 +215,11 @@
                 continue
             self._take(key, outcome.value)
 
-    async def _guard(self, key: str) -> None:
-        """Read for itself when news stay away."""
+    async def _read_when_stale(self, key: str) -> None:
+        """Read the service when the document has not been confirmed as fresh for too long."""
         backoff = FRESH_SECONDS
         while True:
-            await trio.sleep(random.uniform(0.5, GUARD_JITTER_SECONDS))
+            await trio.sleep(random.uniform(0.5, READ_JITTER_SECONDS))
             if self._documents.held(key).age() < FRESH_SECONDS or self.is_reader(key):
                 backoff = FRESH_SECONDS
                 continue
@@ -225,7 +227,7 @@
             if self._documents.held(key).age() < FRESH_SECONDS:
                 continue
             await trio.sleep(random.uniform(backoff / 2, backoff))
-            backoff = min(backoff * 2, GUARD_BACKOFF_MAX_SECONDS)
+            backoff = min(backoff * 2, MAX_READ_BACKOFF_SECONDS)
 
     async def _read(self, key: str) -> bool:
         outcome = await self._service.read(key)
@@ -241,12 +243,15 @@
             self._documents.confirm(key, held.revision, held.digest, 0.0)
         else:
             self._documents.offer(key, news.revision, news.body, 0.0)
-        self._tell_if_due(key)
+        self._send_hint_if_due(key)
 
     # Starting.
 
     async def _settle(self) -> None:
-        """Set `settled` when service and peers answered, or after the stated time."""
+        """Set `settled` when both service and peers answered or `SETTLE_SECONDS` are over.
+
+        It is not set while no fleet file is in force.
+        """
         with trio.move_on_after(SETTLE_SECONDS):
             while not self._all_answered():
                 await self._ask_everyone()
--- a/libs/fleet/src/headcross_fleet/membership.py
+++ b/libs/fleet/src/headcross_fleet/membership.py
@@ -1,10 +1,10 @@
-"""What an entry knows of upstreams from their daemons' heartbeats.
+"""Tracks the state of upstreams from the heartbeats of their daemons.
 
-Upstream daemons send a status to every entry: at once when something changed, else once a period
-that grows with the fleet, so that an entry receives at most about `STATUS_PER_SECOND` of them.
+Upstream daemons send a status to every entry: at once after a change, else once per period. The
+period grows with the fleet, so that an entry receives about `STATUS_PER_SECOND` of them at most.
 Messages of an older incarnation or out of order are dropped. A daemon whose heartbeat is overdue
-is silent: suspect, but not proved dead. Only the word of its next message, or of the host list,
-changes what is known of it.
+is silent: it is suspect but may be alive. Its last status stays until its next message or until it
+is removed from the host list.
 """
 
 from collections.abc import Iterator
@@ -15,13 +15,13 @@
 from headcross_base.clocks import monotonic
 from headcross_wire.peermessages import Status, UpstreamStatus
 
-# Heartbeats an entry should receive in a second. At 300 daemons they then come every 15 s each.
-# What bounds it is processor time: docs/CAPACITY.md, heartbeats.
+# Heartbeats that an entry should receive per second; with 300 daemons each sends one every 15 s.
+# The limit is processor time, see docs/CAPACITY.md, heartbeats.
 STATUS_PER_SECOND: Final = 20.0
 MIN_PERIOD_SECONDS: Final = 1.0
 MAX_PERIOD_SECONDS: Final = 20.0
-# A heartbeat is overdue after so many periods.
-SILENT_PERIODS: Final = 2.5
+# A heartbeat is overdue after this number of periods.
+MAX_SILENT_PERIODS: Final = 2.5
 
 
 def heartbeat_period(daemons: int) -> float:
@@ -35,7 +35,7 @@
 
 @dataclass(frozen=True, slots=True)
 class PoolRow:
-    """One upstream of a pool as an entry sees it."""
+    """The last known state of one upstream."""
 
     upstream: str
     pool: str
@@ -44,12 +44,12 @@
     revision: int  # fleet file in force at that daemon
     hosts_revision: int  # host list in force at that daemon
     age: float  # seconds since its last heartbeat
-    silent: bool  # true when heartbeats are overdue
+    silent: bool  # whether the next heartbeat is overdue
 
 
 @dataclass(slots=True)
 class DaemonStatus:
-    """The last status of one daemon and when it came."""
+    """The last status of one daemon and when it was received (monotonic)."""
 
     status: Status
     received_at: float
@@ -59,14 +59,14 @@
         return monotonic() - self.received_at
 
     def silent(self) -> bool:
-        """Tell whether the next heartbeat is overdue."""
-        return self.age() > SILENT_PERIODS * self.status.period
+        """Return whether the next heartbeat is overdue."""
+        return self.age() > MAX_SILENT_PERIODS * self.status.period
 
 
 class StatusTable:
     """The last status of every upstream daemon."""
 
-    # Messages dropped because a newer one had come.
+    # Number of messages dropped because a newer one had arrived before.
     stale: int
 
     def __init__(self) -> None:
@@ -74,16 +74,19 @@
         self._daemons: dict[str, DaemonStatus] = {}
 
     def record(self, status: Status) -> bool:
-        """Take a status unless a newer one came before; return whether it was taken."""
+        """Record a status unless a newer one is known; return whether it was recorded."""
         known = self._daemons.get(status.host)
-        if known is not None and _order(status) <= _order(known.status):
+        if known is not None and _order_key(status) <= _order_key(known.status):
             self.stale += 1
             return False
         self._daemons[status.host] = DaemonStatus(status, monotonic())
         return True
 
-    def forget(self, host: str, incarnation: int) -> None:
-        """A daemon said goodbye; later incarnations are kept."""
+    def mark_departed(self, host: str, incarnation: int) -> None:
+        """Drop the upstreams of a daemon that has announced its end, unless it has restarted.
+
+        Delayed messages of this or an earlier incarnation are ignored from now on.
+        """
         known = self._daemons.get(host)
         if known is not None and known.status.incarnation <= incarnation:
             gone = msgspec.structs.replace(
@@ -92,17 +95,17 @@
             self._daemons[host] = DaemonStatus(gone, monotonic())
 
     def keep_only(self, hosts: set[str]) -> None:
-        """Drop daemons that have left the host list and gone silent."""
+        """Drop silent daemons that are not among the listed hosts."""
         for name in list(self._daemons):
             if name not in hosts and self._daemons[name].silent():
                 del self._daemons[name]
 
     def daemon(self, host: str) -> DaemonStatus | None:
-        """Return what is known of a daemon."""
+        """Return the last status of a daemon, None if there is none."""
         return self._daemons.get(host)
 
     def daemons(self) -> Iterator[tuple[str, DaemonStatus]]:
-        """Yield every known daemon."""
+        """Yield the name and the last status of every known daemon."""
         yield from self._daemons.items()
 
     def upstreams(self) -> Iterator[tuple[DaemonStatus, UpstreamStatus]]:
@@ -112,11 +115,11 @@
                 yield daemon, upstream
 
     def pool_rows(self, pool: str) -> dict[str, PoolRow]:
-        """Return what is known of the upstreams that are in a pool, by upstream."""
+        """Return the state of the upstreams in a pool, by upstream name."""
         return {u.name: _make_row(d, u) for d, u in self.upstreams() if u.pool == pool}
 
     def named_rows(self, names: list[str]) -> dict[str, PoolRow]:
-        """Return what is known of some upstreams, whatever pool they are in."""
+        """Return the state of the known ones of these upstreams in any pool, by upstream name."""
         wanted = set(names)
         return {u.name: _make_row(d, u) for d, u in self.upstreams() if u.name in wanted}
 
@@ -134,5 +137,5 @@
     )
 
 
-def _order(status: Status) -> tuple[int, int]:
+def _order_key(status: Status) -> tuple[int, int]:
     return status.incarnation, status.sequence
--- a/libs/fleet/src/headcross_fleet/topology.py
+++ b/libs/fleet/src/headcross_fleet/topology.py
@@ -1,9 +1,10 @@
-"""Who reads the service and who tells whom: pure functions of the host list.
+"""Chooses which hosts watch the service and which hosts each one notifies of changes.
 
-A few readers in each availability zone, picked by rendezvous hash, keep a watch. News travels
-along a bounded graph over all daemons: each tells the next ones on a ring of its zone (so that a
-zone is connected for certain) and some others, near and far, picked by hash (so that the way is
-short and does not depend on one host).
+All functions are pure functions of the host list. A few readers in each availability zone, picked
+by rendezvous hash, watch the service. Changes spread along a graph of bounded degree over all
+daemons: each notifies its successors on a ring of its zone, so that every zone is connected, and
+some hosts of its own and other zones picked by hash, so that paths are short and do not depend on
+one host.
 """
 
 from typing import Final
@@ -11,8 +12,8 @@
 from headcross_base.hashing import rendezvous_order
 from headcross_native.hostlist import Host, HostList
 
-# Readers of each key in each zone. Three leave one when two die at once; at 7 zones and two keys
-# that is 42 waiting watches of the service's two thousand.
+# Readers of each key in each zone. With three, one is left when two die at once; with 7 zones and
+# two keys they use 42 of the two thousand watches that the service allows.
 READERS_PER_ZONE: Final = 3
 RING_NEIGHBOURS: Final = 2
 NEAR_NEIGHBOURS: Final = 2
@@ -20,13 +21,13 @@
 
 
 def readers_of(hosts: HostList, zone: str, key: str) -> list[str]:
-    """Return the hosts of a zone that watch a key, first choice first."""
+    """Return the hosts of a zone that watch a key, in order of preference."""
     names = [host.name for host in hosts.hosts if host.zone == zone and not host.leaving]
     return rendezvous_order(f"reader {key}", names)[:READERS_PER_ZONE]
 
 
 def neighbours_of(hosts: HostList, me: Host) -> list[Host]:
-    """Return the hosts that `me` tells of changes; about six whatever the fleet's size."""
+    """Return the hosts that `me` notifies of changes, at most six in a fleet of any size."""
     zone = [host for host in hosts.hosts if host.zone == me.zone and host.name != me.name]
     far = [host for host in hosts.hosts if host.zone != me.zone]
     chosen = _ring_successors(zone, me)
--- a/libs/fleet/src/headcross_fleet/upstreamgate.py
+++ b/libs/fleet/src/headcross_fleet/upstreamgate.py
@@ -1,8 +1,8 @@
-"""The gate of one upstream: the switch between rollout and requests.
+"""Admits requests to one upstream only while the rollout lets it serve.
 
-The rollout opens the gate when the upstream serves a whole, verified version, and closes it when
-the upstream leaves; requests enter one by one and are counted until they end. Closing takes effect
-at once, whatever entries still believe, because every request passes here.
+The rollout opens the gate when the upstream serves a complete, verified version, and closes it
+when the upstream leaves; requests are counted until they end. Closing takes effect at once, even
+if entries have an older state of the upstream, because every request passes the gate.
 """
 
 from collections.abc import Callable, Iterator
@@ -13,33 +13,33 @@
 from headcross_base.clocks import monotonic
 
 # States of an upstream, as dumps and heartbeats show them.
-EMPTY: Final = "empty"  # holds nothing and is to hold nothing
+EMPTY: Final = "empty"  # has no weights and is not assigned any
 STAGING: Final = "staging"  # fetches weights, serves nothing
-STAGED: Final = "staged"  # has the weights and waits, serves nothing
-LOADING: Final = "loading"  # the engine loads
+STAGED: Final = "staged"  # has all weights and waits for its turn to load, serves nothing
+LOADING: Final = "loading"  # the engine loads the weights
 SERVING: Final = "serving"
-LEAVING: Final = "leaving"  # takes no new work; what runs ends or is resumed elsewhere
+LEAVING: Final = "leaving"  # takes no new requests; those in flight end or are resumed elsewhere
 
 
 class UpstreamGate:
-    """Whether one upstream takes work, and what it has taken."""
+    """The state of one upstream and its number of requests in flight."""
 
     # Name of the upstream.
     name: str
     state: str
-    # Pool or service that it serves, or was last meant for.
+    # Pool or service that it serves or was last assigned to.
     pool: str
-    # Weights digest that it serves; empty for plain services and while it serves nothing.
+    # Digest of the weights that it serves; empty for plain services and while it serves nothing.
     digest: str
-    # Requests handed over and not ended.
+    # Number of requests handed over that have not ended.
     in_flight: int
-    # When `state` changed, on the monotonic clock.
+    # When state, pool or digest last changed (monotonic).
     since: float
-    # Set while a leaving upstream wants its resumable streams to go elsewhere.
+    # Set while the resumable streams of a leaving upstream should be resumed elsewhere.
     hand_off: trio.Event
-    # True from a planned stop on.
+    # Whether a planned stop has begun.
     stopping: bool
-    # Called at every change, so that heartbeats tell it at once.
+    # Called after every change, so that a heartbeat reports it at once.
     on_change: Callable[[], None] | None
 
     def __init__(self, name: str) -> None:
@@ -56,26 +56,26 @@
 
     @property
     def accepts(self) -> bool:
-        """Whether new work may enter now."""
+        """Whether new requests are admitted now."""
         return self.state == SERVING and not self.stopping
 
     def set_state(self, state: str, pool: str, digest: str = "") -> None:
-        """Change the state, and tell `on_change` if that is news."""
+        """Set state, pool and digest; call `on_change` if any of them changed."""
         if (state, pool, digest) == (self.state, self.pool, self.digest):
             return
         self.state, self.pool, self.digest = state, pool, digest
         self.since = monotonic()
         if state == SERVING:
             self.hand_off = trio.Event()
-        self._announce()
+        self._notify_change()
 
     def stop(self) -> None:
-        """Take no new work until the process ends."""
+        """Admit no new requests until the process ends."""
         self.stopping = True
-        self._announce()
+        self._notify_change()
 
     @contextmanager
-    def entered(self) -> Iterator[None]:
+    def request_in_flight(self) -> Iterator[None]:
         """Count a request as in flight within the block."""
         self.in_flight += 1
         try:
@@ -86,11 +86,11 @@
                 self._idle.set()
 
     async def wait_idle(self) -> None:
-        """Wait until nothing is in flight."""
+        """Wait until no request is in flight."""
         while self.in_flight:
             self._idle = trio.Event()
             await self._idle.wait()
 
-    def _announce(self) -> None:
+    def _notify_change(self) -> None:
         if self.on_change is not None:
             self.on_change()
--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -191,8 +191,8 @@
 
     def _is_disowned(self) -> bool:
         """Return whether the list entry of this daemon's replica belongs to another writer now."""
-        disowned = self._facts.disowned.values()
-        return any(str(replica.address) == self._address for replica in disowned)
+        overwritten = self._facts.overwritten.values()
+        return any(str(replica.address) == self._address for replica in overwritten)
 
 
 async def _read_back(load: Load) -> float:
--- a/libs/rollout/src/headcross_rollout/runner.py
+++ b/libs/rollout/src/headcross_rollout/runner.py
@@ -17,7 +17,7 @@
 from headcross_base.decisions import Journal
 from headcross_base.errorcodes import ENGINE_MISMATCH, FACTS_OLD, ORDER_FAILED
 from headcross_base.errors import Failure, Ok
-from headcross_fleet.documents import Documents, Versions
+from headcross_fleet.documents import DocumentRevisions, Documents
 from headcross_fleet.following import ConfigFollower
 from headcross_fleet.upstreamgate import (
     EMPTY,
@@ -181,7 +181,7 @@
         if not await self._stage(target):
             return RETRY_DELAY_SECONDS
         if self._gate.state == SERVING:
-            view = self._context.documents.versions
+            view = self._context.documents.revisions
             turn = await self._ask_turn(target)
             self._record_decision("turn" if turn.now else "wait-turn", turn.reason)
             if not turn.now:
@@ -257,7 +257,7 @@
         at_once = pool.max_unavailable if pool is not None else 1
         return min(TURN_POLL_MAX_SECONDS, TURN_POLL_SECONDS * max(1.0, turn.before / at_once))
 
-    async def _stop_serving(self, view: Versions) -> bool:
+    async def _stop_serving(self, view: DocumentRevisions) -> bool:
         """Refuse new requests and wait until running ones end or continue at another upstream.
 
         `view` holds the document versions by which the turn was granted. Returns False if other
@@ -266,7 +266,7 @@
         if not await self._orders.ensure_current_documents():
             self._record_decision(FACTS_OLD.code, "decide anew before leaving")
             return False
-        if view != self._context.documents.versions:
+        if view != self._context.documents.revisions:
             return False
         served = self._gate.pool
         pool = self._context.targets.pool(served)
@@ -328,7 +328,7 @@
     async def _unload(self, state: EngineState) -> float:
         """Stop serving when permitted, then empty the engine of an upstream without a target."""
         if self._gate.state == SERVING:
-            view = self._context.documents.versions
+            view = self._context.documents.revisions
             turn = await self._ask_turn(None)
             self._record_decision("turn" if turn.now else "wait-turn", turn.reason)
             if not turn.now:
--- a/libs/rollout/src/headcross_rollout/turnclient.py
+++ b/libs/rollout/src/headcross_rollout/turnclient.py
@@ -65,7 +65,7 @@
 
         Waits up to ANSWER_TIMEOUT_SECONDS; without any answer the result is a refusal.
         """
-        versions = self._documents.versions
+        versions = self._documents.revisions
         number = next(self._numbers)
         message = AskTurn(number, kind, upstream, pool, digest, versions.fleet, versions.hosts)
         entries = self._choose_entries()
--- a/libs/rollout/src/headcross_rollout/turnresponder.py
+++ b/libs/rollout/src/headcross_rollout/turnresponder.py
@@ -5,7 +5,7 @@
 compute the same placement. It keeps no state about its answers.
 """
 
-from headcross_fleet.documents import Documents, Versions
+from headcross_fleet.documents import DocumentRevisions, Documents
 from headcross_fleet.fleetfile import Pool
 from headcross_fleet.membership import StatusTable
 from headcross_wire.peermessages import AskTurn, TurnAnswer
@@ -29,9 +29,9 @@
         return TurnAnswer(question.question, turn.now, turn.reason, turn.before)
 
     def _decide(self, question: AskTurn) -> Turn:
-        view = Versions(question.revision, question.hosts_revision)
+        view = DocumentRevisions(question.revision, question.hosts_revision)
         pool = self._targets.pool(question.pool)
-        if view != self._documents.versions or pool is None:
+        if view != self._documents.revisions or pool is None:
             return Turn(False, "the entry has other documents in force")
         placement = self._targets.placement.pools[question.pool]
         rows = self._statuses.pool_rows(question.pool)
--- a/libs/rollout/src/headcross_rollout/turns.py
+++ b/libs/rollout/src/headcross_rollout/turns.py
@@ -18,7 +18,7 @@
 from collections.abc import Mapping
 from dataclasses import dataclass
 
-from headcross_fleet.documents import Versions
+from headcross_fleet.documents import DocumentRevisions
 from headcross_fleet.fleetfile import Pool
 from headcross_fleet.membership import PoolRow
 from headcross_fleet.upstreamgate import SERVING
@@ -36,7 +36,12 @@
 
 
 def may_swap(
-    upstream: str, pool: Pool, assigned: list[str], rows: Rows, digest: str, view: Versions
+    upstream: str,
+    pool: Pool,
+    assigned: list[str],
+    rows: Rows,
+    digest: str,
+    view: DocumentRevisions,
 ) -> Turn:
     """Return whether an assigned upstream may stop serving to load another version of its pool."""
     serving = {name for name in assigned if _counts_as_serving(rows.get(name), view)}
@@ -53,7 +58,9 @@
     return Turn(True, f"{others} others serve, {required} must")
 
 
-def may_leave(upstream: str, pool: Pool, assigned: list[str], rows: Rows, view: Versions) -> Turn:
+def may_leave(
+    upstream: str, pool: Pool, assigned: list[str], rows: Rows, view: DocumentRevisions
+) -> Turn:
     """Return whether an upstream that is no longer assigned to a pool may stop serving it."""
     required = min(pool.replicas, len(assigned))
     taking_over = sum(
@@ -82,7 +89,7 @@
     return Turn(False, "spare")
 
 
-def _counts_as_serving(row: PoolRow | None, view: Versions) -> bool:
+def _counts_as_serving(row: PoolRow | None, view: DocumentRevisions) -> bool:
     """Return whether a row counts as serving for a daemon with these documents in force."""
     if row is None or row.silent:
         return False
@@ -90,7 +97,7 @@
     return row.state == SERVING and same_view
 
 
-def _needs_no_turn(row: PoolRow | None, pool: Pool, digest: str, view: Versions) -> bool:
+def _needs_no_turn(row: PoolRow | None, pool: Pool, digest: str, view: DocumentRevisions) -> bool:
     """Return whether an upstream no longer holds back those ranked after it."""
     if row is None:
         return False
--- a/libs/routing/src/headcross_routing/upstreamhandler.py
+++ b/libs/routing/src/headcross_routing/upstreamhandler.py
@@ -210,7 +210,7 @@
             refusal = _check_gate(upstream.gate, handover)
             if refusal is not None:
                 return refusal
-            with upstream.gate.entered():
+            with upstream.gate.request_in_flight():
                 return await self._hand_over(exchange, handover, upstream)
         finally:
             upstream.queue.leave()
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -1,4 +1,4 @@
-"""The configuration: in force everywhere within seconds, whole or not at all, never reverting."""
+"""Tests that a configuration takes effect everywhere within seconds, completely, and stays."""
 
 import json
 from pathlib import Path
@@ -80,7 +80,9 @@
             assert (await fleet_part(small, name))["revision"] == revision
 
 
-async def test_a_process_that_starts_with_an_old_service_goes_by_its_peers(tmp_path: Path) -> None:
+async def test_a_process_that_starts_with_a_stale_service_follows_its_peers(
+    tmp_path: Path,
+) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
         revision = small.fleet.config.documents["fleet"][0]
         await small.move_to("v2")
@@ -90,7 +92,7 @@
         small.fleet.kill("host1")
         await small.fleet.wait_exit("host1")
         small.fleet.start("host1")
-        # The new process reads the old revision of the service; its peers know better.
+        # The new process reads an old revision from the service; its peers have the newer one.
         await small.fleet.wait_revision(revision + 1)
 
 
@@ -132,7 +134,7 @@
         await small.fleet.wait_revision(revision, alive)
 
 
-async def test_a_long_outage_of_the_service_leaves_serving_alone(tmp_path: Path) -> None:
+async def test_a_long_outage_of_the_service_does_not_affect_serving(tmp_path: Path) -> None:
     async with small_fleet(tmp_path) as small:
         small.fleet.config.down = True
 
@@ -154,7 +156,7 @@
         revision = small.fleet.config.documents["fleet"][0]
         before = await fleet_part(small, "host0")
         small.fleet.publish_fleet(str(small.text) + "\n# other\n", revision=revision)
-        # A process that starts now sees the other body at the service and the first at its peers.
+        # A process that starts now gets the second body from the service, the first from peers.
         small.fleet.kill("host1")
         await small.fleet.wait_exit("host1")
         small.fleet.start("host1")
--- a/tests/test_fleetfile.py
+++ b/tests/test_fleetfile.py
@@ -1,4 +1,4 @@
-"""The fleet file: applied whole or not at all, with one clear error."""
+"""Tests that the fleet file is accepted or rejected as a whole, with one error."""
 
 import pytest
 from headcross_base.errors import Failure, Ok
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -99,12 +99,12 @@
     directory.update()
     assert set(facts.replicas) == {"i-2"} and before.gone
     assert [state.replica.id for state in directory.serving("lm")] == ["i-2"]
-    assert set(facts.disowned) == {"i-1"}
+    assert set(facts.overwritten) == {"i-1"}
     lines = [r for r in caplog.records if r.message == "fact rejected"]
     assert len(lines) == 1 and facts.counts["rejected"] == 3
     facts.take_changes(Topic.REPLICAS, Changes((item("i-1", 10, entry()),), 10))
     directory.update()
-    assert set(facts.replicas) == {"i-1", "i-2"} and not facts.disowned
+    assert set(facts.replicas) == {"i-1", "i-2"} and not facts.overwritten
     assert not directory.serving("lm")[0].gone
 
 
@@ -135,7 +135,7 @@
     assert not isinstance(outcome, Failure)
     facts = knowing(item("i-1", 1, entry()))
     facts.take_listing(Topic.REPLICAS, Listing(outcome.value.items, 8), 0.0, "store")
-    assert set(facts.replicas) == {"i-2"} and set(facts.disowned) == {"i-1"}
+    assert set(facts.replicas) == {"i-2"} and set(facts.overwritten) == {"i-1"}
 
 
 @st.composite
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -98,7 +98,7 @@
         nursery.start_soon(seconds_until_withdrawn, unbegun, state_of(1))
         await trio.testing.wait_all_tasks_blocked()
         long_ago = monotonic() - trio.current_time() + BOUND_SECONDS
-        weights_rules.facts.hear_version("m", 2, long_ago)
+        weights_rules.facts.record_named_version("m", 2, long_ago)
         await trio.testing.wait_all_tasks_blocked()
         assert unbegun.withdrawn == 1
         nursery.cancel_scope.cancel()
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -1,4 +1,4 @@
-"""Facts from the platform: in force in time, whole, never back, whatever the store does."""
+"""Tests that facts take effect in time and never revert, whatever the store does."""
 
 import itertools
 from dataclasses import dataclass, field, replace
@@ -15,25 +15,25 @@
 from headcross_facts.facts import Facts
 from headcross_facts.following import (
     FIRST_RETRY_SECONDS,
-    LEAST_WATCH_SECONDS,
+    MIN_WATCH_SECONDS,
     NEWS_MARGIN_SECONDS,
     RETRY_SPREAD,
     FactBounds,
     Follower,
-    FollowingPace,
-    daemon_pace,
-    entry_pace,
+    PollingSettings,
+    daemon_polling,
+    entry_polling,
 )
 from headcross_facts.peerfacts import (
-    ASK_SECONDS,
+    ASK_INTERVAL_SECONDS,
     ENTRIES_ASKED,
+    FALLBACK_PEER_SECONDS,
     FIRST_TRANSFER_SECONDS,
     MAX_TRANSFER_SECONDS,
-    OTHER_SECONDS,
     STALE_SECONDS,
     PeerFacts,
 )
-from headcross_facts.topicstate import NOTHING, TopicState
+from headcross_facts.topicstate import UNKNOWN_REVISION, TopicState
 from headcross_gateway.weightsrules import WeightsRules
 from headcross_platform import names, store
 from headcross_platform.store import MetadataStore
@@ -65,8 +65,8 @@
             await trio.sleep(0.03)
 
 
-def taken_from_peers(state: dict[str, Any]) -> int:
-    """Return how many listings a process took from other daemons."""
+def listings_from_peers(state: dict[str, Any]) -> int:
+    """Return the number of listings that a process took from peers."""
     return int(state["peer_listings"])
 
 
@@ -80,7 +80,9 @@
             await wait_version(site, name, 21)
 
 
-async def test_a_document_that_cannot_be_read_changes_nothing_and_is_told(tmp_path: Path) -> None:
+async def test_a_document_that_cannot_be_decoded_changes_nothing_and_is_logged(
+    tmp_path: Path,
+) -> None:
     async with small_site(tmp_path, models=0) as site:
         broken = {**site.configuration, "version": 2, "routes": [{"name": "half"}]}
         site.store.put(names.CONFIGURATION_KEY, broken)
@@ -117,7 +119,7 @@
 
 
 @pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.RESET, Mood.SILENT])
-async def test_a_store_that_was_away_is_followed_again(tmp_path: Path, mood: Mood) -> None:
+async def test_the_store_is_followed_again_after_an_outage(tmp_path: Path, mood: Mood) -> None:
     async with small_site(tmp_path, models=0) as site:
         site.store.set_mood(mood)
         site.change()
@@ -128,20 +130,18 @@
 
 
 @pytest.mark.parametrize("mood", [Mood.BUSY, Mood.SILENT])
-async def test_a_process_that_the_store_turns_away_learns_from_others(
-    tmp_path: Path, mood: Mood
-) -> None:
+async def test_a_process_whose_calls_fail_reads_from_peers(tmp_path: Path, mood: Mood) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
-        turned_away = site.machines["entry0"].ip
-        site.store.set_mood(mood, [turned_away])
+        rejected_ip = site.machines["entry0"].ip
+        site.store.set_mood(mood, [rejected_ip])
         site.change(tenants=[{"name": "team-1", "api_keys": ["other-key"]}])
         await wait_version(site, "entry0", 2)
-        assert taken_from_peers(await site.state("entry0")) > 0
+        assert listings_from_peers(await site.state("entry0")) > 0
         assert (await ask(site.callers("entry0"), "/again/x")).status == 401
         assert (await ask(site.callers("entry0"), "/again/x", key="other-key")).status == 200
 
 
-async def test_a_process_that_starts_while_the_store_turns_it_away_becomes_ready(
+async def test_a_process_that_starts_while_its_calls_fail_becomes_ready(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
@@ -168,7 +168,7 @@
         await site.wait_ready("late")
 
 
-async def test_changes_that_the_store_forgot_are_read_anew(tmp_path: Path) -> None:
+async def test_changes_missing_from_the_history_are_read_by_a_listing(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=0) as site:
         gone = replicas_of(site, PLAIN_SERVICE)[0]
         site.store.set_mood(Mood.BUSY)
@@ -214,16 +214,16 @@
     st.lists(st.tuples(st.sampled_from("abc"), st.booleans()), max_size=12),
     st.lists(st.tuples(st.booleans(), st.integers(0, 12), st.integers(0, 12)), max_size=8),
 )
-def test_items_are_those_of_the_newest_revision_heard_of_in_whatever_order_news_arrive(
+def test_items_are_those_of_the_newest_revision_whatever_the_order_of_arrival(
     history: list[tuple[str, bool]], deliveries: list[tuple[bool, int, int]]
 ) -> None:
-    """Listings of any age, and changes that were asked for before newer listings came."""
+    """Applies listings of any age, and changes requested before newer listings arrived."""
     events = [
         Item(key, revision, b"" if there else None)
         for revision, (key, there) in enumerate(history, start=1)
     ]
 
-    def truth(revision: int) -> dict[str, Item]:
+    def items_at(revision: int) -> dict[str, Item]:
         items: dict[str, Item] = {}
         for item in events[:revision]:
             if item.value is None:
@@ -237,17 +237,17 @@
     for as_listing, after, until in deliveries:
         until = min(until, len(events))
         if as_listing:
-            state.take_listing(Listing(tuple(truth(until).values()), until), 0.0)
+            state.take_listing(Listing(tuple(items_at(until).values()), until), 0.0)
         else:
             after = min(after, state.revision)
             state.take_changes(Changes(tuple(events[after:until]), max(after, until)))
-        assert state.items == truth(state.revision)
+        assert state.items == items_at(state.revision)
 
 
 async def test_a_daemon_learns_of_a_version_at_once_and_not_of_every_configuration(
     tmp_path: Path,
 ) -> None:
-    """A burst of configurations filled the narrow links beside replicas (scale-1)."""
+    """Guards against bursts of configurations that fill the narrow links beside replicas."""
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         daemon = site.machines["daemon0"].ip
@@ -262,13 +262,13 @@
 
 
 class CountingStore:
-    """Counts the listings it gives."""
+    """A store with empty listings that counts them."""
 
     def __init__(self) -> None:
         self.listings = 0
 
     async def read(self, topic: Topic) -> Ok[Listing] | Failure:
-        """Give an empty listing, newer each time."""
+        """Return an empty listing with a new revision."""
         await trio.lowlevel.checkpoint()
         self.listings += 1
         return Ok(Listing((), self.listings))
@@ -276,37 +276,41 @@
     async def watch(
         self, topic: Topic, after: int, wait_seconds: float, answer_seconds: float
     ) -> Ok[Changes] | HistoryLost | Failure:
-        """Tell of no change."""
+        """Return no changes after the full wait."""
         await trio.sleep(wait_seconds)
         return Ok(Changes((), after))
 
     def use_address(self, address: Address) -> None:
-        """Have no address."""
+        """Ignore the address."""
 
     def covers(self, topic: Topic, key: str) -> bool:
-        """Have no keys."""
+        """Return that no key belongs to a topic."""
         return False
 
     def replica_id(self, key: str) -> str | None:
-        """Have no replicas."""
+        """Return that no key belongs to a replica."""
         return None
 
     def decode(self, item: Item) -> Ok[Fact | None] | Failure:
-        """Know nothing."""
+        """Return no fact."""
         return Ok(None)
 
 
-def follower_of(store: CountingStore, pace: FollowingPace) -> Follower:
-    """Return a follower of a store, on facts of its own."""
-    return Follower(store, Facts(store), PauseWatch(limit_seconds=1e9), pace)
+def follower_of(store: CountingStore, polling: PollingSettings) -> Follower:
+    """Return a follower of a store with facts of its own."""
+    return Follower(store, Facts(store), PauseWatch(limit_seconds=1e9), polling)
 
 
-async def test_a_topic_that_is_not_watched_is_listed_whenever_that_is_asked_for(
+async def test_a_topic_that_is_not_watched_is_listed_on_demand(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """After a restart of all, 60 daemons listed a large configuration beside 35 entries."""
+    """Guards against listings that nobody needs.
+
+    When all processes restarted at once, 60 daemons listed a large configuration in addition to 35
+    entries.
+    """
     store = CountingStore()
-    follower = follower_of(store, FollowingPace(watched=(), listed=(Topic.CONTROL,)))
+    follower = follower_of(store, PollingSettings(watched=(), listed=(Topic.CONTROL,)))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         for listings in (0, 1, 2):
@@ -320,8 +324,8 @@
         nursery.cancel_scope.cancel()
 
 
-class RestlessStore(CountingStore):
-    """Has news of every topic whenever it is asked; counts the watches."""
+class ChangingStore(CountingStore):
+    """A store that has a change of every topic for each watch, and counts the watches."""
 
     def __init__(self) -> None:
         super().__init__()
@@ -330,30 +334,30 @@
     async def watch(
         self, topic: Topic, after: int, wait_seconds: float, answer_seconds: float
     ) -> Ok[Changes] | HistoryLost | Failure:
-        """Tell of a change at once."""
+        """Return one change at once."""
         await trio.lowlevel.checkpoint()
         self.watches += 1
         return Ok(Changes((Item(f"key-{after}", after + 1, b"{}"),), after + 1))
 
 
-async def test_a_daemon_with_nothing_to_do_lets_news_of_the_list_wait(
+async def test_an_idle_daemon_delays_reading_changes_of_the_list(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """Each of 102 daemons made a call for every change of the list: half of all calls."""
+    """Guards against a call per change by every daemon: half of all calls with 102 daemons."""
     mock_clock.autojump_threshold = 0
-    store = RestlessStore()
-    pace = daemon_pace(FactBounds())
-    follower = follower_of(store, replace(pace, watched=(Topic.REPLICAS,)))
+    store = ChangingStore()
+    polling = daemon_polling(FactBounds())
+    follower = follower_of(store, replace(polling, watched=(Topic.REPLICAS,)))
     async with trio.open_nursery() as nursery:
         nursery.start_soon(follower.run)
         await trio.sleep(20)
-        calm = store.watches
-        assert calm <= 20 / pace.calm_list_rest_seconds + 1
-        follower.set_hurried(Topic.REPLICAS, hurried=True)
-        await trio.sleep(pace.list_rest_seconds / 2)
-        assert store.watches == calm + 1  # the rest ends at once
+        idle_watches = store.watches
+        assert idle_watches <= 20 / polling.idle_list_batch_delay_seconds + 1
+        follower.set_urgent(Topic.REPLICAS, urgent=True)
+        await trio.sleep(polling.list_batch_delay_seconds / 2)
+        assert store.watches == idle_watches + 1  # the pause ends at once
         await trio.sleep(20)
-        assert store.watches >= calm + 20 / pace.list_rest_seconds
+        assert store.watches >= idle_watches + 20 / polling.list_batch_delay_seconds
         nursery.cancel_scope.cancel()
 
 
@@ -361,87 +365,96 @@
 def test_a_call_that_a_silent_store_holds_ends_before_a_bound_could_be_missed(
     configuration: float, leaving: float, reached: float
 ) -> None:
-    """The bounds count `reached` after the store's return, whenever the call began."""
-    pace = entry_pace(FactBounds(configuration, leaving, reached))
+    """The bounds apply `reached` seconds after the store's return, whenever the call began."""
+    polling = entry_polling(FactBounds(configuration, leaving, reached))
     until = max(reached, min(configuration, leaving))
-    for topic in pace.watched:
-        watch = pace.watch_of(topic, lost=False)
+    for topic in polling.watched:
+        watch = polling.watch_limits(topic, lost=False)
         assert watch.longest + FIRST_RETRY_SECONDS * (1 + RETRY_SPREAD) < until or (
-            watch.wait == LEAST_WATCH_SECONDS
+            watch.wait == MIN_WATCH_SECONDS
         )
-    assert pace.rest_seconds < configuration / 4 and pace.list_rest_seconds < leaving / 4
+    assert (
+        polling.batch_delay_seconds < configuration / 4
+        and polling.list_batch_delay_seconds < leaving / 4
+    )
 
 
 def test_failed_calls_and_their_pauses_end_before_a_bound_could_be_missed() -> None:
-    """A listing, a watch and the pause after each, however long the store was lost."""
-    pace = entry_pace(FactBounds())
-    longest_pause = max(pace.pause_after(failures) for failures in range(100))
-    assert longest_pause <= pace.max_retry_seconds * (1 + RETRY_SPREAD)
+    """Covers a listing, a watch and the pause after each, after an outage of any length."""
+    polling = entry_polling(FactBounds())
+    longest_pause = max(polling.pause_after(failures) for failures in range(100))
+    assert longest_pause <= polling.max_retry_seconds * (1 + RETRY_SPREAD)
     until = FactBounds().reached - NEWS_MARGIN_SECONDS
-    for longest in (pace.watch_of(Topic.CONTROL, lost=True).longest, store.READ_SECONDS):
-        assert longest + pace.max_retry_seconds * (1 + RETRY_SPREAD) <= until
+    for longest in (polling.watch_limits(Topic.CONTROL, lost=True).longest, store.READ_SECONDS):
+        assert longest + polling.max_retry_seconds * (1 + RETRY_SPREAD) <= until
 
 
-def test_a_version_that_a_daemon_tells_counts_from_when_it_was_named() -> None:
-    """The store's news came 1.9 s late, with a large configuration, and an old version ran on."""
+def test_a_version_reported_by_a_daemon_counts_from_its_naming() -> None:
+    """Guards against an old version served past its bound.
+
+    The store's change arrived 1.9 s late, together with a large configuration.
+    """
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
-    facts.hear_version("m", 3, 0.0)
+    facts.record_named_version("m", 3, 0.0)
     notice = facts.versions["m"][-1]
     assert [n.version for n in facts.versions["m"]] == [3] and facts.named_since_start(notice)
     named = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":3}')
     facts.take_listing(Topic.CONTROL, Listing((named,), 9), 0.0, "store")
     assert facts.versions["m"] == [notice]
-    # One that was named before this process started is with the daemons: it is not mirrored.
-    facts.hear_version("m", 4, 60.0)
+    # A version named before this process started is already with the daemons and is not mirrored.
+    facts.record_named_version("m", 4, 60.0)
     before = facts.versions["m"][-1]
     assert before.version == 4 and not facts.named_since_start(before)
     assert before.seen_at < notice.seen_at - 50
 
 
-def test_the_earliest_news_of_a_version_count() -> None:
-    """The bound on older weights runs from when a version was named, not from when we heard."""
+def test_the_earliest_report_of_a_version_counts() -> None:
+    """The bound on older weights runs from the naming of a version, however late that is known."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     named = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":2}')
     facts.take_listing(Topic.CONTROL, Listing((named,), 9), 0.0, "store")
     assert facts.versions["m"][0].at_start
-    facts.hear_version("m", 2, 3.0)
+    facts.record_named_version("m", 2, 3.0)
     earlier = facts.versions["m"][0]
     assert not earlier.at_start and monotonic() - earlier.seen_at == pytest.approx(3.0, abs=0.5)
-    facts.hear_version("m", 2, 1.0)  # of one that learned of it later
+    facts.record_named_version("m", 2, 1.0)  # from a daemon that learned of it later
     assert facts.versions["m"] == [earlier]
 
 
 def test_a_version_that_was_followed_by_another_keeps_its_own_bound() -> None:
-    """An entry that lists anew sees the newest version only: older weights ended with that one."""
+    """Guards against a bound that runs from the newest version only.
+
+    An entry that lists the topic again sees only the newest version.
+    """
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     named = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":3}')
     facts.take_listing(Topic.CONTROL, Listing((named,), 9), 0.0, "store")
     rules = WeightsRules(facts, 8.0)
-    facts.hear_version("m", 2, 7.0)
+    facts.record_named_version("m", 2, 7.0)
     assert facts.newest_version("m") == 3
     assert [notice.version for notice in facts.versions["m"]] == [2, 3]
     assert rules.lowest_allowed("m") == 2
 
 
-def test_an_entry_knows_the_versions_from_the_whole_that_it_follows() -> None:
+def test_an_entry_takes_the_named_versions_from_the_control_topic() -> None:
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
-    assert not facts.topic_known(Topic.VERSIONS).known
+    assert not facts.topic_state(Topic.VERSIONS).known
     name = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":2}')
     other = Item(f"{names.CONTROL_PREFIX}else", 7, b"{}")
     facts.take_listing(Topic.CONTROL, Listing((name, other), 9), 0.0, "store")
-    known = facts.topic_known(Topic.VERSIONS)
+    known = facts.topic_state(Topic.VERSIONS)
     assert known.known and known.revision == 9 and list(known.items) == [name.key]
 
 
-class AskedNode:
-    """Keeps what is sent, in place of a node; the first message to each only opens the link."""
+class RecordingNode:
+    """A node that records what is sent; the first message to each peer only opens the link."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[float, Address]] = []
         self._open: set[Address] = set()
 
     def send(self, address: Address, message: PeerMessage, payload: bytes | None = None) -> bool:
-        """Keep a message."""
+        """Record a message; return whether the link was open."""
         assert isinstance(message, AskRevision)
         opened = address in self._open
         self._open.add(address)
@@ -451,23 +464,23 @@
 
 
 @dataclass
-class TurnedAway:
-    """A process that the store turns away, with what it sent and what it asked for."""
+class RejectedProcess:
+    """A process whose calls the store rejects, with the messages and requests that it sent."""
 
     peers: PeerFacts
-    node: AskedNode
-    # When a whole topic was asked for, and from which revision.
+    node: RecordingNode
+    # When a whole topic was requested, and the revision held then.
     transfers: list[tuple[float, int]] = field(default_factory=list)
 
-    def hear(self, revision: int, age: float) -> None:
-        """Let another process tell how much it knows."""
+    def deliver_revision(self, revision: int, age: float) -> None:
+        """Deliver a peer's answer with its revision and the age of its facts."""
 
         def reply(message: PeerMessage, payload: bytes | None) -> bool:
             assert isinstance(message, AskFacts)
             self.transfers.append((trio.current_time(), message.revision))
             return True
 
-        self.peers.hear_revision(KnownRevision(Topic.CONTROL.value, revision, age), reply)
+        self.peers.receive_revision(KnownRevision(Topic.CONTROL.value, revision, age), reply)
 
 
 ENTRIES = [Address(f"10.0.0.{number}", 1) for number in range(1, 6)]
@@ -475,69 +488,73 @@
 
 
 @pytest.fixture
-def turned_away(mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch) -> TurnedAway:
-    """Return a process that the store turns away, on simulated time."""
+def rejected_process(
+    mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
+) -> RejectedProcess:
+    """Return a process whose calls the store rejects, on simulated time."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_facts.peerfacts.monotonic", trio.current_time)
-    follower = follower_of(CountingStore(), FollowingPace(watched=(Topic.CONTROL,)))
+    follower = follower_of(CountingStore(), PollingSettings(watched=(Topic.CONTROL,)))
     follower.failing[Topic.CONTROL] = 1
     facts = Facts(CountingStore())
-    node = AskedNode()
+    node = RecordingNode()
     peers = PeerFacts(facts, follower, cast(PeerNode, node), lambda: DAEMONS, lambda: ENTRIES)
-    return TurnedAway(peers, node)
+    return RejectedProcess(peers, node)
 
 
-async def test_a_process_that_the_store_turns_away_asks_for_one_whole_topic_at_a_time(
-    turned_away: TurnedAway,
+async def test_a_process_whose_calls_fail_requests_one_whole_topic_at_a_time(
+    rejected_process: RejectedProcess,
 ) -> None:
-    """Two were asked for all of a topic three times a second until the first answer came."""
+    """Guards against requesting a whole topic from two peers three times a second."""
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(turned_away.peers.run)
+        nursery.start_soon(rejected_process.peers.run)
         end = trio.current_time() + 60
         while trio.current_time() < end:
-            # Everybody knows more, and what was asked for never comes: it waits ever longer.
+            # All peers have a newer revision, and no requested topic arrives: the timeout grows.
             await trio.sleep(0.05)
-            turned_away.hear(7, 0.1)
-        times = [at for at, _ in turned_away.transfers]
+            rejected_process.deliver_revision(7, 0.1)
+        times = [at for at, _ in rejected_process.transfers]
         assert all(b - a >= FIRST_TRANSFER_SECONDS for a, b in itertools.pairwise(times))
         assert len(times) <= 60 / MAX_TRANSFER_SECONDS + 5
-        # One that comes ends the waiting.
-        turned_away.peers.receive(TopicFacts(Topic.CONTROL.value, 7, 0.1, []), "peer")
-        turned_away.hear(7, 0.1)
-        asked = len(turned_away.transfers)
-        turned_away.hear(8, 0.1)
-        assert [held for _, held in turned_away.transfers[asked:]] == [7]
+        # A topic that arrives resets the timeout.
+        rejected_process.peers.receive(TopicFacts(Topic.CONTROL.value, 7, 0.1, []), "peer")
+        rejected_process.deliver_revision(7, 0.1)
+        asked = len(rejected_process.transfers)
+        rejected_process.deliver_revision(8, 0.1)
+        assert [held for _, held in rejected_process.transfers[asked:]] == [7]
         nursery.cancel_scope.cancel()
 
 
-async def test_questions_are_few_and_go_to_entries_while_one_of_them_has_fresh_facts(
-    turned_away: TurnedAway,
+async def test_few_questions_are_sent_and_only_to_entries_while_one_has_fresh_facts(
+    rejected_process: RejectedProcess,
 ) -> None:
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(turned_away.peers.run)
+        nursery.start_soon(rejected_process.peers.run)
         for _ in range(40):
-            turned_away.hear(NOTHING, 0.1)
+            rejected_process.deliver_revision(UNKNOWN_REVISION, 0.1)
             await trio.sleep(0.25)
-        sent = turned_away.node.sent
+        sent = rejected_process.node.sent
         assert sent and all(address in ENTRIES for _, address in sent)
-        assert len(sent) <= 10 / (0.7 * ASK_SECONDS) * ENTRIES_ASKED
-        # When none of them is served either, one other process is asked beside them at a time.
+        assert len(sent) <= 10 / (0.7 * ASK_INTERVAL_SECONDS) * ENTRIES_ASKED
+        # While the store answers no entry either, one other process at a time is asked as well.
         sent.clear()
         for _ in range(40):
-            turned_away.hear(NOTHING, STALE_SECONDS + 1)
+            rejected_process.deliver_revision(UNKNOWN_REVISION, STALE_SECONDS + 1)
             await trio.sleep(0.25)
         others = {address for _, address in sent if address in DAEMONS}
-        assert 1 <= len(others) <= 10 / OTHER_SECONDS + 1
-        assert not turned_away.transfers
+        assert 1 <= len(others) <= 10 / FALLBACK_PEER_SECONDS + 1
+        assert not rejected_process.transfers
         nursery.cancel_scope.cancel()
 
 
-async def test_a_process_that_knows_nothing_says_so(turned_away: TurnedAway) -> None:
+async def test_a_process_without_facts_answers_that_it_has_none(
+    rejected_process: RejectedProcess,
+) -> None:
     answers: list[PeerMessage] = []
 
     def reply(message: PeerMessage, payload: bytes | None) -> bool:
         answers.append(message)
         return True
 
-    turned_away.peers.tell_revision(AskRevision(Topic.CONTROL.value), reply)
-    assert answers == [KnownRevision(Topic.CONTROL.value, NOTHING, float("inf"))]
+    rejected_process.peers.answer_revision(AskRevision(Topic.CONTROL.value), reply)
+    assert answers == [KnownRevision(Topic.CONTROL.value, UNKNOWN_REVISION, float("inf"))]
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -262,7 +262,7 @@
         while trio.current_time() < TROUBLED_SECONDS:
             await trio.sleep(generator.uniform(0.5, 8.0))
             version += 1
-            facts.hear_version(MODEL, version, 0.0)
+            facts.record_named_version(MODEL, version, 0.0)
         replica.trouble = Trouble()
         with trio.move_on_after(CALM_SECONDS if history.ends else 0):
             while replica.loaded != version:
@@ -315,7 +315,7 @@
             replica = LateReplica(generator, nursery, Trouble())
             nursery.start_soon(run_daemon, replica, facts, generator, 4.0)
             await trio.sleep(0.5)
-            facts.hear_version(MODEL, 2, 0.0)
+            facts.record_named_version(MODEL, 2, 0.0)
             with trio.fail_after(LATE_SECONDS):
                 while replica.loaded != 2:
                     await trio.sleep(0.1)
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -8,7 +8,7 @@
 from headcross_base.clocks import monotonic
 from headcross_base.errors import Failure, Ok
 from headcross_base.verdicts import MayHaveRun, NotRun
-from headcross_fleet.documents import Versions
+from headcross_fleet.documents import DocumentRevisions
 from headcross_fleet.fleetfile import Pool, Team, parse_fleet_file
 from headcross_fleet.membership import PoolRow, StatusTable
 from headcross_native.eventstream import EventSplitter
@@ -205,7 +205,7 @@
 
 
 POOL = Pool(model="m", version="v", replicas=3, zones=["z"], max_unavailable=1)
-VIEW = Versions(5, 2)
+VIEW = DocumentRevisions(5, 2)
 
 
 def row(name: str, digest: str = "old", state: str = "serving", **more: object) -> PoolRow:
--- a/tests/test_version_news.py
+++ b/tests/test_version_news.py
@@ -12,7 +12,7 @@
     """Return what a process knows that saw versions 2 and on being named so long ago."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     for version, age in enumerate(ages, start=2):
-        facts.hear_version("m", version, age)
+        facts.record_named_version("m", version, age)
     return facts
 
 
