--- a/libs/daemon/src/headcross_daemon/mirrorparts.py
+++ b/libs/daemon/src/headcross_daemon/mirrorparts.py
@@ -67,7 +67,7 @@
             LinkRate(rate, LINK_BURST_BYTES),
             downlink,
             SMALL_WEIGHTS,
-            lane_per_asker=True,
+            lane_per_requester=True,
         )
         ports = SwarmPorts(settings.peers.control_port, settings.peers.swarm_port)
         self._mirror = Mirror(
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -222,7 +222,7 @@
             },
             "transfers": {
                 digest: {
-                    "trouble": transfer.trouble,
+                    "trouble": transfer.last_error,
                     "neighbours": sum(view.joined for view in transfer.views.values()),
                     "quarantined": [v.host for v in transfer.views.values() if v.quarantined],
                 }
--- a/libs/daemon/src/headcross_daemon/weightsserver.py
+++ b/libs/daemon/src/headcross_daemon/weightsserver.py
@@ -32,7 +32,7 @@
         if not path.startswith(PREFIX) or len(parts) < 2:
             return None
         stored: StoredArtifact | None = self._store.get(parts[0])
-        if stored is None or not stored.whole:
+        if stored is None or not stored.is_complete:
             return None
         match parts[1:]:
             case ["manifest.json"]:
--- a/libs/renewal/src/headcross_renewal/fetching.py
+++ b/libs/renewal/src/headcross_renewal/fetching.py
@@ -98,7 +98,7 @@
     async def fetch(self, goal: LoadedModel, stored: StoredArtifact) -> bool:
         """Fetch all chunks of a version; return False if an older version is preferred instead."""
         artifact = Artifact(name=weights_name(goal), digest=stored.digest)
-        while not stored.whole:
+        while not stored.is_complete:
             participants = self._participants(goal)
             self._swarm.update_hosts(self._hosts())
             async with trio.open_nursery() as nursery:
@@ -110,7 +110,7 @@
                     logger.warning("weights not fetched", extra={"reason": outcome.detail})
                     await trio.sleep(RETRY_SECONDS)
                 nursery.cancel_scope.cancel()
-            if not stored.whole and self._choice.is_older_more_complete(goal, stored):
+            if not stored.is_complete and self._choice.is_older_more_complete(goal, stored):
                 self._choice.defer(goal)
                 return False
         return True
--- a/libs/renewal/src/headcross_renewal/goalchoice.py
+++ b/libs/renewal/src/headcross_renewal/goalchoice.py
@@ -103,7 +103,7 @@
             return False
         digests = self._digests.settled.get(LoadedModel(goal.model, newest))
         held = self._store.get(manifest_of(digests)[2]) if digests is not None else None
-        return held is not None and held.whole
+        return held is not None and held.is_complete
 
     def defer(self, goal: LoadedModel) -> None:
         """Prefer older versions for `DEFERRAL_SECONDS`, if one of them is worthwhile."""
--- a/libs/renewal/src/headcross_renewal/mirroring.py
+++ b/libs/renewal/src/headcross_renewal/mirroring.py
@@ -191,7 +191,7 @@
                 return
             logger.info("mirroring", extra={"goal": weights_name(goal)})
             artifact = Artifact(name=weights_name(goal), digest=digest)
-            while not admitted.value.whole:
+            while not admitted.value.is_complete:
                 self._swarm.update_hosts(self._hosts())
                 outcome = await self._swarm.fetch(artifact, self._participants(goal), 1)
                 if isinstance(outcome, Failure):
--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -159,7 +159,7 @@
             self._in_doubt.reserve_staging(goal)
             try:
                 while self._earlier_order_possible():
-                    could_put_all = stored.whole
+                    could_put_all = stored.is_complete
                     await self._staging(goal).verify(stored)
                     if could_put_all:
                         await trio.sleep(CHECK_INTERVAL_SECONDS)
@@ -172,7 +172,7 @@
 
     async def _fetch(self, goal: LoadedModel, stored: StoredArtifact, fetched: trio.Event) -> None:
         """Fetch the missing chunks of a version; set `fetched` once all are stored."""
-        while not stored.whole:
+        while not stored.is_complete:
             if not await self._fetching.fetch(goal, stored):
                 await trio.sleep(RETRY_SECONDS)
         fetched.set()
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -190,7 +190,7 @@
         self._enter_step("adopting", goal)
         adopted = 0
         # Staged chunks are only useful to a process that has not read them yet.
-        if not stored.whole and self._reporter.report is not None and not self._offered:
+        if not stored.is_complete and self._reporter.report is not None and not self._offered:
             adopted = await staging.adopt(stored)
             if adopted:
                 self._orders.in_doubt.record_staged_version(goal)
@@ -244,11 +244,11 @@
         self, goal: LoadedModel, staging: Staging, stored: StoredArtifact
     ) -> None:
         """Stage every chunk as soon as it is stored here, until all are staged."""
-        waiting = set(range(len(stored.places)))
+        waiting = set(range(len(stored.locations)))
         while waiting:
             await self._orders.wait_may_stage(goal)
             here = sorted(waiting - stored.missing)
-            if here and len(waiting) == len(stored.places):
+            if here and len(waiting) == len(stored.locations):
                 logger.info("staging", extra={"goal": weights_name(goal)})
             await staging.put(stored, here)
             waiting -= set(here)
--- a/libs/renewal/src/headcross_renewal/staging.py
+++ b/libs/renewal/src/headcross_renewal/staging.py
@@ -62,14 +62,14 @@
 
         If a chunk is missing at the replica, no order of an earlier daemon process is open.
         """
-        found = copy.matching_chunks([place.digest for place in stored.places])
+        found = copy.matching_chunks([place.digest for place in stored.locations])
         for index, data in found.items():
             stored.add(index, data)
-        if len(found) == len(stored.places):
+        if len(found) == len(stored.locations):
             self._in_doubt.record_complete_staging(self._goal)
         if not copy.indexes:
             self._in_doubt.record_empty_staging()
-        elif len(copy.indexes) < len(stored.places):
+        elif len(copy.indexes) < len(stored.locations):
             self._in_doubt.rule_out_earlier_order()
         return len(found)
 
@@ -84,7 +84,7 @@
         """
         bad: list[int] = []
         unread: list[int] = []
-        digests = [place.digest for place in stored.places]
+        digests = [place.digest for place in stored.locations]
 
         async def check(index: int) -> None:
             data = await self._replica.read_chunk(self._model, index)
@@ -96,7 +96,7 @@
 
         # Reading sequentially from a replica that takes 0.1 s per chunk would take longer than a
         # read-back stays valid.
-        await _in_parallel(range(len(stored.places)), check)
+        await _in_parallel(range(len(stored.locations)), check)
         if bad:
             fields = {"model": self._model, "chunks": sorted(bad)}
             logger.warning("staged chunks bad", extra=fields)
--- a/libs/weights/src/headcross_weights/__init__.py
+++ b/libs/weights/src/headcross_weights/__init__.py
@@ -1,1 +1,1 @@
-"""Weights: what a version consists of, where its verified bytes are kept, how they spread."""
+"""Weight transfer: manifests, the store of verified chunks, and the peer-to-peer swarm."""
--- a/libs/weights/src/headcross_weights/chunkchoice.py
+++ b/libs/weights/src/headcross_weights/chunkchoice.py
@@ -1,8 +1,9 @@
-"""Which chunk to ask of which neighbour next.
+"""Selects the next chunk to request and the neighbour to request it from.
 
-The rarest of a random sample goes first, so that chunks that only one host has spread early; among
-neighbours a mirror, then the one with the fewest requests in flight. In the end game a chunk that
-takes long is asked of a second host.
+The rarest chunk of a random sample is requested first, so that chunks that only one host has
+spread early. Mirrors are preferred among the neighbours, then those with the fewest requests in
+flight. Once every missing chunk is requested, a chunk that takes long is requested from a second
+host as well.
 """
 
 import random
@@ -14,16 +15,17 @@
 from headcross_weights.chunkstore import StoredArtifact
 from headcross_weights.neighbourview import NeighbourView
 
-SAMPLE: Final = 32  # chunks looked at to find a rare one
-# In the end game a chunk is asked of a second host when the first takes this many times the usual.
+RARITY_SAMPLE_CHUNKS: Final = 32  # chunks sampled to find the rarest
+# A chunk is requested from a second host when the first takes longer than this many times the
+# second host's average latency.
 DUPLICATE_FACTOR: Final = 2.0
-# So many neighbours that are late at once mean that this host's own link is slow, unless a chunk
-# came on time within so many seconds.
-SLOW_NEIGHBOURS: Final = 2
-ON_TIME_SECONDS: Final = 0.6
-# The part of its rate that is asked for while this host's own link seems to be slow.
-SLOW_LINK_PART: Final = 0.2
-MAX_DUPLICATE_WAIT: Final = 2.0  # while the usual time is not known
+# When at least this many neighbours are late at once, this host's own link is taken to be slow,
+# unless a chunk arrived on time within ON_TIME_WINDOW_SECONDS.
+MIN_LATE_NEIGHBOURS: Final = 2
+ON_TIME_WINDOW_SECONDS: Final = 0.6
+# Share of the download rate that is requested while this host's own link seems to be slow.
+SLOW_LINK_RATE_SHARE: Final = 0.2
+DEFAULT_DUPLICATE_SECONDS: Final = 2.0  # until a latency is known
 
 Choice = tuple[NeighbourView, int]
 Views = Mapping[str, NeighbourView]
@@ -33,11 +35,15 @@
     stored: StoredArtifact,
     views: Views,
     importing: set[int],
-    most_in_flight: int,
+    max_in_flight: int,
 ) -> Choice | None:
-    """Return which chunk to ask of whom next, or None when nothing can be asked now."""
+    """Return the next request, or None if no chunk can be requested now.
+
+    Nothing is requested while `max_in_flight` chunks are in flight. Chunks in `importing` are left
+    out.
+    """
     in_flight = chunks_in_flight(views)
-    if len(in_flight) >= most_in_flight:
+    if len(in_flight) >= max_in_flight:
         return None
     now = monotonic()
     if in_flight and is_link_slow(views, now):
@@ -54,21 +60,21 @@
 
 
 def is_link_slow(views: Views, now: float) -> bool:
-    """Tell whether this host's own link seems to be the slow one.
+    """Return whether this host's own link, rather than a neighbour's, seems to be slow.
 
-    Chunks of several neighbours, or of a mirror, are late at once and none comes on time. Asking
-    for more than one would only lengthen the queue in the link, which requests to the replica
-    share.
+    This is so if chunks from several neighbours, or from a mirror, are late at once and none has
+    arrived on time recently. More than one request in flight would then only lengthen the queue in
+    the link, which requests to the replica share.
     """
     late = [view for view in views.values() if view.is_late(now)]
-    if len(late) < SLOW_NEIGHBOURS and not any(view.is_mirror for view in late):
+    if len(late) < MIN_LATE_NEIGHBOURS and not any(view.is_mirror for view in late):
         return False
     on_time = max((view.on_time_at for view in views.values()), default=float("-inf"))
-    return now - on_time > ON_TIME_SECONDS
+    return now - on_time > ON_TIME_WINDOW_SECONDS
 
 
 def chunks_in_flight(views: Views) -> dict[int, list[float]]:
-    """Return the chunks asked for, with the times of asking."""
+    """Return the times at which each chunk in flight was requested, by chunk index."""
     asked: dict[int, list[float]] = {}
     for view in views.values():
         for index, at in view.in_flight.items():
@@ -77,13 +83,16 @@
 
 
 def offered_chunks(views: Views) -> set[int]:
-    """Return the chunks that can be hoped for from any neighbour."""
-    return set().union(*(view.has for view in views.values() if view.hopeful))
+    """Return the chunks that at least one usable neighbour has."""
+    return set().union(*(view.has for view in views.values() if view.is_usable))
 
 
 def _rarest(candidates: set[int], views: Views) -> int:
-    """Return the rarest chunk of a random sample, ties broken at random."""
-    sample = random.sample(list(candidates), min(SAMPLE, len(candidates)))
+    """Return the chunk of a random sample that the fewest neighbours have.
+
+    Ties are broken at random.
+    """
+    sample = random.sample(list(candidates), min(RARITY_SAMPLE_CHUNKS, len(candidates)))
     return min(sample, key=lambda index: sum(index in view.has for view in views.values()))
 
 
@@ -93,9 +102,9 @@
     in_flight: Mapping[int, list[float]],
     now: float,
 ) -> Choice | None:
-    """Return a chunk that takes long, and a second host to ask for it."""
+    """Return a chunk that takes long and a second host to request it from."""
     for view in ready:
-        late = DUPLICATE_FACTOR * view.latency or MAX_DUPLICATE_WAIT
+        late = DUPLICATE_FACTOR * view.latency or DEFAULT_DUPLICATE_SECONDS
         for index in view.has & stored.missing & in_flight.keys():
             asked_at = in_flight[index]
             if len(asked_at) == 1 and now - asked_at[0] > late:
--- a/libs/weights/src/headcross_weights/importduties.py
+++ b/libs/weights/src/headcross_weights/importduties.py
@@ -1,13 +1,13 @@
-"""What one host has to bring in from outside, and when it stands in for another.
-
-The order of a chunk (see `sourcing`) names the hosts before this one. While nobody offers the
-chunk, they are asked whether they are at work on it; when they stay silent for long enough this
-host takes the chunk over. Every answer counts for the chunks it names, so that a host that is busy
-but alive is waited for, however long the origin takes. It counts only where this host may fetch
-the chunk from the one that answers: a copy in another region brings nothing here. One that answers
-without naming any has not heard of the weights yet, which hosts learn at different times: it is
-waited for a while longer. Nobody can be asked about a chunk before the manifest names it, so
-silence counts from then on.
+"""Decides which chunks one host imports and when it takes over chunks from other hosts.
+
+The import order of a chunk (see `sourcing`) names the hosts before this one. While no neighbour
+offers the chunk, those hosts are asked whether they have it or are importing it. If they stay
+silent for long enough, this host takes the chunk over. An answer resets the wait for the chunks
+that it names, so that a host that is busy but alive is waited for, however long the origin takes.
+It does so only where this host may fetch the chunk from the host that answers: a copy in another
+region is of no use here. A host that answers without naming any chunk does not know of the
+artifact yet, because hosts learn of it at different times; it is waited for longer. Nobody can be
+asked about a chunk before the manifest is known, so the wait starts then.
 """
 
 from collections.abc import Iterable
@@ -19,40 +19,40 @@
 from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
 from headcross_weights.sourcing import MANIFEST_INDEX, ChunkDuty, ImportOrder
 
-# A region's first host waits so many take-over times before it goes to the origin itself: the
-# origin's side moves first.
-WAIT_FOR_HOME: Final = 2
+# The first host of a region without an importing host waits this many takeover times before it
+# reads from the origin itself, so that the hosts in the origin's order go first.
+CROSS_REGION_TAKEOVERS: Final = 2
 
-Question = tuple[str, bool]  # host to ask, and whether only the origin's side counts
+IntentTarget = tuple[str, bool]  # host to ask, and whether only imports from the origin count
 
 
 class ImportDuties:
-    """The duties of one host in one transfer."""
+    """The import duties of one host in one transfer."""
 
     def __init__(self, order: ImportOrder, pace: SwarmPace = LARGE_WEIGHTS) -> None:
         self._order = order
         self._pace = pace
-        # Silence counts from here.
-        self._listening_since = monotonic()
+        # Start of the wait for hosts that have not answered.
+        self._silence_since = monotonic()
         self._taken_over: set[int] = set()
-        # When a host before this one was last known to be at work on a chunk.
-        self._attended_at: dict[int, float] = {}
-        # When each host last answered at all.
+        # When a host before this one last said that it has a chunk or is importing it.
+        self._last_intent_at: dict[int, float] = {}
+        # When each host last answered any question.
         self._answered_at: dict[str, float] = {}
 
-    def start_listening(self) -> None:
-        """The manifest is here: hosts are asked about chunks, and may be silent, from now on."""
-        self._listening_since = monotonic()
+    def start_silence_timer(self) -> None:
+        """Start the wait for silent hosts; called once the manifest is known."""
+        self._silence_since = monotonic()
 
-    def is_mine(self, index: int) -> bool:
-        """Tell whether this host is to bring a chunk in from the origin now."""
+    def should_import(self, index: int) -> bool:
+        """Return whether this host is to read a chunk from the origin now."""
         duty = self._order.duty(index)
         return (duty.rank == 0 and not duty.from_peer) or index in self._taken_over
 
     def pending(self, question: AskIntent) -> list[int]:
-        """Return those chunks of a question that this host will bring in."""
+        """Return the chunks of a question that this host will import."""
         if question.origin_only:
-            return [index for index in question.indexes if self.is_mine(index)]
+            return [index for index in question.indexes if self.should_import(index)]
         return [
             index
             for index in question.indexes
@@ -60,65 +60,66 @@
         ]
 
     def receive_intent(self, intent: Intent) -> None:
-        """A host before this one told what it has and what it is at work on."""
+        """Record which chunks another host has and which it is importing."""
         now = monotonic()
         self._answered_at[intent.host] = now
         for index in [*intent.has, *intent.pending]:
             if self.may_fetch_from(intent.host, index):
-                self._attended_at[index] = now
+                self._last_intent_at[index] = now
 
     def may_fetch_from(self, host: str, index: int) -> bool:
-        """Tell whether a chunk may be fetched from a host that says it has it.
+        """Return whether a chunk may be fetched from a host that has it.
 
-        Only a region's first host fetches from another region; all others wait for their own.
+        Only the first host of a region fetches from other regions. All others fetch from their
+        own region.
         """
         duty = self._order.duty(index)
-        return self._order.is_near(host) or (duty.from_peer and duty.rank == 0)
+        return self._order.is_same_region(host) or (duty.from_peer and duty.rank == 0)
 
-    def arrived(self, index: int) -> None:
-        """A chunk is here; nobody need be watched for it."""
-        self._attended_at.pop(index, None)
+    def note_arrival(self, index: int) -> None:
+        """Stop tracking the importing hosts of a stored chunk."""
+        self._last_intent_at.pop(index, None)
 
-    def questions(self, indexes: Iterable[int]) -> dict[Question, list[int]]:
-        """Return whom to ask about which of these chunks, none of which anybody offers."""
-        asked: dict[Question, list[int]] = {}
+    def intent_queries(self, indexes: Iterable[int]) -> dict[IntentTarget, list[int]]:
+        """Return the hosts to ask about chunks that no neighbour offers, with their chunks."""
+        asked: dict[IntentTarget, list[int]] = {}
         for index in indexes:
             duty = self._order.duty(index)
-            if self.is_mine(index):
+            if self.should_import(index):
                 continue
-            for host in duty.before:
+            for host in duty.predecessors:
                 asked.setdefault((host, duty.rank == 0), []).append(index)
         return asked
 
     def take_over(self, indexes: Iterable[int]) -> list[int]:
-        """Take over those chunks whose hosts were silent for too long; return them."""
-        taken = [index for index in indexes if self._is_due(index)]
+        """Take over and return the chunks whose importing hosts were silent for too long."""
+        taken = [index for index in indexes if self._is_takeover_due(index)]
         self._taken_over.update(taken)
         return taken
 
-    def manifest_due(self) -> float:
-        """Return how long (seconds) to wait for others before fetching the manifest oneself."""
+    def manifest_import_delay(self) -> float:
+        """Return the seconds to wait for other hosts before importing the manifest."""
         duty = self._order.duty(MANIFEST_INDEX)
         if duty.rank is None:
-            return self._pace.stuck
+            return self._pace.stuck_seconds
         if duty.from_peer:
-            return self._pace.takeover * (duty.rank + WAIT_FOR_HOME)
-        return self._pace.takeover * duty.rank
+            return self._pace.takeover_seconds * (duty.rank + CROSS_REGION_TAKEOVERS)
+        return self._pace.takeover_seconds * duty.rank
 
-    def before_manifest(self) -> tuple[str, ...]:
-        """Return the hosts that fetch the manifest before this one."""
-        return self._order.duty(MANIFEST_INDEX).before
+    def manifest_predecessors(self) -> tuple[str, ...]:
+        """Return the hosts before this one in the import order of the manifest."""
+        return self._order.duty(MANIFEST_INDEX).predecessors
 
-    def _is_due(self, index: int) -> bool:
+    def _is_takeover_due(self, index: int) -> bool:
         duty: ChunkDuty = self._order.duty(index)
-        if duty.rank is None or self.is_mine(index):
+        if duty.rank is None or self.should_import(index):
             return False
         now = monotonic()
-        quiet = now - self._attended_at.get(index, self._listening_since)
-        patience = self._pace.takeover * (duty.rank or WAIT_FOR_HOME)
-        # Only of the first is it known what an answer without the chunk means: those behind it
-        # wait as this host does.
-        first = duty.before[0] if duty.before else ""
-        if now - self._answered_at.get(first, float("-inf")) < self._pace.takeover:
-            patience *= self._pace.alive_patience
-        return quiet >= patience
+        silent_seconds = now - self._last_intent_at.get(index, self._silence_since)
+        wait_seconds = self._pace.takeover_seconds * (duty.rank or CROSS_REGION_TAKEOVERS)
+        # An answer without the chunk is evidence only from the first host: the hosts behind it
+        # are waiting as well.
+        first = duty.predecessors[0] if duty.predecessors else ""
+        if now - self._answered_at.get(first, float("-inf")) < self._pace.takeover_seconds:
+            wait_seconds *= self._pace.responsive_takeover_factor
+        return silent_seconds >= wait_seconds
--- a/libs/weights/src/headcross_weights/imports.py
+++ b/libs/weights/src/headcross_weights/imports.py
@@ -1,7 +1,8 @@
-"""Bringing bytes in from the weight store and the origin, verified by whoever asked.
+"""Reads manifests and chunks from the weight store and the origin.
 
-The sources are tried in the order of the settings (the store first, usually). One that fails,
-sends corrupt bytes or is at its limit is left alone for a while and the next one is tried.
+The sources are tried in the order of the settings, usually the store first. A source that fails,
+sends corrupt bytes or is at its limit is paused and the next one is used. The caller verifies the
+bytes.
 """
 
 import logging
@@ -15,34 +16,34 @@
 from headcross_native.weightsource import TryLater
 from headcross_wire.linkrate import LinkRate
 
-from headcross_weights.manifest import ChunkPlace
+from headcross_weights.manifest import ChunkLocation
 from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
 
 logger = logging.getLogger(__name__)
 
 
 class WeightSource(Protocol):
-    """Where weights come from outside."""
+    """A store or origin outside the fleet from which weights are read."""
 
     @property
     def name(self) -> str:
-        """The name in dumps and metrics."""
+        """The name used in state dumps and metrics."""
 
     async def read_manifest(self, weights: str) -> Ok[bytes] | TryLater | Failure:
-        """Return the bytes of a manifest, unchecked."""
+        """Return the unverified bytes of a manifest."""
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
     ) -> Ok[bytes] | TryLater | Failure:
-        """Return `size` bytes of a file from `offset`, unchecked."""
+        """Return `size` unverified bytes of a file from `offset`, within `seconds`."""
 
 
 class Importer:
-    """Reads manifests and chunks from outside the fleet."""
+    """Reads manifests and chunks from the first source that is not paused."""
 
-    # Bytes received from each source, by its name.
+    # Bytes received, by source name.
     received_bytes: Counter[str]
-    # Failures and corrupt bytes of each source, by its name.
+    # Number of failed reads and of corrupt reads, by source name.
     failures: Counter[str]
     corrupt: Counter[str]
 
@@ -61,30 +62,30 @@
         self._paused_until = {source.name: 0.0 for source in sources}
 
     async def read_manifest(self, weights: str) -> Ok[tuple[WeightSource, bytes]] | Failure:
-        """Return a manifest's bytes and where they came from, unchecked."""
+        """Return the unverified bytes of a manifest and their source."""
         source = self._choose()
         if source is None:
             return Failure(SOURCE_FAILED, "every source is paused")
         outcome = await source.read_manifest(weights)
-        return self._take(source, outcome)
+        return self._record_outcome(source, outcome)
 
     async def read_chunk(
-        self, weights: str, place: ChunkPlace
+        self, weights: str, location: ChunkLocation
     ) -> Ok[tuple[WeightSource, bytes]] | Failure:
-        """Return a chunk's bytes and where they came from, unchecked."""
+        """Return the unverified bytes of a chunk and their source."""
         source = self._choose()
         if source is None:
             return Failure(SOURCE_FAILED, "every source is paused")
-        await self._downlink.take(place.size)
+        await self._downlink.take(location.size)
         outcome = await source.read_range(
-            weights, place.path, place.offset, place.size, self._pace.read
+            weights, location.path, location.offset, location.size, self._pace.read_seconds
         )
-        return self._take(source, outcome)
+        return self._record_outcome(source, outcome)
 
     def report_corrupt(self, source: WeightSource, detail: str) -> None:
-        """Count bytes that failed verification against their source, and leave it alone."""
+        """Count a failed verification of bytes from a source and pause the source."""
         self.corrupt[source.name] += 1
-        self._paused_until[source.name] = monotonic() + self._pace.corrupt_pause
+        self._paused_until[source.name] = monotonic() + self._pace.corrupt_pause_seconds
         logger.error("corrupt bytes", extra={"source": source.name, "detail": detail})
 
     def _choose(self) -> WeightSource | None:
@@ -92,7 +93,7 @@
         ready = (source for source in self._sources if self._paused_until[source.name] <= now)
         return next(ready, None)
 
-    def _take(
+    def _record_outcome(
         self, source: WeightSource, outcome: Ok[bytes] | TryLater | Failure
     ) -> Ok[tuple[WeightSource, bytes]] | Failure:
         match outcome:
@@ -104,5 +105,5 @@
                 return Failure(SOURCE_FAILED, f"{source.name} is at its limit")
             case Failure():
                 self.failures[source.name] += 1
-                self._paused_until[source.name] = monotonic() + self._pace.failed_pause
+                self._paused_until[source.name] = monotonic() + self._pace.failed_pause_seconds
                 return Failure(SOURCE_FAILED, f"{source.name}: {outcome.detail}")
--- a/libs/weights/src/headcross_weights/manifest.py
+++ b/libs/weights/src/headcross_weights/manifest.py
@@ -1,8 +1,8 @@
-"""The manifest: which files a version has, and the digest of every chunk of them.
+"""Manifest of a version: its files and the digest of every chunk.
 
-A manifest is JSON; the SHA-256 of its bytes names the version. Chunks never span files, so each is
-one range of one file at the origin. The manifest of a whole directory is made by
-`headcross manifest`; every process checks one before it believes it.
+A manifest is JSON, and the SHA-256 of its bytes identifies the version. Chunks never span files,
+so each is one range of one file at the origin. `headcross manifest` builds the manifest of a
+directory. Every process verifies a manifest before using it.
 """
 
 import hashlib
@@ -39,34 +39,34 @@
 
     @property
     def total_bytes(self) -> int:
-        """Size of the version."""
+        """Total size of the files in bytes."""
         return sum(file.size for file in self.files)
 
 
 @dataclass(frozen=True, slots=True)
-class ChunkPlace:
-    """Where a chunk lies and what it must hash to."""
+class ChunkLocation:
+    """Position, size and digest of one chunk."""
 
-    index: int  # place among all chunks of the version
+    index: int  # position among all chunks of the version
     digest: str
     path: str
     offset: int  # bytes from the start of the file
     size: int
 
 
-def list_chunks(manifest: Manifest) -> list[ChunkPlace]:
+def list_chunks(manifest: Manifest) -> list[ChunkLocation]:
     """Return all chunks of a version in order."""
-    places: list[ChunkPlace] = []
+    locations: list[ChunkLocation] = []
     for file in manifest.files:
         for number, digest in enumerate(file.chunks):
             offset = number * manifest.chunk_bytes
             size = min(manifest.chunk_bytes, file.size - offset)
-            places.append(ChunkPlace(len(places), digest, file.path, offset, size))
-    return places
+            locations.append(ChunkLocation(len(locations), digest, file.path, offset, size))
+    return locations
 
 
 def parse_manifest(body: bytes, digest: str) -> Ok[Manifest] | Failure:
-    """Return the manifest if its bytes have the digest and it makes sense."""
+    """Decode a manifest; fail if its digest differs or its contents are invalid."""
     found = digest_of(body)
     if found != digest:
         return Failure(MANIFEST_MISMATCH, f"expected {digest}, the bytes have {found}")
@@ -79,7 +79,10 @@
 
 
 def build_manifest(directory: Path, chunk_bytes: int = DEFAULT_CHUNK_BYTES) -> bytes:
-    """Return the manifest of all files below a directory, the same bytes each time."""
+    """Return the encoded manifest of all files below a directory.
+
+    The result is deterministic.
+    """
     files = [
         _describe(path, path.relative_to(directory).as_posix(), chunk_bytes)
         for path in sorted(directory.rglob("*"))
--- a/libs/weights/src/headcross_weights/manifestfetch.py
+++ b/libs/weights/src/headcross_weights/manifestfetch.py
@@ -1,8 +1,8 @@
-"""Getting the manifest of one artifact: from a neighbour, or from outside when it is due.
+"""Obtains the manifest of one artifact from other hosts or from a weight source.
 
-Neighbours that were joined without a manifest send it as soon as they have it. The hosts that
-fetch it first need not be neighbours, so they are asked. Whatever comes must have the artifact's
-digest.
+A neighbour that receives a join without a bitmap sends the manifest as soon as it has it. The
+hosts that import the manifest first need not be neighbours, so they are asked as well. Every
+manifest is verified against the artifact's digest.
 """
 
 import random
@@ -16,51 +16,55 @@
 from headcross_weights.imports import Importer
 from headcross_weights.manifest import parse_manifest
 
-ASK_SECONDS: Final = 0.2
+QUERY_SECONDS: Final = 0.2
 
 
 class ManifestFetch:
-    """The manifest of one artifact."""
+    """Waits for the manifest of one artifact, or imports it."""
 
-    # The verified bytes, once they are here.
+    # The verified bytes, None until received.
     body: bytes | None
-    # The last trouble, empty if there was none.
-    trouble: str
+    # Text of the last error, empty if there was none.
+    last_error: str
 
     def __init__(self, artifact: Artifact, importer: Importer) -> None:
         self.body = None
-        self.trouble = ""
+        self.last_error = ""
         self._artifact = artifact
         self._importer = importer
         self._started_at = monotonic()
-        self._came = trio.Event()
+        self._received = trio.Event()
 
     def offer(self, body: bytes) -> bool:
-        """Take a manifest from a neighbour if it is the right one."""
+        """Accept a manifest from a neighbour; return whether it is valid."""
         if not isinstance(parse_manifest(body, self._artifact.digest), Ok):
             return False
         self.body = body
-        self._came.set()
+        self._received.set()
         return True
 
     async def wait_or_import(self, due_seconds: float) -> bytes | None:
-        """Wait a moment for neighbours; go outside if that is due. None: ask them again."""
+        """Wait briefly for a neighbour to send the manifest, and return it.
+
+        Imports it instead if `due_seconds` have passed since the start. Returns None if there is
+        none yet; the caller then asks the other hosts again.
+        """
         if monotonic() - self._started_at >= due_seconds:
             await self._import()
         if self.body is None:
-            with trio.move_on_after(ASK_SECONDS * random.uniform(0.5, 1.5)):
-                await self._came.wait()
+            with trio.move_on_after(QUERY_SECONDS * random.uniform(0.5, 1.5)):
+                await self._received.wait()
         return self.body
 
     async def _import(self) -> None:
         outcome = await self._importer.read_manifest(self._artifact.name)
         if isinstance(outcome, Failure):
-            self.trouble = str(outcome)
+            self.last_error = str(outcome)
             return
         source, body = outcome.value
         checked = parse_manifest(body, self._artifact.digest)
         if isinstance(checked, Failure):
             self._importer.report_corrupt(source, str(checked))
-            self.trouble = f"{source.name}: {checked}"
+            self.last_error = f"{source.name}: {checked}"
             return
         self.body = body
--- a/libs/weights/src/headcross_weights/neighbours.py
+++ b/libs/weights/src/headcross_weights/neighbours.py
@@ -1,10 +1,10 @@
-"""The neighbour set of a transfer: bounded, zone-aware, the same function everywhere.
+"""Selects the neighbours of a host in a transfer.
 
-Hosts of one region exchange chunks among themselves; chunks cross regions only by the import order
-(see `sourcing`). Each host picks some others of its zone and a few of its region's other zones,
-by rendezvous hash, mirrors first, and whoever is picked answers in kind. With six picks by each,
-the graph of a region is connected with high probability, and a host has about twelve neighbours
-whatever N is.
+Hosts of one region exchange chunks with each other. Chunks cross regions only by the import order
+(see `sourcing`). Each host picks some hosts of its own zone and a few of the other zones of its
+region by rendezvous hash, mirrors first. Picked hosts become neighbours in both directions. With
+six picks by each host, the graph of a region is connected with high probability, and a host has
+about twelve neighbours whatever the number of hosts.
 """
 
 from typing import Final
@@ -14,18 +14,18 @@
 
 ZONE_PICKS: Final = 4
 REGION_PICKS: Final = 3
-# Where a region has only one zone, all picks fall into it.
+# A region with one zone takes all picks from it.
 TOTAL_PICKS: Final = ZONE_PICKS + REGION_PICKS
 
 
 def pick_neighbours(
-    artifact: str, me: str, region: str, zone: str, wanting: list[Host]
+    artifact: str, me: str, region: str, zone: str, candidates: list[Host]
 ) -> list[Host]:
-    """Return the hosts that `me` enters a transfer with."""
-    others = {host.name: host for host in wanting if host.name != me and host.region == region}
+    """Return the hosts that `me` joins at the start of a transfer."""
+    others = {host.name: host for host in candidates if host.name != me and host.region == region}
     if not others:
-        # Nobody in this region takes part: better far neighbours than none.
-        others = {host.name: host for host in wanting if host.name != me}
+        # No other host of this region takes part, so hosts of other regions are picked.
+        others = {host.name: host for host in candidates if host.name != me}
     order = rendezvous_order(f"{artifact} {me}", others)
     order.sort(key=lambda name: not others[name].is_mirror)
     same_zone = [name for name in order if others[name].zone == zone]
--- a/libs/weights/src/headcross_weights/neighbourview.py
+++ b/libs/weights/src/headcross_weights/neighbourview.py
@@ -1,4 +1,4 @@
-"""What a transfer knows of one other host: what it offers, what was asked, how it behaves."""
+"""State of one other host in a transfer: its chunks, the requests to it and its reliability."""
 
 from collections.abc import Callable
 from typing import Final
@@ -8,44 +8,45 @@
 
 from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
 
-# Requests in flight to one host: one being sent and one behind it.
+# Requests in flight to one host: one chunk being sent and one queued behind it.
 REQUESTS_PER_HOST: Final = 2
-# A request is given up when it takes longer than this many times the usual, within the bounds of
-# the pace; the host is then left alone for a while that doubles with each failure.
+# A request times out after this many times the average latency, within the bounds of the pace.
+# The host is then not asked for a backoff time that doubles with each failure.
 TIMEOUT_FACTOR: Final = 4.0
-# A host that sent so many corrupt chunks of one artifact is not asked for it again.
-# A chunk that did not come for so long will not come any more.
-GIVEN_UP_SECONDS: Final = 6.0
-QUARANTINE_CORRUPT: Final = 2
-FAILURES_TO_DOUBT: Final = 2
-LATENCY_GAIN: Final = 0.25  # weight of a new sample in the average
+# A chunk that has not arrived after this time is not expected any more.
+MAX_ARRIVAL_SECONDS: Final = 6.0
+# A host that sent this many corrupt chunks of one artifact is not asked for it again.
+QUARANTINE_CORRUPT_CHUNKS: Final = 2
+# After this many failures in a row a host may be dead and counts as unusable.
+UNUSABLE_AFTER_FAILURES: Final = 2
+LATENCY_GAIN: Final = 0.25  # weight of a new sample in the average latency
 
 Send = Callable[[PeerMessage], bool]
 
 
 class NeighbourView:
-    """One host in one transfer."""
+    """State of one other host in one transfer."""
 
     host: str
-    # How to reach it now.
+    # Sends a message to it over the current link.
     send: Send
-    # Chunks it has.
+    # Indexes of the chunks it has.
     has: set[int]
-    # Chunks asked of it, with the time of the asking.
+    # Chunks requested from it, with the time of each request.
     in_flight: dict[int, float]
-    # When a chunk last came from it without delay.
+    # When a chunk last arrived from it on time.
     on_time_at: float
-    # Average seconds from asking to receiving, 0 before the first.
+    # Average seconds from a request to the chunk, 0 before the first.
     latency: float
-    # Whether it answered in this transfer, so that it need not be asked to join again.
+    # Whether it answered a join message of this transfer.
     joined: bool
-    # Its bitmap, kept until the manifest is known.
+    # Its bitmap, until the manifest is known.
     bitmap: bytes
-    # Corrupt chunks it sent.
+    # Number of corrupt chunks it sent.
     corrupt: int
-    # Requests that failed since the last chunk came from it.
+    # Failures since the last chunk from it.
     failures: int
-    # Whether it is a mirror, whose link is no one else's need.
+    # Whether it is a mirror, whose link carries no other traffic.
     is_mirror: bool
 
     def __init__(
@@ -67,66 +68,68 @@
         self.corrupt = 0
         self.failures = 0
         self._partial: dict[int, bytearray] = {}
-        # Requests given up lately, with the time of the asking: their chunks may still come.
+        # Requests that timed out last, with their times: the chunks may still arrive.
         self._given_up: dict[int, float] = {}
         self.on_time_at = float("-inf")
         self._blocked_until = 0.0
         self._pace = pace
-        self._backoff = pace.stall_backoff
+        self._backoff = pace.min_backoff_seconds
 
     @property
     def quarantined(self) -> bool:
         """Whether it sent too many corrupt chunks."""
-        return self.corrupt >= QUARANTINE_CORRUPT
+        return self.corrupt >= QUARANTINE_CORRUPT_CHUNKS
 
     @property
-    def hopeful(self) -> bool:
-        """Whether what it has can be hoped for.
+    def is_usable(self) -> bool:
+        """Whether its chunks count as available.
 
-        A host that failed several times in a row may be dead; what it has counts for nothing until
-        it answers again.
+        A host that failed several times in a row may be dead, so its chunks do not count until it
+        answers again.
         """
-        return not self.quarantined and self.failures < FAILURES_TO_DOUBT
+        return not self.quarantined and self.failures < UNUSABLE_AFTER_FAILURES
 
     def is_late(self, now: float) -> bool:
-        """Tell whether a chunk of it is late and may still be on its way."""
+        """Return whether a chunk from it is late and may still arrive."""
         waiting = [*self.in_flight.values(), *self._given_up.values()]
-        return any(self._pace.slow_request < now - at < GIVEN_UP_SECONDS for at in waiting)
+        return any(
+            self._pace.slow_request_seconds < now - at < MAX_ARRIVAL_SECONDS for at in waiting
+        )
 
     def ready(self, now: float) -> bool:
-        """Tell whether it may be asked for another chunk."""
+        """Return whether another chunk may be requested from it."""
         if self.quarantined or now < self._blocked_until:
             return False
         return len(self.in_flight) < REQUESTS_PER_HOST
 
     def timeout(self) -> float:
-        """Return the seconds after which a request to it is given up."""
-        usual = TIMEOUT_FACTOR * self.latency or self._pace.max_timeout / 2
-        return min(self._pace.max_timeout, max(self._pace.min_timeout, usual))
+        """Return the seconds after which a request to it times out."""
+        usual = TIMEOUT_FACTOR * self.latency or self._pace.max_timeout_seconds / 2
+        return min(self._pace.max_timeout_seconds, max(self._pace.min_timeout_seconds, usual))
 
-    def received(self, index: int) -> None:
-        """Note that a chunk asked for has come."""
+    def note_received(self, index: int) -> None:
+        """Record that a requested chunk arrived, and update the latency."""
         asked_at = self.in_flight.pop(index, None)
         given_up_at = self._given_up.pop(index, None)
         if asked_at is None and given_up_at is not None:
-            # It was slow, not lost: from now on it is waited for as long as that.
+            # The chunk was late, not lost, so later requests wait for as long.
             self.latency = max(self.latency, monotonic() - given_up_at)
             return
         if asked_at is None:
             return
         now = monotonic()
         sample = now - asked_at
-        if sample < self._pace.slow_request:
+        if sample < self._pace.slow_request_seconds:
             self.on_time_at = now
         self.latency += (sample - self.latency) * (LATENCY_GAIN if self.latency else 1.0)
-        self._backoff = self._pace.stall_backoff
+        self._backoff = self._pace.min_backoff_seconds
         self.failures = 0
 
     def assemble(self, index: int, offset: int, size: int, part: bytes) -> bytes | None:
-        """Add a part of a chunk; return the chunk once it is whole.
+        """Add a part of a chunk; return the chunk once it is complete.
 
-        Parts of one chunk come in order over one link. One that does not continue what is here
-        belongs to a sending that was given up, and drops the rest of it.
+        Parts of one chunk arrive in order over one link. A part that does not continue the
+        previous ones belongs to a request that timed out, and discards them.
         """
         if offset == 0 and len(part) == size:
             return part
@@ -139,16 +142,16 @@
         self._partial[index] = held
         return None
 
-    def busy(self, index: int, pause: float) -> None:
-        """Note that it has no slot free; ask again after `pause` seconds."""
+    def note_busy(self, index: int, pause: float) -> None:
+        """Record that it did not send a chunk; it may be asked again after `pause` seconds."""
         self.in_flight.pop(index, None)
         self._blocked_until = monotonic() + pause
 
-    def stalled(self) -> None:
-        """Note that it did not answer in time; leave it alone for longer each time."""
+    def note_timeout(self) -> None:
+        """Record that its requests timed out, and double its backoff time."""
         self._given_up = dict(self.in_flight)
         self.in_flight.clear()
         self._partial.clear()
         self.failures += 1
         self._blocked_until = monotonic() + self._backoff
-        self._backoff = min(self._pace.max_backoff, 2 * self._backoff)
+        self._backoff = min(self._pace.max_backoff_seconds, 2 * self._backoff)
--- a/libs/weights/src/headcross_weights/pace.py
+++ b/libs/weights/src/headcross_weights/pace.py
@@ -1,7 +1,8 @@
-"""How patient a swarm is, and how much it has under way at a time; times in seconds.
+"""Timeouts, intervals and concurrency limits of a swarm, for large and for small weights.
 
-Weights of hundreds of gigabytes take minutes, and a chunk of them seconds; small weights take
-seconds altogether, and a host that is silent for three of them has cost half the time there is.
+Weights of hundreds of gigabytes take minutes to transfer, and one chunk takes seconds. Small
+weights take seconds altogether, so waiting three seconds for a silent host would use up half of
+the time available.
 """
 
 from dataclasses import dataclass
@@ -12,75 +13,78 @@
 
 @dataclass(frozen=True, slots=True)
 class SwarmPace:
-    """The times of one swarm."""
+    """Timeouts, intervals and concurrency limits of one swarm."""
 
-    # A host that should bring a chunk in and was silent for so long is stood in for; the next in
-    # order waits as long again. Several times the watching period.
-    takeover: float = 3.0
-    watch: float = 0.5
-    # A host that answers, but has not heard of the weights yet, is waited for this many times as
-    # long.
-    alive_patience: float = 3.0
-    # When nothing at all came for so long, any host may go outside for a chunk nobody offers.
-    stuck: float = 20.0
-    # Neighbours are joined this often, and anew after so long without progress.
-    join: float = 1.0
-    join_again: float = 2.0
-    # A request to a neighbour is given up after some times the usual, within these bounds.
-    min_timeout: float = 1.5
-    max_timeout: float = 15.0
-    # A neighbour that did not answer is left alone for so long, doubling up to the second.
-    stall_backoff: float = 1.0
-    max_backoff: float = 30.0
-    # A read from outside is given up after this; its source then rests.
-    read: float = 20.0
-    failed_pause: float = 2.0
-    corrupt_pause: float = 5.0
-    # Chunks that others may have asked for and not yet been sent: enough that the link never idles
-    # between two of them, few enough that a chunk leaves within a few chunk times.
+    # After this much silence of the host that is to import a chunk, the next host in the order
+    # takes over; each further host waits as long again. Several times `watch_seconds`.
+    takeover_seconds: float = 3.0
+    # Interval between questions to the hosts that are to import chunks.
+    watch_seconds: float = 0.5
+    # The wait is this many times as long for a host that answers but does not know of the
+    # artifact yet.
+    responsive_takeover_factor: float = 3.0
+    # After this time without progress, any host may import a chunk that no neighbour offers.
+    stuck_seconds: float = 20.0
+    # Interval between join messages, and time without progress after which all neighbours are
+    # joined again.
+    join_seconds: float = 1.0
+    rejoin_seconds: float = 2.0
+    # Bounds on the timeout of a request to a neighbour, which is a multiple of its latency.
+    min_timeout_seconds: float = 1.5
+    max_timeout_seconds: float = 15.0
+    # A neighbour that did not answer is not asked for the first time, doubling up to the second.
+    min_backoff_seconds: float = 1.0
+    max_backoff_seconds: float = 30.0
+    # Timeout of a read from a weight source, and how long the source is paused after a failure
+    # and after corrupt bytes.
+    read_seconds: float = 20.0
+    failed_pause_seconds: float = 2.0
+    corrupt_pause_seconds: float = 5.0
+    # Maximum number of chunks queued for sending: enough that the link is never idle between two
+    # chunks, few enough that a chunk is sent within a few chunk times.
     upload_slots: int = 6
-    # Chunks that one host reads from outside at a time, and all first fetchers together, as far as
-    # each reads one.
-    imports: int = 3
-    imports_together: int = 64
-    # Chunks asked of others at a time, over all neighbours.
+    # Maximum number of concurrent reads from weight sources by one host and by all importing hosts
+    # together; each importing host may always have one.
+    max_imports: int = 3
+    total_imports: int = 64
+    # Maximum number of chunks in flight from all neighbours together.
     requests_in_flight: int = 12
-    # Requests that take longer than this, several at once, hold back further ones.
-    slow_request: float = float("inf")
-    # A chunk is sent in parts of at most so many bytes.
+    # A request that takes longer is late; several late ones at once hold back further requests.
+    slow_request_seconds: float = float("inf")
+    # Maximum size of the parts in which a chunk is sent.
     part_bytes: int = 8 * MIB
 
-    def imports_of_one(self, fetchers: int) -> int:
-        """Return how many chunks each of so many first fetchers reads at a time.
+    def imports_per_fetcher(self, fetchers: int) -> int:
+        """Return the maximum number of concurrent reads for each of the importing hosts.
 
-        >>> SMALL_WEIGHTS.imports_of_one(5), SMALL_WEIGHTS.imports_of_one(13)
+        >>> SMALL_WEIGHTS.imports_per_fetcher(5), SMALL_WEIGHTS.imports_per_fetcher(13)
         (2, 1)
         """
-        return max(1, min(self.imports, self.imports_together // max(1, fetchers)))
+        return max(1, min(self.max_imports, self.total_imports // max(1, fetchers)))
 
 
 LARGE_WEIGHTS: Final = SwarmPace()
 SMALL_WEIGHTS: Final = SwarmPace(
-    takeover=0.7,
-    alive_patience=1.0,
-    watch=0.15,
-    stuck=1.5,
-    join=0.4,
-    join_again=0.8,
-    min_timeout=0.6,
-    max_timeout=4.0,
-    stall_backoff=0.3,
-    max_backoff=2.0,
-    read=3.0,
-    failed_pause=0.25,
-    corrupt_pause=0.1,
+    takeover_seconds=0.7,
+    responsive_takeover_factor=1.0,
+    watch_seconds=0.15,
+    stuck_seconds=1.5,
+    join_seconds=0.4,
+    rejoin_seconds=0.8,
+    min_timeout_seconds=0.6,
+    max_timeout_seconds=4.0,
+    min_backoff_seconds=0.3,
+    max_backoff_seconds=2.0,
+    read_seconds=3.0,
+    failed_pause_seconds=0.25,
+    corrupt_pause_seconds=0.1,
     upload_slots=3,
     # Many hosts share the origin's link: the fewer chunks are on it at a time, the sooner the
-    # first of them is whole and can be handed on. Worked out for 13 mirrors, chunks of 32 KiB and
-    # 5.94 Mbit/s: the first ones are here after 0.6 s instead of 1.1 s.
-    imports=2,
-    imports_together=16,
+    # first of them is complete and can be forwarded. By calculation for 13 mirrors, chunks of
+    # 32 KiB and 5.94 Mbit/s, the first chunks are complete after 0.6 s instead of 1.1 s.
+    max_imports=2,
+    total_imports=16,
     requests_in_flight=4,
-    slow_request=0.45,
+    slow_request_seconds=0.45,
     part_bytes=8 * KIB,
 )
--- a/libs/weights/src/headcross_weights/swarm.py
+++ b/libs/weights/src/headcross_weights/swarm.py
@@ -1,7 +1,7 @@
-"""The swarm of one process: its transfers, what it serves to others, and the channel for both.
+"""The peer-to-peer swarm of one process: its transfers, its uploads and its links to peers.
 
-A process serves every chunk it has, of whole artifacts and of those still coming. Hosts that
-joined an artifact here are told of new chunks in batches.
+A process serves every chunk it has, of complete artifacts and of those still being transferred.
+New chunks are announced in batches to the hosts that joined an artifact here.
 """
 
 from collections import Counter
@@ -39,25 +39,25 @@
 from headcross_weights.transfer import Transfer, TransferContext
 from headcross_weights.uploads import Uploads
 
-# New chunks are told to others in batches of this long.
-ANNOUNCE_SECONDS: Final = 0.05
-# Chunks waiting on one link; more would only be old by the time they leave.
-SWARM_QUEUE: Final = 32
-# A host that could not be told for so many batches is gone; it joins again if it is not.
-MAX_TELL_FAILURES: Final = 100
-# Links opened ahead of a transfer: all of a small fleet, so many of a large one, the own region
-# first. A transfer has 7 neighbours and a few hosts that it stands in for. Links to all others
-# were only kept alive, by heartbeats that grew with the square of the fleet (60 hosts x 94 links).
-MAX_LINKS_AHEAD: Final = 24
-# Hosts told of new chunks of one artifact.
-MAX_LISTENERS: Final = 64
+# Time over which new chunks are collected for one announcement.
+ANNOUNCE_INTERVAL_SECONDS: Final = 0.05
+# Messages queued on one link; with more, chunks would be outdated by the time they are sent.
+LINK_QUEUE_LENGTH: Final = 32
+# A listener is removed after this many failed announcements; a live host joins again.
+MAX_ANNOUNCE_FAILURES: Final = 100
+# Maximum number of links opened ahead of a transfer, to hosts of the own region first. A transfer
+# has 7 neighbours and a few hosts that it stands in for. Links to all hosts would be idle but for
+# heartbeats, whose number grows with the square of the fleet (94 links on each of 60 hosts).
+MAX_PREOPENED_LINKS: Final = 24
+# Maximum number of hosts to which new chunks of one artifact are announced.
+MAX_LISTENERS_PER_ARTIFACT: Final = 64
 
 
 class Swarm:
-    """All transfers of one process."""
+    """All transfers and uploads of one process."""
 
     store: ChunkStore
-    # Counts, by name; see TransferContext.
+    # Event counts by name; see TransferContext.
     counts: Counter[str]
     transfers: dict[str, Transfer]
     node: PeerNode
@@ -73,20 +73,20 @@
         downlink: LinkRate,
         pace: SwarmPace = LARGE_WEIGHTS,
         *,
-        lane_per_asker: bool = False,
+        lane_per_requester: bool = False,
     ) -> None:
         self.store = store
         self.counts = Counter()
         self.transfers = {}
-        self.uploads = Uploads(host, store, uplink, pace, lane_per_asker=lane_per_asker)
-        self.node = PeerNode(address, self._handle, SWARM_QUEUE, MAX_CHUNK_BYTES)
+        self.uploads = Uploads(host, store, uplink, pace, lane_per_requester=lane_per_requester)
+        self.node = PeerNode(address, self._handle, LINK_QUEUE_LENGTH, MAX_CHUNK_BYTES)
         self._host = host
         self._hosts: HostList = EMPTY_HOST_LIST
         self._addresses: dict[str, Address] = {}
         self._listeners: dict[str, dict[str, _Listener]] = {}
         self._watchers: dict[tuple[str, int], dict[str, Send]] = {}
-        self._fresh: dict[str, list[int]] = {}
-        self._news = trio.Event()
+        self._unannounced: dict[str, list[int]] = {}
+        self._announce_event = trio.Event()
         self._locks: dict[str, trio.Lock] = {}
         self._nursery: trio.Nursery | None = None
         self._context = TransferContext(
@@ -94,53 +94,56 @@
             store,
             importer,
             downlink,
-            self._connect,
-            self._reset,
-            self._admitted,
+            self._send_to,
+            self._reset_link,
+            self._send_awaited_manifests,
             self._announce,
             self.counts,
             pace,
         )
 
     async def run(self) -> None:
-        """Serve and fetch until cancelled."""
+        """Serve chunks and announce new ones until cancelled."""
         async with trio.open_nursery() as nursery:
             self._nursery = nursery
             nursery.start_soon(self.node.run)
-            await self._tell_news()
+            await self._announce_chunks()
 
     def update_hosts(self, hosts: HostList) -> None:
-        """Learn where the hosts are."""
+        """Replace the known hosts and their addresses."""
         self._hosts = hosts
         self._addresses = {h.name: h.swarm_address for h in hosts.hosts if h.swarm}
 
     def open_links(self) -> None:
-        """Open links ahead of a transfer: to all hosts of a small fleet, or the nearest ones."""
+        """Open links ahead of a transfer, to at most MAX_PREOPENED_LINKS hosts."""
         me = self._hosts.find(self._host)
         others = [host for host in self._hosts.hosts if host.name in self._addresses]
         others = [host for host in others if host.name != self._host]
-        if len(others) > MAX_LINKS_AHEAD and me is not None:
+        if len(others) > MAX_PREOPENED_LINKS and me is not None:
             order = rendezvous_order(self._host, (host.name for host in others))
-            place = {name: number for number, name in enumerate(order)}
-            others.sort(key=lambda host: (host.region != me.region, place[host.name]))
-        for host in others[:MAX_LINKS_AHEAD]:
+            rank = {name: number for number, name in enumerate(order)}
+            others.sort(key=lambda host: (host.region != me.region, rank[host.name]))
+        for host in others[:MAX_PREOPENED_LINKS]:
             self.node.connect(self._addresses[host.name])
 
     async def fetch(
-        self, artifact: Artifact, wanting: list[str], origin_copies: int
+        self, artifact: Artifact, host_names: list[str], origin_copies: int
     ) -> Ok[StoredArtifact] | Failure:
-        """Have an artifact here, whole; `wanting` are all hosts that are to have it."""
-        # Two upstreams of one host share the transfer of the one that asked first.
+        """Fetch an artifact completely and return it.
+
+        `host_names` are all hosts that need the artifact. Fails if it cannot be admitted.
+        """
+        # Upstreams of one host share one transfer of an artifact.
         async with self._locks.setdefault(artifact.digest, trio.Lock()):
-            return await self._fetch(artifact, wanting, origin_copies)
+            return await self._fetch(artifact, host_names, origin_copies)
 
     async def _fetch(
-        self, artifact: Artifact, wanting: list[str], origin_copies: int
+        self, artifact: Artifact, host_names: list[str], origin_copies: int
     ) -> Ok[StoredArtifact] | Failure:
         stored = self.store.get(artifact.digest)
-        if stored is not None and stored.whole:
+        if stored is not None and stored.is_complete:
             return Ok(stored)
-        hosts = [host for host in self._hosts.hosts if host.name in wanting]
+        hosts = [host for host in self._hosts.hosts if host.name in host_names]
         me = self._hosts.find(self._host)
         neighbours = (
             pick_neighbours(artifact.digest, me.name, me.region, me.zone, hosts) if me else hosts
@@ -156,19 +159,19 @@
                 del self.transfers[artifact.digest]
 
     def progress(self, digest: str) -> float:
-        """Return the share of an artifact that is here."""
+        """Return the share of an artifact's chunks that is stored, 0 to 1."""
         stored = self.store.get(digest)
         return stored.progress if stored is not None else 0.0
 
-    def _connect(self, host: str, message: PeerMessage) -> bool:
+    def _send_to(self, host: str, message: PeerMessage) -> bool:
         address = self._addresses.get(host)
         return address is not None and self.node.send(address, message)
 
-    def _reset(self, host: str) -> None:
+    def _reset_link(self, host: str) -> None:
         if host in self._addresses:
             self.node.reset(self._addresses[host])
 
-    # Messages.
+    # Incoming messages.
 
     def _handle(self, incoming: Incoming) -> None:
         message, payload, reply = incoming.message, incoming.payload, incoming.reply
@@ -180,7 +183,7 @@
                     self.transfers[artifact].receive_have(host, indexes)
             case AskChunk() as question:
                 if self._nursery is not None:
-                    self.uploads.ask(self._nursery, question, reply)
+                    self.uploads.handle_request(self._nursery, question, reply)
             case Chunk() if payload is not None:
                 self._handle_chunk(message, payload)
             case NoChunk(host=host, artifact=artifact, index=index, busy=busy):
@@ -205,7 +208,7 @@
         transfer = self.transfers.get(join.artifact)
         if stored is None and transfer is None:
             return
-        listener = self._listen(join.artifact, join.host, _sender(reply))
+        listener = self._add_listener(join.artifact, join.host, _sender(reply))
         if not join.bitmap:
             if stored is not None:
                 reply(ManifestBody(join.artifact), stored.manifest_body)
@@ -220,7 +223,7 @@
     def _handle_chunk(self, message: Chunk, payload: bytes) -> None:
         transfer = self.transfers.get(message.artifact)
         if transfer is None:
-            # The transfer ended or was cancelled while the chunk was on its way.
+            # The transfer ended or was cancelled before the chunk arrived.
             self.counts["late_bytes"] += len(payload)
             return
         transfer.receive_part(message, payload)
@@ -236,64 +239,64 @@
         has = [i for i in question.indexes if stored is not None and stored.chunk(i) is not None]
         pending = transfer.pending(question) if transfer is not None else []
         for index in pending:
-            # The asker is told of this chunk as soon as it comes, and of no other: it may be in
-            # another region, and only the region's first host fetches a chunk from there.
+            # Only this chunk is announced to the requester: it may be in another region, where
+            # only the first host of a region fetches a chunk from outside it.
             watchers = self._watchers.setdefault((question.artifact, index), {})
             watchers[question.host] = _sender(reply)
         reply(Intent(self._host, question.artifact, has, pending), None)
 
-    # News to others.
+    # Announcements.
 
-    def _listen(self, artifact: str, host: str, send: Send) -> "_Listener | None":
+    def _add_listener(self, artifact: str, host: str, send: Send) -> "_Listener | None":
         listeners = self._listeners.setdefault(artifact, {})
         if host in listeners:
             listeners[host].send = send
-        elif len(listeners) < MAX_LISTENERS:
+        elif len(listeners) < MAX_LISTENERS_PER_ARTIFACT:
             listeners[host] = _Listener(send)
         return listeners.get(host)
 
-    def _admitted(self, stored: StoredArtifact) -> None:
-        """Send the manifest to those who joined before it was here."""
+    def _send_awaited_manifests(self, stored: StoredArtifact) -> None:
+        """Send the manifest to the hosts that joined before it was known."""
         for listener in self._listeners.get(stored.digest, {}).values():
             if listener.manifest is not None:
                 listener.manifest(ManifestBody(stored.digest), stored.manifest_body)
                 listener.manifest = None
 
     def _announce(self, artifact: str, index: int) -> None:
-        self._fresh.setdefault(artifact, []).append(index)
-        self._news.set()
+        self._unannounced.setdefault(artifact, []).append(index)
+        self._announce_event.set()
 
-    async def _tell_news(self) -> None:
+    async def _announce_chunks(self) -> None:
         while True:
-            await self._news.wait()
-            self._news = trio.Event()
-            # What else comes within a moment goes into the same messages.
-            await trio.sleep(ANNOUNCE_SECONDS)
-            fresh, self._fresh = self._fresh, {}
-            for artifact, indexes in fresh.items():
+            await self._announce_event.wait()
+            self._announce_event = trio.Event()
+            # Chunks added in the meantime go into the same messages.
+            await trio.sleep(ANNOUNCE_INTERVAL_SECONDS)
+            unannounced, self._unannounced = self._unannounced, {}
+            for artifact, indexes in unannounced.items():
                 for listener in self._listeners.get(artifact, {}).values():
-                    listener.untold += indexes
+                    listener.unsent += indexes
                 for index in indexes:
                     for send in self._watchers.pop((artifact, index), {}).values():
                         send(Have(self._host, artifact, [index]))
             for artifact, listeners in self._listeners.items():
-                self._tell_listeners(artifact, listeners)
-            self._forget_dropped()
+                self._send_announcements(artifact, listeners)
+            self._remove_stale_listeners()
 
-    def _tell_listeners(self, artifact: str, listeners: dict[str, "_Listener"]) -> None:
-        """Tell what is new; a link that is full now is tried again with the next batch."""
+    def _send_announcements(self, artifact: str, listeners: dict[str, "_Listener"]) -> None:
+        """Announce new chunks; a failed announcement is repeated with the next batch."""
         for host, listener in list(listeners.items()):
-            if not listener.untold:
+            if not listener.unsent:
                 continue
-            if listener.send(Have(self._host, artifact, listener.untold)):
-                listener.untold, listener.failures = [], 0
+            if listener.send(Have(self._host, artifact, listener.unsent)):
+                listener.unsent, listener.failures = [], 0
                 continue
             listener.failures += 1
-            self._news.set()
-            if listener.failures > MAX_TELL_FAILURES:
+            self._announce_event.set()
+            if listener.failures > MAX_ANNOUNCE_FAILURES:
                 del listeners[host]
 
-    def _forget_dropped(self) -> None:
+    def _remove_stale_listeners(self) -> None:
         for artifact in list(self._listeners):
             if artifact not in self.transfers and self.store.get(artifact) is None:
                 del self._listeners[artifact]
@@ -304,14 +307,14 @@
 
 @dataclass(slots=True)
 class _Listener:
-    """A host that is told of new chunks of one artifact."""
+    """A host to which new chunks of one artifact are announced."""
 
     send: Send
-    manifest: Reply | None = None  # set while it waits for the manifest
-    untold: list[int] = field(default_factory=list)
+    manifest: Reply | None = None  # set while the host waits for the manifest
+    unsent: list[int] = field(default_factory=list)
     failures: int = 0
 
 
 def _sender(reply: Reply) -> Send:
-    """Return a way to send messages without payload."""
+    """Return a function that sends messages without payload as replies."""
     return lambda message: reply(message, None)
--- a/libs/weights/src/headcross_weights/transfer.py
+++ b/libs/weights/src/headcross_weights/transfer.py
@@ -1,18 +1,18 @@
-"""One transfer: one host filling its store with one artifact.
+"""Transfers one artifact into the chunk store of one host.
 
 The tasks of a transfer:
 
-* join: enter the transfer with the neighbours, again until they answer;
-* manifest: get it from a neighbour, or from outside when this host is among the first;
-* schedule: ask neighbours for chunks, the rarest of a random sample first, a few requests in
-  flight for each neighbour, paced by the link;
-* import: read the chunks this host has to bring in from the store or the origin;
-* watch: ask the hosts before this one in a chunk's order whether they are at work on it, and take
-  over when they stay silent (see `sourcing`);
-* expire: give up requests that take much longer than usual.
-
-Bytes from anywhere are verified before they are kept. A transfer is cancelled by its caller's
-cancel scope, at once.
+* join: send join messages to the neighbours until they answer;
+* manifest: obtain it from another host, or import it if this host is due to;
+* schedule: request chunks from neighbours, the rarest of a random sample first, with a few
+  requests in flight to each neighbour, limited by the rate of the link;
+* import: read the chunks that this host has to import from the store or the origin;
+* watch: ask the hosts before this one in a chunk's import order whether they are importing it,
+  and take over if they stay silent (see `sourcing`);
+* expire: time out requests that take much longer than usual.
+
+All bytes are verified before they are stored. A transfer ends at once when the caller's cancel
+scope is cancelled.
 """
 
 import logging
@@ -40,7 +40,7 @@
 )
 
 from headcross_weights.chunkchoice import (
-    SLOW_LINK_PART,
+    SLOW_LINK_RATE_SHARE,
     choose_chunk,
     chunks_in_flight,
     is_link_slow,
@@ -49,56 +49,57 @@
 from headcross_weights.chunkstore import ChunkStore, StoredArtifact, bitmap_indexes
 from headcross_weights.importduties import ImportDuties
 from headcross_weights.imports import Importer
-from headcross_weights.manifest import ChunkPlace, parse_manifest
+from headcross_weights.manifest import ChunkLocation, parse_manifest
 from headcross_weights.manifestfetch import ManifestFetch
 from headcross_weights.neighbourview import NeighbourView
 from headcross_weights.pace import SwarmPace
 from headcross_weights.sourcing import ImportOrder
 
 IMPORT_RETRY_SECONDS: Final = 0.2
-EXPIRE_SECONDS: Final = 0.1
-# After a refusal a neighbour is asked again after this share of its usual time, give or take half.
-BUSY_PAUSE: Final = 0.3
-BUSY_PAUSE_SECONDS: Final = 0.05  # while the usual time is not known
-# How long a task sleeps at most before it looks for work again.
-NEWS_SECONDS: Final = 0.25
+EXPIRY_CHECK_SECONDS: Final = 0.1
+# After a refusal, a neighbour is asked again after this share of its average latency, varied at
+# random by up to half.
+BUSY_PAUSE_SHARE: Final = 0.3
+DEFAULT_BUSY_PAUSE_SECONDS: Final = 0.05  # until a latency is known
+# A task without work checks for new work at least this often.
+MAX_IDLE_SECONDS: Final = 0.25
 
 logger = logging.getLogger(__name__)
 
-Connect = Callable[[str, PeerMessage], bool]
+SendToHost = Callable[[str, PeerMessage], bool]
 
 
 @dataclass(slots=True)
 class TransferContext:
-    """What a transfer shares with the rest of the process."""
+    """Dependencies of a transfer that the process shares between its transfers."""
 
     host: str
     store: ChunkStore
     importer: Importer
     downlink: LinkRate
-    # Sends a message to a host by name, opening the link if needed.
-    connect: Connect
-    # Closes the link to a host by name, so that the next message opens a new one.
-    reset: Callable[[str], None]
-    # Tells others that the manifest is here.
-    admitted: Callable[[StoredArtifact], None]
-    # Tells others of a new chunk.
-    announce: Callable[[str, int], None]
-    # Counts, by name: peer_bytes, duplicate_bytes, corrupt_peer, takeovers, stalled, ...
+    # Sends a message to a host by name and opens the link if needed; returns whether it was taken.
+    send_to: SendToHost
+    # Closes the link to a host by name; the next message opens a new one.
+    reset_link: Callable[[str], None]
+    # Called when the artifact has been admitted to the store.
+    manifest_admitted: Callable[[StoredArtifact], None]
+    # Called with the digest of the artifact and the index of a new chunk.
+    chunk_added: Callable[[str, int], None]
+    # Event counts by name: peer_bytes, duplicate_bytes, corrupt_peer, takeovers, stalled, ...
     counts: Counter[str]
     pace: SwarmPace
 
 
 class Transfer:
-    """The filling of one artifact on this host."""
+    """The transfer of one artifact to this host."""
 
     artifact: Artifact
-    # Every other host this transfer knows of.
+    # State of every other host known to this transfer, by name.
     views: dict[str, NeighbourView]
-    # The chunks, once the manifest is known.
+    # The stored chunks, None until the manifest is known.
     stored: StoredArtifact | None
-    # The last trouble worth showing, empty if there was none.
-    trouble: str
+    # Text of the last error, empty if there was none.
+    last_error: str
 
     def __init__(
         self,
@@ -111,7 +112,7 @@
         self.artifact = artifact
         self.views = {}
         self.stored = context.store.get(artifact.digest)
-        self.trouble = ""
+        self.last_error = ""
         self._neighbours = neighbours
         self._mirrors = mirrors
         self._duties = ImportDuties(order, context.pace)
@@ -120,10 +121,10 @@
         self._started_at = monotonic()
         self._progress_at = self._started_at
         self._importing: set[int] = set()
-        self._news = trio.Event()
+        self._change = trio.Event()
 
     async def run(self) -> Ok[StoredArtifact] | Failure:
-        """Fetch the whole artifact; a failure is one that trying again does not mend."""
+        """Fetch the complete artifact; fails only where a retry would not help."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._keep_joined)
             body = await self._obtain_manifest()
@@ -131,16 +132,16 @@
             if isinstance(outcome, Ok):
                 for worker in (self._watch_importers, self._expire_requests):
                     nursery.start_soon(worker, outcome.value)
-                for _ in range(self._context.pace.imports_of_one(len(self._mirrors))):
+                for _ in range(self._context.pace.imports_per_fetcher(len(self._mirrors))):
                     nursery.start_soon(self._import_chunks, outcome.value)
                 await self._schedule(outcome.value)
             nursery.cancel_scope.cancel()
         return outcome
 
-    # Messages, handed over by the swarm.
+    # Messages forwarded by the swarm.
 
     def view(self, host: str, send: Callable[[PeerMessage], bool]) -> NeighbourView:
-        """Return what is known of a host, and how it is reached from now on."""
+        """Return the state of a host, creating it if needed, and set its send function."""
         view = self.views.get(host)
         if view is None:
             mirror = host in self._mirrors
@@ -150,29 +151,29 @@
         return view
 
     def receive_join(self, view: NeighbourView, bitmap: bytes) -> None:
-        """A neighbour told what it has."""
+        """Handle the answer of a neighbour to a join message."""
         view.joined = True
         if self.stored is None:
             view.bitmap = bitmap
             return
-        view.has = bitmap_indexes(bitmap, len(self.stored.places))
+        view.has = bitmap_indexes(bitmap, len(self.stored.locations))
         self._wake()
 
     def receive_have(self, host: str, indexes: list[int]) -> None:
-        """A neighbour, or a host that was asked about its intent, has more chunks."""
+        """Record new chunks of a neighbour or of a host that was asked about its imports."""
         view = self.views.get(host)
         if view is not None and self.stored is not None:
-            known = (i for i in indexes if 0 <= i < len(self.stored.places))
+            known = (i for i in indexes if 0 <= i < len(self.stored.locations))
             view.has.update(i for i in known if self._duties.may_fetch_from(host, i))
             self._wake()
 
     def receive_manifest(self, body: bytes) -> None:
-        """A neighbour sent the manifest."""
+        """Handle a manifest from another host."""
         if not self._manifest.offer(body):
             self._context.counts["corrupt_peer"] += 1
 
     def receive_part(self, message: Chunk, payload: bytes) -> None:
-        """A part of a chunk arrived; take the chunk once it is there whole."""
+        """Handle a part of a chunk; store the chunk once it is complete."""
         view = self.views.get(message.host)
         if view is None:
             self._context.counts["late_bytes"] += len(payload)
@@ -182,47 +183,48 @@
             self._receive_chunk(message.host, message.index, data)
 
     def _receive_chunk(self, host: str, index: int, data: bytes) -> None:
-        """Keep a chunk if it is what it should be."""
+        """Verify a chunk from a host and store it."""
         view = self.views.get(host)
-        if self.stored is None or not 0 <= index < len(self.stored.places):
+        if self.stored is None or not 0 <= index < len(self.stored.locations):
             return
         if view is not None:
-            view.received(index)
+            view.note_received(index)
         self._context.counts["peer_bytes"] += len(data)
         self._context.counts[f"peer_bytes_from {host}"] += len(data)
         outcome = self.stored.add(index, data)
         if isinstance(outcome, Failure):
             self._reject_peer_chunk(host, view, index)
         elif outcome.value:
-            self._added(index)
+            self._note_added(index)
         else:
             self._context.counts["duplicate_bytes"] += len(data)
         self._wake()
 
     def receive_no_chunk(self, host: str, index: int, busy: bool) -> None:
-        """A neighbour cannot send a chunk now."""
+        """Handle a refusal: the host is busy or does not have the chunk."""
         view = self.views.get(host)
-        if view is None or self.stored is None or not 0 <= index < len(self.stored.places):
+        if view is None or self.stored is None or not 0 <= index < len(self.stored.locations):
             return
         if not busy:
             view.has.discard(index)
-        usual = BUSY_PAUSE * view.latency or BUSY_PAUSE_SECONDS
-        view.busy(index, usual * random.uniform(0.5, 1.5))
-        self._context.downlink.refund(self.stored.places[index].size)
+        usual = BUSY_PAUSE_SHARE * view.latency or DEFAULT_BUSY_PAUSE_SECONDS
+        view.note_busy(index, usual * random.uniform(0.5, 1.5))
+        self._context.downlink.refund(self.stored.locations[index].size)
         self._context.counts["refused"] += 1
         self._wake()
 
     def receive_intent(self, view: NeighbourView, intent: Intent) -> None:
-        """A host before this one in the order told what it is at work on."""
-        if not view.hopeful:
-            # It may say what it likes: chunks do not come whole from there, so it is stood in for.
+        """Handle an answer about the chunks that a host has or is importing."""
+        if not view.is_usable:
+            # Chunks from this host are corrupt or do not arrive, so its answers do not delay a
+            # takeover.
             return
         self._duties.receive_intent(intent)
         view.has.update(i for i in intent.has if self._duties.may_fetch_from(view.host, i))
         self._wake()
 
     def pending(self, question: AskIntent) -> list[int]:
-        """Return those chunks that this host will bring in."""
+        """Return the chunks of a question that this host will import."""
         return self._duties.pending(question)
 
     # Manifest.
@@ -231,12 +233,12 @@
         if self.stored is not None:
             return self.stored.manifest_body
         while True:
-            for host in self._duties.before_manifest():
-                self._context.connect(host, AskManifest(self.artifact.digest))
-            body = await self._manifest.wait_or_import(self._duties.manifest_due())
+            for host in self._duties.manifest_predecessors():
+                self._context.send_to(host, AskManifest(self.artifact.digest))
+            body = await self._manifest.wait_or_import(self._duties.manifest_import_delay())
             if body is not None:
                 return body
-            self.trouble = self._manifest.trouble
+            self.last_error = self._manifest.last_error
 
     def _admit(self, body: bytes) -> Ok[StoredArtifact] | Failure:
         manifest = parse_manifest(body, self.artifact.digest)
@@ -244,35 +246,37 @@
             return Failure(MANIFEST_MISMATCH, manifest.detail)
         outcome = self._context.store.admit(self.artifact.digest, manifest.value, body)
         if isinstance(outcome, Failure):
-            self.trouble = str(outcome)
+            self.last_error = str(outcome)
             return outcome
         self.stored = outcome.value
-        self._duties.start_listening()
-        self._context.admitted(self.stored)
+        self._duties.start_silence_timer()
+        self._context.manifest_admitted(self.stored)
         for view in self.views.values():
-            view.has |= bitmap_indexes(view.bitmap, len(self.stored.places))
+            view.has |= bitmap_indexes(view.bitmap, len(self.stored.locations))
         return outcome
 
     # Joining.
 
     async def _keep_joined(self) -> None:
         while True:
-            quiet = monotonic() - self._progress_at > self._context.pace.join_again
+            is_stalled = monotonic() - self._progress_at > self._context.pace.rejoin_seconds
             for host in self._neighbours:
                 view = self.views.get(host.name)
-                if view is None or not view.joined or quiet:
-                    self._context.connect(host.name, self._join_message())
-            # The first message to a host only opens the link, so a young transfer tries often.
-            young = monotonic() - self._started_at < self._context.pace.join
+                if view is None or not view.joined or is_stalled:
+                    self._context.send_to(host.name, self._join_message())
+            # The first message to a host only opens the link, so a new transfer sends more often.
+            is_recent = monotonic() - self._started_at < self._context.pace.join_seconds
             await trio.sleep(
-                self._context.pace.join * random.uniform(0.3, 0.6) * (0.1 if young else 1)
+                self._context.pace.join_seconds
+                * random.uniform(0.3, 0.6)
+                * (0.1 if is_recent else 1)
             )
 
     def _join_message(self) -> Join:
         bitmap = self.stored.bitmap() if self.stored is not None else b""
         return Join(self._context.host, self.artifact.digest, bitmap, wants_answer=True)
 
-    # Asking neighbours.
+    # Requests to neighbours.
 
     async def _schedule(self, stored: StoredArtifact) -> None:
         while stored.missing:
@@ -283,35 +287,35 @@
                 self._context.pace.requests_in_flight,
             )
             if choice is None:
-                await self._wait_news()
+                await self._wait_for_change()
                 continue
             view, index = choice
-            size = stored.places[index].size
+            size = stored.locations[index].size
             view.in_flight[index] = monotonic()
             await self._context.downlink.take(size)
             rate = self._context.downlink.bytes_per_second
             if is_link_slow(self.views, monotonic()):
-                rate *= SLOW_LINK_PART
+                rate *= SLOW_LINK_RATE_SHARE
             asked = AskChunk(self._context.host, self.artifact.digest, index, rate)
             view.in_flight[index] = monotonic()
             if index not in stored.missing or not view.send(asked):
                 self._context.downlink.refund(size)
                 if index in stored.missing:
-                    view.stalled()
+                    view.note_timeout()
                 else:
                     view.in_flight.pop(index, None)
 
-    # Bringing in from outside.
+    # Imports from weight sources.
 
     async def _import_chunks(self, stored: StoredArtifact) -> None:
         while True:
             index = self._choose_import(stored)
             if index is None:
-                await self._wait_news()
+                await self._wait_for_change()
                 continue
             self._importing.add(index)
             try:
-                arrived = await self._import_chunk(stored, stored.places[index])
+                arrived = await self._import_chunk(stored, stored.locations[index])
             finally:
                 self._importing.discard(index)
             if not arrived:
@@ -321,85 +325,87 @@
         if self._importing and is_link_slow(self.views, monotonic()):
             return None
         taken = chunks_in_flight(self.views).keys() | self._importing
-        mine = [i for i in stored.missing - taken if self._duties.is_mine(i)]
-        if mine:
-            return random.choice(mine)
-        if monotonic() - self._progress_at < self._context.pace.stuck * random.uniform(1, 2):
+        due = [i for i in stored.missing - taken if self._duties.should_import(i)]
+        if due:
+            return random.choice(due)
+        if monotonic() - self._progress_at < self._context.pace.stuck_seconds * random.uniform(
+            1, 2
+        ):
             return None
-        orphans = list(stored.missing - offered_chunks(self.views))
-        return random.choice(orphans) if orphans and not self._importing else None
+        not_offered = list(stored.missing - offered_chunks(self.views))
+        return random.choice(not_offered) if not_offered and not self._importing else None
 
-    async def _import_chunk(self, stored: StoredArtifact, place: ChunkPlace) -> bool:
-        outcome = await self._context.importer.read_chunk(self.artifact.name, place)
+    async def _import_chunk(self, stored: StoredArtifact, location: ChunkLocation) -> bool:
+        outcome = await self._context.importer.read_chunk(self.artifact.name, location)
         if isinstance(outcome, Failure):
-            self.trouble = str(outcome)
+            self.last_error = str(outcome)
             return False
         source, data = outcome.value
-        added = stored.add(place.index, data)
+        added = stored.add(location.index, data)
         if isinstance(added, Failure):
             self._context.importer.report_corrupt(source, str(added))
-            self.trouble = f"{source.name}: {added}"
+            self.last_error = f"{source.name}: {added}"
             return False
         if added.value:
-            self._added(place.index)
+            self._note_added(location.index)
         else:
             self._context.counts["duplicate_bytes"] += len(data)
         self._wake()
         return True
 
-    # Watching those who should bring chunks in.
+    # Takeover from silent hosts.
 
     async def _watch_importers(self, stored: StoredArtifact) -> None:
         while True:
-            unattended = sorted(stored.missing - self._importing - offered_chunks(self.views))
-            for (host, origin_only), indexes in self._duties.questions(unattended).items():
+            not_offered = sorted(stored.missing - self._importing - offered_chunks(self.views))
+            for (host, origin_only), indexes in self._duties.intent_queries(not_offered).items():
                 question = AskIntent(
                     self._context.host, self.artifact.digest, indexes, origin_only
                 )
-                self._context.connect(host, question)
-            self._report_taken_over(self._duties.take_over(unattended))
-            await trio.sleep(self._context.pace.watch * random.uniform(0.8, 1.2))
+                self._context.send_to(host, question)
+            self._log_takeover(self._duties.take_over(not_offered))
+            await trio.sleep(self._context.pace.watch_seconds * random.uniform(0.8, 1.2))
 
-    def _report_taken_over(self, indexes: list[int]) -> None:
+    def _log_takeover(self, indexes: list[int]) -> None:
         if indexes:
             self._context.counts["takeovers"] += len(indexes)
             fields = {"digest": self.artifact.digest, "chunks": indexes}
             logger.info("chunks taken over", extra=fields)
             self._wake()
 
-    # Time and events.
+    # Timeouts and events.
 
     async def _expire_requests(self, stored: StoredArtifact) -> None:
         while stored.missing:
-            await trio.sleep(EXPIRE_SECONDS)
+            await trio.sleep(EXPIRY_CHECK_SECONDS)
             now = monotonic()
             for view in self.views.values():
                 late = [i for i, at in view.in_flight.items() if now - at > view.timeout()]
                 if late:
                     self._context.counts["stalled"] += 1
-                    view.stalled()
-                    if not view.hopeful:
-                        self._context.reset(view.host)
+                    view.note_timeout()
+                    if not view.is_usable:
+                        self._context.reset_link(view.host)
                     self._wake()
 
-    def _added(self, index: int) -> None:
+    def _note_added(self, index: int) -> None:
         self._progress_at = monotonic()
-        self._duties.arrived(index)
-        self._context.announce(self.artifact.digest, index)
+        self._duties.note_arrival(index)
+        self._context.chunk_added(self.artifact.digest, index)
 
     def _reject_peer_chunk(self, host: str, view: NeighbourView | None, index: int) -> None:
         self._context.counts["corrupt_peer"] += 1
-        self.trouble = f"{host} sent a corrupt chunk"
+        self.last_error = f"{host} sent a corrupt chunk"
         logger.error("corrupt chunk", extra={"peer": host, "chunk": index})
         if view is not None:
             view.corrupt += 1
 
     def _wake(self) -> None:
-        self._news.set()
-
-    async def _wait_news(self) -> None:
-        if self._news.is_set():
-            self._news = trio.Event()
-        news = self._news
-        with trio.move_on_after(NEWS_SECONDS):
-            await news.wait()
+        self._change.set()
+
+    async def _wait_for_change(self) -> None:
+        if self._change.is_set():
+            self._change = trio.Event()
+        change = self._change
+        with trio.move_on_after(MAX_IDLE_SECONDS):
+            await change.wait()
--- a/libs/weights/src/headcross_weights/uploads.py
+++ b/libs/weights/src/headcross_weights/uploads.py
@@ -1,11 +1,12 @@
-"""Sending chunks to others: bounded in number and by the link's rate.
+"""Sends chunks to other hosts, bounded in number and by the rate of the link.
 
-Chunks leave one after the other, each in parts no larger than the pace says, so that a request's
-answer that shares the link waits for one part and not for a whole chunk. A process whose link is
-much faster than those of the others has one such lane for each asker, paced by the asker's link.
+Chunks are sent one after the other, each in parts of limited size, so that an answer to a caller
+that shares the link waits for one part and not for a complete chunk. A process whose link is much
+faster than those of the other hosts has one lane (a queue of chunks) for each requester, limited
+by the rate of the requester's link.
 
-A request that finds all slots taken is refused at once, so that its sender can ask someone else
-rather than stand in a queue here.
+If all slots are taken, a request is refused at once, so that the requester can ask another host
+instead of waiting.
 """
 
 from collections import Counter
@@ -20,9 +21,9 @@
 
 
 class Uploads:
-    """All chunks this process sends."""
+    """Sends the chunks that other hosts request from this process."""
 
-    # Chunks sent and refused so far.
+    # Number of chunks sent and of requests refused.
     sent: int
     refused: int
 
@@ -33,7 +34,7 @@
         uplink: LinkRate,
         pace: SwarmPace = LARGE_WEIGHTS,
         *,
-        lane_per_asker: bool = False,
+        lane_per_requester: bool = False,
     ) -> None:
         self.sent = 0
         self.refused = 0
@@ -41,16 +42,16 @@
         self._store = store
         self._uplink = uplink
         self._pace = pace
-        self._lane_per_asker = lane_per_asker
-        # Chunks waiting or on their way, and whose turn it is, by lane.
+        self._lane_per_requester = lane_per_requester
+        # Number of chunks queued or being sent, and the lock that orders them, by lane.
         self._pending: Counter[str] = Counter()
-        self._turns: dict[str, trio.Lock] = {}
+        self._locks: dict[str, trio.Lock] = {}
 
-    def ask(self, nursery: trio.Nursery, question: AskChunk, reply: Reply) -> None:
-        """Send a chunk when the link allows, or refuse at once."""
+    def handle_request(self, nursery: trio.Nursery, question: AskChunk, reply: Reply) -> None:
+        """Queue the requested chunk for sending, or refuse the request at once."""
         stored = self._store.get(question.artifact)
         data = stored.chunk(question.index) if stored is not None else None
-        lane = question.host if self._lane_per_asker else ""
+        lane = question.host if self._lane_per_requester else ""
         if data is None or self._pending[lane] >= self._pace.upload_slots:
             self.refused += 1
             busy = data is not None
@@ -61,18 +62,18 @@
 
     async def _send(self, lane: str, question: AskChunk, data: bytes, reply: Reply) -> None:
         try:
-            async with self._turns.setdefault(lane, trio.Lock()):
-                whole = await self._send_parts(question, data, reply)
-                self.sent += whole
+            async with self._locks.setdefault(lane, trio.Lock()):
+                is_sent = await self._send_parts(question, data, reply)
+                self.sent += is_sent
         finally:
             self._pending[lane] -= 1
             if not self._pending[lane]:
                 del self._pending[lane]
-                self._turns.pop(lane, None)
+                self._locks.pop(lane, None)
 
     async def _send_parts(self, question: AskChunk, data: bytes, reply: Reply) -> bool:
-        """Send all parts; return whether the link took them."""
-        pace = LinkRate(question.rate if self._lane_per_asker else 0.0, self._pace.part_bytes)
+        """Send all parts of a chunk; return whether the link accepted them."""
+        pace = LinkRate(question.rate if self._lane_per_requester else 0.0, self._pace.part_bytes)
         for offset in range(0, len(data), self._pace.part_bytes):
             part = data[offset : offset + self._pace.part_bytes]
             await pace.take(len(part))
--- a/testing/answeringpeers.py
+++ b/testing/answeringpeers.py
@@ -90,7 +90,7 @@
             outcome = await peers.transfer.run()
             nursery.cancel_scope.cancel()
         assert isinstance(outcome, Ok)
-        assert outcome.value.whole
+        assert outcome.value.is_complete
         return sorted(offset // self._chunk_bytes for offset in self.origin.offsets)
 
     def make_transfer(self, me: str, context: TransferContext) -> Transfer:
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -26,8 +26,8 @@
 from headcross_weights.manifest import Manifest, ManifestFile
 from headcross_weights.neighbourview import REQUESTS_PER_HOST, NeighbourView
 from headcross_weights.pace import SMALL_WEIGHTS
-from headcross_weights.sourcing import WATCH_DEPTH, ImportOrder
-from headcross_weights.swarm import MAX_LINKS_AHEAD, Swarm
+from headcross_weights.sourcing import STAND_IN_COUNT, ImportOrder
+from headcross_weights.swarm import MAX_PREOPENED_LINKS, Swarm
 from headcross_weights.uploads import Uploads
 from headcross_wire import peermessages
 from headcross_wire.linkrate import LinkRate
@@ -124,11 +124,11 @@
     mirror = NeighbourView("mirror", lambda message: True, pace, is_mirror=True)
     other = NeighbourView("other", lambda message: True, pace)
     views = {"mirror": mirror, "other": other}
-    mirror.in_flight[0] = monotonic() - 2 * pace.slow_request
+    mirror.in_flight[0] = monotonic() - 2 * pace.slow_request_seconds
     assert is_link_slow(views, monotonic())
     # Chunks of other hosts that arrive in time show that the mirror has stalled.
     other.in_flight[1] = monotonic()
-    other.received(1)
+    other.note_received(1)
     assert not is_link_slow(views, monotonic())
 
 
@@ -170,10 +170,10 @@
             duty = duties[each.name]
             assert duty.from_peer == (each.region != home)
             assert duty.rank is None or duty.rank >= 1
-        assert sum(duties[each.name].rank is not None for each in daemons) >= WATCH_DEPTH - 1
+        assert sum(duties[each.name].rank is not None for each in daemons) >= STAND_IN_COUNT - 1
     # Without mirrors, only daemons import chunks.
     alone = ImportOrder("a", daemons, "d0", 1)
-    assert all(not name.startswith("m") for i in range(40) for name in alone.duty(i).before)
+    assert all(not name.startswith("m") for i in range(40) for name in alone.duty(i).predecessors)
 
 
 @given(st.lists(st.sampled_from(["za", "zb", "zc"]), min_size=1, max_size=24))
@@ -204,7 +204,7 @@
     assert isinstance(admitted, Ok)
     for index, chunk in enumerate(chunks):
         admitted.value.add(index, chunk)
-    uploads = Uploads("me", store, LinkRate(0, 0), pace, lane_per_asker=True)
+    uploads = Uploads("me", store, LinkRate(0, 0), pace, lane_per_requester=True)
     order: list[str] = []
     async with trio.open_nursery() as nursery:
         for host, rate in (("slow", 32.0 * KIB), ("fast", 1024.0 * KIB)):
@@ -217,7 +217,9 @@
                 return True
 
             for index in range(2):
-                uploads.ask(nursery, peermessages.AskChunk(host, "d", index, rate), reply)
+                uploads.handle_request(
+                    nursery, peermessages.AskChunk(host, "d", index, rate), reply
+                )
     assert uploads.sent == 4
     assert order[-4:] == ["slow"] * 4
 
@@ -258,9 +260,9 @@
     swarm.node = cast(PeerNode, node)
     swarm.update_hosts(HostList(hosts))
     swarm.open_links()
-    assert len(node.linked) == min(MAX_LINKS_AHEAD, len(hosts) - 1)
+    assert len(node.linked) == min(MAX_PREOPENED_LINKS, len(hosts) - 1)
     near = {address for address in node.linked if address.ip.startswith("10.1.")}
-    assert len(near) == min(MAX_LINKS_AHEAD, in_each - 1)
+    assert len(near) == min(MAX_PREOPENED_LINKS, in_each - 1)
 
 
 def test_small_changes_of_the_fleet_do_not_make_mirroring_start_and_stop() -> None:
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -1,4 +1,4 @@
-"""The rules that decide, one by one: ledgers, queues, limits, turns, placement, codecs."""
+"""Unit tests of ledgers, queues, team limits, placement, turns, decoders and chunk choice."""
 
 import random
 
@@ -31,7 +31,7 @@
 
 
 class Clock:
-    """A monotonic clock that tests move by hand."""
+    """A monotonic clock that tests set."""
 
     def __init__(self, monkeypatch: pytest.MonkeyPatch, *modules: object) -> None:
         self.now = 1000.0
@@ -80,7 +80,7 @@
     assert keys.claim(claim("k", "b"), 0) is None
 
 
-def test_a_new_home_grants_only_first_submissions_until_it_knows_the_past(
+def test_a_new_owner_grants_only_first_submissions_until_it_has_the_history(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock(monkeypatch, ledger)
@@ -96,7 +96,7 @@
     assert keys.claim(claim(key, "a"), 0) is None
 
 
-def test_a_home_with_old_news_of_the_hosts_grants_no_possible_resubmission(
+def test_an_owner_with_an_old_host_list_grants_no_possible_resubmission(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock(monkeypatch, ledger)
@@ -106,7 +106,7 @@
     assert isinstance(keys.claim(claim("k", "a"), hosts_age=61), NotRun)
 
 
-def test_a_full_ledger_refuses_instead_of_forgetting(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_a_full_ledger_refuses_new_keys_and_evicts_none(monkeypatch: pytest.MonkeyPatch) -> None:
     clock = Clock(monkeypatch, ledger)
     keys = KeyLedger("h0", 2, 60)
     keys.update_hosts(make_hosts(1))
@@ -167,7 +167,7 @@
     assert (queue.running, queue.queued) == (0, 0)
 
 
-def test_a_teams_limit_is_shared_between_entries_and_moves_with_their_number(
+def test_a_teams_limit_is_divided_by_the_number_of_entries(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     clock = Clock(monkeypatch, teams)
@@ -189,7 +189,7 @@
 
 
 @given(st.integers(0, 30), st.integers(1, 12), st.integers(0, 29))
-def test_a_host_that_goes_moves_only_its_own_share(count: int, replicas: int, gone: int) -> None:
+def test_removing_a_host_moves_only_its_own_replicas(count: int, replicas: int, gone: int) -> None:
     fleet = parse_fleet_file(
         f'[models.m.versions.v]\ndigest = "{"0" * 64}"\nweights = "w"\n'
         f'[pools.p]\nmodel = "m"\nversion = "v"\nreplicas = {replicas}\n'
@@ -248,7 +248,7 @@
         ("x", rows(row("x"), row("y"), row("z"), row("a", silent=True)), False),
     ],
 )
-def test_a_leaver_counts_those_before_it_as_gone(
+def test_a_leaving_upstream_counts_those_before_it_as_gone(
     me: str, known: dict[str, PoolRow], allowed: bool
 ) -> None:
     assert may_leave(me, POOL, ["a", "b", "c"], known, VIEW).now is allowed
@@ -263,7 +263,7 @@
     assert table.stale == 2
 
 
-# Whatever comes over a wire.
+# Decoding of untrusted bytes.
 
 
 @given(st.binary(max_size=400))
@@ -292,7 +292,7 @@
     assert (out, splitter.tokens, splitter.done) == (data, tokens, True)
 
 
-def test_damaged_messages_never_pass_for_documents() -> None:
+def test_damaged_messages_are_rejected_or_decoded_to_peer_messages() -> None:
     rng = random.Random(1)
     message = peermessages.Document("fleet", 3, "d" * 64, 0.5, b"[services.s]\n")
     good = peermessages.encode(message)
@@ -304,7 +304,10 @@
 
 
 def test_a_host_behind_a_slow_link_asks_for_one_chunk_at_a_time() -> None:
-    """A squeezed link held five seconds of chunks, and requests to the replica behind them."""
+    """Guards against chunks that fill a slow link and delay requests to the replica.
+
+    Without the limit, a slow link held five seconds of chunks.
+    """
     stored = StoredArtifact("d", Manifest(1, 1, [ManifestFile("f", 8, ["0" * 64] * 8)]), b"")
     pace = SMALL_WEIGHTS
     views = {name: NeighbourView(name, lambda message: True, pace) for name in "abc"}
@@ -312,20 +315,20 @@
         view.has = set(range(8))
     most = pace.requests_in_flight
     assert choose_chunk(stored, views, set(), most) is not None
-    late = monotonic() - 2 * pace.slow_request
+    late = monotonic() - 2 * pace.slow_request_seconds
     views["a"].in_flight[0] = late
     assert choose_chunk(stored, views, set(), most) is not None
     views["b"].in_flight[1] = late
     assert choose_chunk(stored, views, set(), most) is None
-    # Giving them up does not empty the link: one chunk at a time from now on.
+    # A timeout does not empty the link, so only one chunk at a time is requested.
     for view in views.values():
-        view.stalled()
+        view.note_timeout()
     assert is_link_slow(views, monotonic())
     views["c"].in_flight[2] = monotonic()
     assert choose_chunk(stored, views, set(), most) is None
-    # One that comes on time shows that the link is not the slow one.
-    views["c"].received(2)
+    # A chunk that arrives on time shows that the link is not slow.
+    views["c"].note_received(2)
     assert not is_link_slow(views, monotonic())
-    # A late one that comes after all teaches how long to wait.
-    views["a"].received(0)
-    assert views["a"].latency >= 2 * pace.slow_request
+    # A chunk that arrives after its timeout raises the latency.
+    views["a"].note_received(0)
+    assert views["a"].latency >= 2 * pace.slow_request_seconds
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -1,4 +1,4 @@
-"""The swarm under faults: whole and verified weights or none, and an origin that is spared."""
+"""The swarm under faults: only complete, verified weights are loaded, with few origin reads."""
 
 from pathlib import Path
 
@@ -23,29 +23,29 @@
 
 
 async def wait_transfer(small: Small, name: str, share: float) -> None:
-    """Wait until a host has part of its weights, but not all."""
+    """Wait until a host has at least a share of its weights, but not all."""
 
-    async def begun() -> bool:
+    async def is_partial() -> bool:
         rows = (await small.fleet.state(name)).get("upstreams", [])
         return any(share <= row["progress"] < 1 for row in rows)
 
-    await wait_for(begun, f"{name} at {share}", poll=0.01)
+    await wait_for(is_partial, f"{name} at {share}", poll=0.01)
 
 
 async def wait_transfer_anywhere(small: Small, share: float) -> None:
-    """Wait until one of the hosts has part of its weights; they may start seconds apart."""
+    """Wait until any host has a share of its weights; hosts may start seconds apart."""
     hosts = [name for name, node in small.fleet.nodes.items() if node.spec.role == "upstream"]
 
-    async def begun() -> bool:
+    async def is_partial() -> bool:
         states = [await small.fleet.state(name) for name in hosts]
         rows = [row for state in states for row in state.get("upstreams", [])]
         return any(share <= row["progress"] < 1 for row in rows)
 
-    await wait_for(begun, f"a host at {share}", poll=0.01)
+    await wait_for(is_partial, f"a host at {share}", poll=0.01)
 
 
 async def wait_no_transfer(small: Small, digest: str) -> None:
-    """Wait until no host fetches some weights any more."""
+    """Wait until no host has a transfer of the given weights."""
     hosts = [name for name, node in small.fleet.nodes.items() if node.spec.role == "upstream"]
 
     async def ended() -> bool:
@@ -56,18 +56,18 @@
 
 
 def reads_of(small: Small, weights: str) -> int:
-    """Return how many chunks of some weights the origin was asked for."""
+    """Return how many chunk reads of the given weights the origin received."""
     requests = small.fleet.origin.requests.items()
     return sum(count for (name, _), count in requests if name == weights)
 
 
-async def test_thrifty_hosts_together_fetch_one_copy_from_the_origin(tmp_path: Path) -> None:
+async def test_all_hosts_together_fetch_one_copy_from_the_origin(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=6) as small:
         manifest = len(small.fleet.origin.versions["m-v1"][0])
         assert small.fleet.origin.sent_bytes == WEIGHTS_BYTES, manifest
 
 
-async def test_a_host_killed_while_it_fetches_costs_the_others_nothing_but_time(
+async def test_a_host_killed_during_its_transfer_only_delays_the_others(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(
@@ -76,11 +76,11 @@
         await wait_transfer(small, "host0", 0.2)
         small.fleet.kill("host0")
         await small.fleet.wait_serving(small.text.digests["v1"], 4)
-        # What the dead host was to bring in, and had not passed on, is fetched once more.
+        # Chunks that the dead host imported and had not sent on are fetched again.
         assert small.fleet.origin.sent_bytes <= 1.5 * MIB
 
 
-async def test_a_dead_first_fetcher_is_stood_in_for_and_the_origin_not_flooded(
+async def test_chunks_of_a_dead_importing_host_are_taken_over_without_flooding_the_origin(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=5, zones=1) as small:
@@ -89,20 +89,20 @@
         digest = await small.move_to("v2")
         for name in ("host0", "host1", "host3", "host4"):
 
-            async def whole(name: str = name) -> bool:
+            async def is_complete(name: str = name) -> bool:
                 artifacts = (await small.fleet.state(name))["weights"]["artifacts"]
                 return bool(artifacts.get(digest, {}).get("progress") == 1)
 
-            await wait_for(whole, f"{name} has all of v2")
+            await wait_for(is_complete, f"{name} has all of v2")
         fetched = [
             n for (version, _), n in small.fleet.origin.requests.items() if version == "m-v2"
         ]
-        # Each chunk comes from the origin once; a second time only where a stand-in was hasty.
+        # Each chunk is read once, or twice where a stand-in takes over too early.
         assert max(fetched) <= 2
         assert sum(fetched) <= len(fetched) * 1.5, fetched
 
 
-async def test_chunks_corrupted_on_the_way_from_peers_are_dropped_and_come_anew(
+async def test_chunks_corrupted_between_peers_are_dropped_and_fetched_again(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=4, zones=1, proxied=True) as small:
@@ -114,10 +114,10 @@
             assert [w.digest for w in engine.loaded] == [digest], name
 
 
-async def test_a_region_whose_first_host_sends_corrupt_chunks_gets_them_all_the_same(
+async def test_a_region_whose_first_host_sends_corrupt_chunks_gets_valid_ones(
     tmp_path: Path,
 ) -> None:
-    """The other region has the chunks, but only that first host may fetch them from there."""
+    """Only the first host of a region may fetch chunks from the other region."""
     async with small_fleet(tmp_path, hosts=4, zones=2, proxied=True) as small:
         bad = small.fleet.nodes["host0"].ip
         hosts = {n.ip for n in small.fleet.nodes.values() if n.spec.role == "upstream"}
@@ -158,7 +158,7 @@
         await small.fleet.wait_serving(digest, 3)
 
 
-async def test_a_superseding_file_cancels_a_transfer_at_once(tmp_path: Path) -> None:
+async def test_a_newer_fleet_file_cancels_a_transfer_at_once(tmp_path: Path) -> None:
     async with small_fleet(
         tmp_path, hosts=3, weights_bytes=MIB, link=SLOW_LINK, serving=False
     ) as small:
@@ -171,13 +171,13 @@
         assert await loaded_nowhere(small.fleet, superseded)
         orders = [o for e in small.fleet.engines().values() for o in e.orders]
         assert {w.digest for order in orders for w in order.weights} == {digest}
-        # The first version was not fetched to its end, and nothing of it once it was cancelled.
+        # The first version was not fetched completely, and not read after the cancellation.
         assert read < MIB // CHUNK_BYTES
         assert reads_of(small, "m-v1") == read
         assert small.fleet.origin.sent_bytes < 2 * MIB
 
 
-async def test_a_host_that_joins_late_is_served_by_peers_when_the_origin_is_gone(
+async def test_a_host_that_joins_late_is_served_by_peers_while_the_origin_is_down(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=4, zones=1, serving=False) as small:
@@ -190,14 +190,15 @@
         await small.fleet.wait_serving(digest, 4)
 
 
-async def test_a_zone_cut_off_while_both_sides_run_catches_up_afterwards(tmp_path: Path) -> None:
+async def test_a_zone_that_was_partitioned_catches_up_afterwards(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=4, zones=2, proxied=True) as small:
         cut = {n.ip for n in small.fleet.nodes.values() if n.spec.zone == "z1"}
         small.fleet.fault_of = lambda source, target: (
             "cut" if (source in cut) != (target in cut) else "pass"
         )
         digest = await small.move_to("v2")
-        # The side with the entry goes as far as the rule of the pool lets it; no one stops early.
+        # The side with the entry swaps as far as the pool's rules allow, and no host stops serving
+        # too early.
         await trio.sleep(3)
         serving = sum(bool(e.loaded) for e in small.fleet.engines().values())
         assert serving >= 3
@@ -206,15 +207,15 @@
         await small.fleet.wait_serving(digest, 4)
 
 
-async def test_a_link_that_stalls_without_closing_is_left_for_another(tmp_path: Path) -> None:
+async def test_chunks_behind_a_stalled_link_are_fetched_from_another_host(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=4, zones=1, proxied=True) as small:
         stalled = small.fleet.nodes["host0"].ip
-        # Nobody gets anything out of host0 any more; nothing is closed.
+        # Connections to host0 stay open but carry no data.
         small.fleet.fault_of = lambda source, target: "stall" if target == stalled else "pass"
         small.text.pool = "max_unavailable = 4\nstand_in_seconds = 600"
         digest = await small.move_to("v2")
 
-        async def three() -> bool:
+        async def three_loaded() -> bool:
             engines = small.fleet.engines()
             return (
                 sum(
@@ -225,26 +226,26 @@
                 == 3
             )
 
-        await wait_for(three, "the others have it")
+        await wait_for(three_loaded, "the others have it")
 
 
-async def test_a_host_with_too_little_memory_says_so_and_keeps_serving(tmp_path: Path) -> None:
+async def test_a_host_with_too_little_memory_reports_it_and_keeps_serving(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=2, memory=WEIGHTS_BYTES + CHUNK_BYTES) as small:
         data = b"x" * (2 * WEIGHTS_BYTES)
         small.text.digests["v9"] = small.fleet.origin.add("m-v9", data, CHUNK_BYTES)
         await small.move_to("v9")
 
-        async def said() -> bool:
+        async def is_reported() -> bool:
             return bool(
                 (await small.fleet.state("host0"))["decision_counts"].get("memory-too-small")
             )
 
-        await wait_for(said, "memory-too-small is reported")
+        await wait_for(is_reported, "memory-too-small is reported")
         assert (await generate(small.entry(), POOL_PATH))[0].status == 200
 
 
 @pytest.mark.parametrize("copies", [1, 2, 3])
-def test_every_chunk_has_as_many_first_fetchers_as_asked_for(copies: int) -> None:
+def test_every_chunk_is_imported_by_as_many_hosts_as_origin_copies(copies: int) -> None:
     from headcross_native.hostlist import Host
 
     hosts = [
@@ -255,7 +256,7 @@
     for index in range(50):
         duties = [order.duty(index) for order in orders]
         assert sum(d.rank == 0 and not d.from_peer for d in duties) == copies
-        # Each other region has exactly one host that brings the chunk in from another region.
+        # Each other region has exactly one host that fetches the chunk from another region.
         regions = {h.region for h, d in zip(hosts, duties, strict=True) if d.rank == 0}
         assert regions == {"r0", "r1", "r2"}
 
@@ -281,25 +282,28 @@
         assert len(crossing) == len(set(crossing)) == 2
 
 
-def test_a_first_fetcher_that_answers_is_waited_for_longer_than_a_silent_one(
+def test_an_importing_host_that_answers_is_waited_for_longer_than_a_silent_one(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """Hosts learn of a new file at different times; a late one was stood in for (26 of 16)."""
+    """Guards against needless takeovers from hosts that learn of a new fleet file later.
+
+    They made the origin read 26 chunks where 16 were needed.
+    """
     now = 100.0
     monkeypatch.setattr("headcross_weights.importduties.monotonic", lambda: now)
     hosts = [Host(f"h{i}", "upstream", "r", "z", "127.0.0.1:1", "127.0.0.1:2") for i in range(5)]
     silent = {h.name: ImportDuties(ImportOrder("a", hosts, h.name, 1)) for h in hosts}
     answered = {h.name: ImportDuties(ImportOrder("a", hosts, h.name, 1)) for h in hosts}
-    first = next(name for name, duties in silent.items() if duties.is_mine(0))
+    first = next(name for name, duties in silent.items() if duties.should_import(0))
     second = next(h.name for h in hosts if ImportOrder("a", hosts, h.name, 1).duty(0).rank == 1)
-    now += 1.1 * LARGE_WEIGHTS.takeover
-    # Others than the first answer too; that they wait as well says nothing of the first.
+    now += 1.1 * LARGE_WEIGHTS.takeover_seconds
+    # Answers of hosts other than the first are no evidence that the first is alive.
     for host in hosts:
         if host.name != first:
             silent[second].receive_intent(Intent(host.name, "a", [], []))
         answered[second].receive_intent(Intent(host.name, "a", [], []))
     assert silent[second].take_over([0]) == [0]
     assert answered[second].take_over([0]) == []
-    now += LARGE_WEIGHTS.takeover * LARGE_WEIGHTS.alive_patience
+    now += LARGE_WEIGHTS.takeover_seconds * LARGE_WEIGHTS.responsive_takeover_factor
     answered[second].receive_intent(Intent(first, "a", [], []))
     assert answered[second].take_over([0]) == [0]
--- a/tests/test_swarm_silence.py
+++ b/tests/test_swarm_silence.py
@@ -1,4 +1,4 @@
-"""When a host counts as silent, so that another stands in for it."""
+"""When an importing host counts as silent, so that another host takes over its chunks."""
 
 import random
 from types import SimpleNamespace
@@ -20,13 +20,13 @@
 
 @pytest.fixture
 def simulated_clock(monkeypatch: pytest.MonkeyPatch, autojump_clock: MockClock) -> MockClock:
-    """Let the product's clock be trio's, which jumps ahead while every task sleeps."""
+    """Replace the product's clock by trio's, which jumps ahead while every task sleeps."""
     clock = SimpleNamespace(CLOCK_BOOTTIME=0, clock_gettime=lambda _: trio.current_time())
     monkeypatch.setattr("headcross_base.clocks.time", clock)
     return autojump_clock
 
 
-async def test_a_manifest_that_comes_late_makes_no_chunks_host_seem_silent(
+async def test_a_late_manifest_does_not_make_importing_hosts_count_as_silent(
     simulated_clock: MockClock,
 ) -> None:
     seed = random.randrange(1 << 30)
@@ -35,16 +35,17 @@
     peers = AnsweringPeers(random.randbytes(WEIGHTS_BYTES), CHUNK_BYTES, 5)
     dead, me, *_ = peers.manifest_hosts()
     peers.silent = {dead}
-    # Only chunks that are this host's, or that it is the dead one's first stand-in for.
+    # This host imports only its own chunks and those for which it is the first stand-in behind the
+    # dead host.
     assert await peers.transfer(me) == peers.duties_of(me)
 
 
 @pytest.mark.parametrize("near", [True, False], ids=["same-region", "other-region"])
 @pytest.mark.parametrize("whole", [True, False], ids=["has", "pending"])
-async def test_only_a_copy_that_may_be_fetched_puts_a_stand_in_off(
+async def test_only_a_copy_that_may_be_fetched_delays_a_takeover(
     simulated_clock: MockClock, near: bool, whole: bool
 ) -> None:
-    """A chunk's first host is of no use, the second answers, and this host is the third."""
+    """The first host of a chunk is silent, the second answers, and this host is the third."""
     seed = random.randrange(1 << 30)
     print(f"seed {seed}")
     artifact = f"artifact {seed}"
@@ -52,9 +53,9 @@
     hosts = [_host(name, "r0" if near or name != second else "r1") for name in NAMES]
     duties = ImportDuties(ImportOrder(artifact, hosts, me, 1))
     answer = Intent(second, artifact, [0] if whole else [], [] if whole else [0])
-    # The third waits two take-over times of silence.
+    # The third host waits for two takeover times.
     for _ in range(4):
-        await trio.sleep(LARGE_WEIGHTS.takeover)
+        await trio.sleep(LARGE_WEIGHTS.takeover_seconds)
         duties.receive_intent(answer)
     assert duties.take_over([0]) == ([] if near else [0])
 
@@ -64,11 +65,11 @@
 
 
 def _order(artifact: str) -> list[str]:
-    """Return the hosts in the order of chunk 0, which does not depend on their regions."""
+    """Return the hosts in the import order of chunk 0, which does not depend on their regions."""
     hosts = [_host(name, "r0") for name in NAMES]
     last = next(
         duty
         for duty in (ImportOrder(artifact, hosts, name, 1).duty(0) for name in NAMES)
         if duty.rank == len(NAMES) - 1
     )
-    return list(last.before)
+    return list(last.predecessors)
