--- a/libs/cli/src/headcross_cli/__init__.py
+++ b/libs/cli/src/headcross_cli/__init__.py
@@ -1,1 +1,1 @@
-"""The command-line tool: checks, plans and watches; it changes nothing."""
+"""The read-only command-line tool: checks fleet files, plans changes and watches rollouts."""
--- a/libs/cli/src/headcross_cli/adminclient.py
+++ b/libs/cli/src/headcross_cli/adminclient.py
@@ -1,4 +1,4 @@
-"""Reading the administration API of a daemon; the only thing this tool talks to."""
+"""Reads the administration API of daemons, the only interface that this tool calls."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -12,8 +12,8 @@
 from headcross_native.hostlist import EMPTY_HOST_LIST, HostList, parse_host_list
 from headcross_wire.httpclient import WholeAnswer, call
 
-READ_SECONDS: Final = 5.0
-MAX_BYTES: Final = 64 * 1024 * 1024
+READ_TIMEOUT_SECONDS: Final = 5.0
+MAX_PAGE_BYTES: Final = 64 * 1024 * 1024
 
 
 @dataclass(frozen=True, slots=True)
@@ -26,7 +26,7 @@
 
 
 class UpstreamRow(msgspec.Struct):
-    """One upstream as a daemon shows it; further fields are ignored."""
+    """One upstream as reported by a daemon; unknown fields are ignored."""
 
     upstream: str
     host: str
@@ -43,9 +43,13 @@
 
 
 async def read_page(address: Address, page: str) -> Ok[WholeAnswer] | Failure:
-    """Return one page of the API."""
+    """Return one page of the API; any status but 200 is a failure."""
     outcome = await call(
-        address, "GET", f"/{ADMIN_API}/{page}", seconds=READ_SECONDS, max_bytes=MAX_BYTES
+        address,
+        "GET",
+        f"/{ADMIN_API}/{page}",
+        seconds=READ_TIMEOUT_SECONDS,
+        max_bytes=MAX_PAGE_BYTES,
     )
     if isinstance(outcome, Failure):
         return outcome
@@ -55,7 +59,7 @@
 
 
 async def read_upstreams(address: Address) -> Ok[list[UpstreamRow]] | Failure:
-    """Return the upstreams that a daemon knows of."""
+    """Return the upstreams known to a daemon."""
     outcome = await read_page(address, "upstreams")
     if isinstance(outcome, Failure):
         return outcome
--- a/libs/cli/src/headcross_cli/explaining.py
+++ b/libs/cli/src/headcross_cli/explaining.py
@@ -1,7 +1,7 @@
-"""The story of one request, from the JSON log lines of any number of processes.
+"""Implements `headcross explain`: traces one request through the JSON logs of any processes.
 
-Every process writes one line for each decision about a request, with the request's id. Read
-together, oldest first, they say where it went, what was known there, and why it ended as it did.
+Every process logs one line for each decision about a request, with the request's id. Sorted by
+time, these lines show where the request was sent, what was known there and why it ended as it did.
 """
 
 from collections.abc import Iterable
@@ -12,39 +12,46 @@
 import msgspec
 from headcross_base.errorcodes import ERROR_CODES
 
-# Fields that every line has, or that the story shows in front of the others.
+# Fields that describe_line prints first or leaves out.
 COMMON_FIELDS: Final = ("at", "host", "message", "request", "level", "logger")
 
-# What replicas asked of an entry, and the reasons of refusals that may follow from it.
+# Log messages about the backpressure of replicas, and the reasons of refusals that it may cause.
 LIMIT_NAMED: Final = "limit named"
 LIMIT_ENDED: Final = "limit ended"
-ASKED_MESSAGES: Final = (LIMIT_NAMED, LIMIT_ENDED, "replica asks for rest", "replica leaves")
-NO_PLACE_REASONS: Final = ("no-room", "not-serving", "no-replica")
+BACKPRESSURE_MESSAGES: Final = (
+    LIMIT_NAMED,
+    LIMIT_ENDED,
+    "replica asks for rest",
+    "replica leaves",
+)
+NO_REPLICA_REASONS: Final = ("no-room", "not-serving", "no-replica")
 
 Line = dict[str, Any]
 
 
 @dataclass
-class Story:
-    """What the logs say about one request."""
+class RequestTrace:
+    """The log lines that concern one request."""
 
     lines: list[Line] = field(default_factory=list)  # oldest first
-    # Lost attempts of other tries of the same request, and how it was judged, oldest first.
+    # Lost attempts of other submissions with the same request digest, and the verdicts on them,
+    # oldest first.
     related: list[Line] = field(default_factory=list)
-    # What replicas had asked of the entry that found no place for the request, oldest first.
-    asked: list[Line] = field(default_factory=list)
-    broken: int = 0  # lines that are no JSON objects
+    # Backpressure of replicas at the entry that refused the request for lack of a replica, oldest
+    # first.
+    backpressure: list[Line] = field(default_factory=list)
+    malformed: int = 0  # number of lines that are not JSON objects
 
 
-def read_story(request: str, files: Iterable[Path]) -> Story:
-    """Return the lines about a request, and those about other tries of it that were lost.
+def read_trace(request: str, files: Iterable[Path]) -> RequestTrace:
+    """Return the lines about a request, and those about lost submissions of the same request.
 
-    A line that is cut short or not a JSON object is counted and passed over. Raises OSError if a
-    file cannot be read.
+    A line that is truncated or not a JSON object is counted and skipped. Raises OSError if a file
+    cannot be read.
     """
-    story = Story()
+    trace = RequestTrace()
     with_digest: list[Line] = []
-    asked: list[Line] = []
+    backpressure: list[Line] = []
     for path in files:
         for raw in path.read_bytes().splitlines():
             try:
@@ -52,44 +59,47 @@
             except msgspec.DecodeError:
                 line = None
             if not isinstance(line, dict):
-                story.broken += bool(raw.strip())
+                trace.malformed += bool(raw.strip())
             elif line.get("request") == request:
-                story.lines.append(line)
+                trace.lines.append(line)
             elif "request_digest" in line:
                 with_digest.append(line)
-            elif line.get("message") in ASKED_MESSAGES:
-                asked.append(line)
-    digests = {line["request_digest"] for line in story.lines if "request_digest" in line}
-    story.related = [line for line in with_digest if line["request_digest"] in digests]
-    for lines in (story.lines, story.related, asked):
-        lines.sort(key=_moment_of)
-    if story.lines:
-        story.asked = _asked_before(story.lines[-1], asked)
-    return story
-
-
-def _moment_of(line: Line) -> str:
+            elif line.get("message") in BACKPRESSURE_MESSAGES:
+                backpressure.append(line)
+    digests = {line["request_digest"] for line in trace.lines if "request_digest" in line}
+    trace.related = [line for line in with_digest if line["request_digest"] in digests]
+    for lines in (trace.lines, trace.related, backpressure):
+        lines.sort(key=_timestamp_of)
+    if trace.lines:
+        trace.backpressure = _backpressure_before(trace.lines[-1], backpressure)
+    return trace
+
+
+def _timestamp_of(line: Line) -> str:
     return str(line.get("at", ""))
 
 
-def _asked_before(refusal: Line, asked: list[Line]) -> list[Line]:
-    """Return what each replica last asked of the entry that found no place for a request.
+def _backpressure_before(refusal: Line, backpressure: list[Line]) -> list[Line]:
+    """Return the last backpressure of each replica before an entry refused a request.
 
-    `asked` is sorted by its moments. A limit that had ended is left out.
+    Empty unless the refusal was for lack of a replica. `backpressure` is sorted by time. A limit
+    that had ended is left out.
     """
-    if refusal.get("reason") not in NO_PLACE_REASONS:
+    if refusal.get("reason") not in NO_REPLICA_REASONS:
         return []
     newest: dict[tuple[str, bool], Line] = {}
-    for line in asked:
-        if line.get("host") == refusal.get("host") and _moment_of(line) <= _moment_of(refusal):
+    for line in backpressure:
+        if line.get("host") == refusal.get("host") and _timestamp_of(line) <= _timestamp_of(
+            refusal
+        ):
             is_limit = line["message"] in (LIMIT_NAMED, LIMIT_ENDED)
             newest[str(line.get("replica")), is_limit] = line
     held = [line for line in newest.values() if line["message"] != LIMIT_ENDED]
-    return sorted(held, key=_moment_of)
+    return sorted(held, key=_timestamp_of)
 
 
 def describe_line(line: Line) -> str:
-    """Return a line for people.
+    """Return a log line as readable text.
 
     >>> describe_line({"at": "t", "host": "e1", "message": "attempt", "replica": "r", "ms": 2.5})
     't  e1  attempt  replica=r ms=2.5'
@@ -100,7 +110,7 @@
 
 
 def find_cause(lines: list[Line]) -> str:
-    """Return in one sentence why the request ended as it did.
+    """Return one sentence that says why the request ended as it did.
 
     >>> find_cause([{"message": "completed", "status": 200, "ms": 80.0}])
     'It was answered with status 200 after 80.0 ms.'
--- a/libs/cli/src/headcross_cli/main.py
+++ b/libs/cli/src/headcross_cli/main.py
@@ -16,7 +16,7 @@
   watch     Show how far the fleet is: a table on a terminal, else JSON lines.
   dump      Show a process's whole state, or one page of its administration API.
   manifest  Write the manifest of a directory of weights and print its digest.
-  explain   Tell the story of one request from the log files of any processes.
+  explain   Tell the trace of one request from the log files of any processes.
 
 Options:
   --admin ADDRESS    Administration address (IP:PORT) of a daemon; for watch, of an entry.
@@ -54,15 +54,15 @@
 
 from headcross_cli import exitcodes
 from headcross_cli.adminclient import read_in_force, read_page
-from headcross_cli.explaining import Line, describe_line, find_cause, read_story
+from headcross_cli.explaining import Line, describe_line, find_cause, read_trace
 from headcross_cli.planning import plan_changes
 from headcross_cli.watching import watch
 
-Arguments = Mapping[str, Any]  # as docopt gives them: text, flags, and lists of text
+Arguments = Mapping[str, Any]  # as parsed by docopt: strings, flags and lists of strings
 
 
 def main() -> None:
-    """Run the tool; the entry point of the program."""
+    """Run the command line and exit with its exit code."""
     arguments = docopt(__doc__, version=f"headcross {VERSION}")
     try:
         code = run_command(arguments)
@@ -93,7 +93,7 @@
 
 
 def check(path: Path) -> int:
-    """Check a fleet file and say what is in it."""
+    """Check a fleet file and print a summary of it."""
     fleet = _read_fleet(path)
     if fleet is None:
         return exitcodes.REJECTED
@@ -103,7 +103,7 @@
 
 
 async def plan(path: Path, admin: Address, as_json: bool) -> int:
-    """Show what a file would change."""
+    """Print what a fleet file would change at the daemon with the address `admin`."""
     new = _read_fleet(path)
     if new is None:
         return exitcodes.REJECTED
@@ -120,7 +120,7 @@
 
 
 async def dump(address: Address, page: str) -> int:
-    """Print a page of the administration API; JSON is indented."""
+    """Print a page of the administration API, JSON indented."""
     outcome = await read_page(address, page)
     if isinstance(outcome, Failure):
         return _fail(outcome.detail, exitcodes.UNREACHABLE)
@@ -132,7 +132,7 @@
 
 
 def make_manifest(arguments: Arguments) -> int:
-    """Write a manifest and print its digest, the one a fleet file names."""
+    """Write a manifest and print its digest, by which a fleet file refers to it."""
     directory = Path(arguments["DIR"])
     if not directory.is_dir():
         return _fail(f"{directory}: not a directory", exitcodes.USAGE)
@@ -143,17 +143,17 @@
 
 
 def explain(request: str, logs: list[Path]) -> int:
-    """Print what the logs say about a request, oldest first, and why it ended as it did."""
-    story = read_story(request, logs)
-    if story.broken:
-        print(f"headcross: {story.broken} lines are no JSON objects", file=sys.stderr)
-    if not story.lines:
+    """Print the log lines about a request, oldest first, and why it ended as it did."""
+    trace = read_trace(request, logs)
+    if trace.malformed:
+        print(f"headcross: {trace.malformed} lines are no JSON objects", file=sys.stderr)
+    if not trace.lines:
         return _fail(f"no line about request {request!r}", exitcodes.REJECTED)
-    for line in story.lines:
+    for line in trace.lines:
         print(describe_line(line))
-    _print_lines("Other tries of the same request, and how it was judged:", story.related)
-    _print_lines("What replicas had asked of that entry:", story.asked)
-    print(find_cause(story.lines))
+    _print_lines("Other tries of the same request, and how it was judged:", trace.related)
+    _print_lines("What replicas had asked of that entry:", trace.backpressure)
+    print(find_cause(trace.lines))
     return exitcodes.OK
 
 
--- a/libs/cli/src/headcross_cli/planning.py
+++ b/libs/cli/src/headcross_cli/planning.py
@@ -1,7 +1,7 @@
-"""What a fleet file would change, worked out from the documents in force.
+"""Computes what a fleet file would change, compared with the documents in force.
 
-The placement is the same pure function that the daemons use, so the plan names the very upstreams
-that would move.
+The placement is computed by the same pure function that the daemons use, so the plan names exactly
+the upstreams that would be reassigned.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,7 +13,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One line of a plan."""
+    """One change in a plan."""
 
     kind: str  # pool-added, pool-removed, version, upstream-joins, upstream-leaves, ...
     subject: str
@@ -21,7 +21,7 @@
 
 
 def plan_changes(old: FleetFile, new: FleetFile, hosts: HostList) -> list[Change]:
-    """Return what would change, pools first, then upstreams, then the rest."""
+    """Return the changes: pools first, then upstreams, then teams, services and routes."""
     before, after = compute_placement(old, hosts), compute_placement(new, hosts)
     changes = list(_pool_changes(old, new, after))
     changes += _upstream_changes(before, after)
--- a/libs/cli/src/headcross_cli/watching.py
+++ b/libs/cli/src/headcross_cli/watching.py
@@ -1,7 +1,7 @@
-"""Convergence, live: what each upstream should hold and how far it is.
+"""Implements `headcross watch`: shows live how far the fleet is from the fleet file in force.
 
-On a terminal a table with progress bars is drawn anew each second; elsewhere each look is one JSON
-line, for programs.
+On a terminal, a table with progress bars is redrawn every second. Otherwise each reading is
+printed as one JSON line, for programs.
 """
 
 import sys
@@ -18,24 +18,24 @@
 from headcross_cli import exitcodes
 from headcross_cli.adminclient import InForce, UpstreamRow, read_in_force, read_upstreams
 
-LOOK_SECONDS: Final = 1.0
+POLL_INTERVAL_SECONDS: Final = 1.0
 BAR_WIDTH: Final = 20
 CLEAR_SCREEN: Final = "\x1b[H\x1b[J"
 
 
 class PoolProgress(msgspec.Struct):
-    """How far one pool is."""
+    """Progress of one pool."""
 
     pool: str
     version: str
     wanted: int  # upstreams assigned
-    serving: int  # of those, how many serve the wanted weights
-    progress: float  # mean share of the weights that is there
+    serving: int  # of those, how many serve the weights of the fleet file
+    progress: float  # mean share of the weights held, 0 to 1
     silent: int
 
 
-class Look(msgspec.Struct):
-    """One look at the fleet."""
+class FleetProgress(msgspec.Struct):
+    """Progress of all pools at one reading."""
 
     revision: int
     converged: bool
@@ -43,35 +43,39 @@
 
 
 async def watch(address: Address, until_converged: bool, seconds: float) -> int:
-    """Show looks until interrupted, converged or out of time; return the exit code."""
+    """Print progress until converged (if `until_converged`) or timed out; return the exit code.
+
+    `address` is the administration address of an entry. A daemon that does not answer ends the
+    command, unless `until_converged` is set.
+    """
     with trio.move_on_after(seconds):
         while True:
-            look = await take_look(address)
-            if isinstance(look, Failure):
-                print(f"headcross: {look.detail}", file=sys.stderr)
+            progress = await read_progress(address)
+            if isinstance(progress, Failure):
+                print(f"headcross: {progress.detail}", file=sys.stderr)
                 if not until_converged:
                     return exitcodes.UNREACHABLE
             else:
-                show_look(look)
-                if until_converged and look.converged:
+                print_progress(progress)
+                if until_converged and progress.converged:
                     return exitcodes.OK
-            await trio.sleep(LOOK_SECONDS)
+            await trio.sleep(POLL_INTERVAL_SECONDS)
     return exitcodes.TIMED_OUT if until_converged else exitcodes.OK
 
 
-async def take_look(address: Address) -> Look | Failure:
-    """Read one daemon's documents and what it knows of the upstreams."""
+async def read_progress(address: Address) -> FleetProgress | Failure:
+    """Return the progress as seen by the daemon at `address`, or why it cannot be read."""
     in_force = await read_in_force(address)
     if isinstance(in_force, Failure):
         return in_force
     rows = await read_upstreams(address)
     if isinstance(rows, Failure):
         return rows
-    return judge(in_force.value, rows.value)
+    return compute_progress(in_force.value, rows.value)
 
 
-def judge(in_force: InForce, rows: list[UpstreamRow]) -> Look:
-    """Compare what should be with what is."""
+def compute_progress(in_force: InForce, rows: list[UpstreamRow]) -> FleetProgress:
+    """Return the progress, from the documents in force and the reported state of upstreams."""
     placement = compute_placement(in_force.fleet, in_force.hosts)
     by_name = {row.upstream: row for row in rows}
     pools: list[PoolProgress] = []
@@ -92,17 +96,20 @@
             )
         )
     short = [p for p in pools if p.serving < p.wanted or p.wanted == 0]
-    return Look(in_force.revision, bool(pools) and not short, pools)
+    return FleetProgress(in_force.revision, bool(pools) and not short, pools)
 
 
-def show_look(look: Look) -> None:
-    """Print one look, for a person or for a program."""
+def print_progress(progress: FleetProgress) -> None:
+    """Print one reading: a table on a terminal, a JSON line otherwise."""
     if not sys.stdout.isatty():
-        print(msgspec.json.encode(look).decode(), flush=True)
+        print(msgspec.json.encode(progress).decode(), flush=True)
         return
-    lines = [f"fleet file {look.revision}: {'converged' if look.converged else 'moving'}", ""]
+    lines = [
+        f"fleet file {progress.revision}: {'converged' if progress.converged else 'moving'}",
+        "",
+    ]
     lines.append(f"{'pool':<24} {'version':<12} {'serving':>9}  progress")
-    for pool in look.pools:
+    for pool in progress.pools:
         count = f"{pool.serving}/{pool.wanted}"
         silent = f"  {pool.silent} silent" if pool.silent else ""
         bar = draw_bar(pool.progress)
@@ -111,7 +118,7 @@
 
 
 def draw_bar(share: float) -> str:
-    """Return a progress bar.
+    """Return a text progress bar for a share from 0 to 1.
 
     >>> draw_bar(0.5)
     '[##########..........]  50%'
--- a/libs/daemon/src/headcross_daemon/__init__.py
+++ b/libs/daemon/src/headcross_daemon/__init__.py
@@ -1,1 +1,1 @@
-"""The daemon: its settings, the wiring of its two roles, the administration API."""
+"""The daemons: settings, wiring of the entry and upstream roles, administration API."""
--- a/libs/daemon/src/headcross_daemon/admin.py
+++ b/libs/daemon/src/headcross_daemon/admin.py
@@ -1,8 +1,8 @@
-"""The administration API: read-only, versioned, on an address of its own.
+"""Serves the administration API: read-only, versioned, on a separate address.
 
 It shows the process's state, metrics, health, the documents in force and the decisions with their
-reasons. `headcross`, the command-line tool, talks to nothing else. It changes nothing: operators
-act by publishing the next fleet file.
+reasons. The command-line tool `headcross` uses no other interface. The API changes nothing:
+operators make changes by publishing the next fleet file.
 """
 
 import logging
@@ -26,20 +26,23 @@
 
 
 class AdminApi:
-    """Handles requests to the administration address."""
+    """Handles requests to the administration address.
+
+    The callables supply the content of the pages; `team_summary` returns None for an unknown team.
+    """
 
     def __init__(
         self,
         process: Process,
         dump: Dump,
         upstreams: Callable[[], list[dict[str, object]]],
-        team_part: Callable[[str], dict[str, object] | None],
+        team_summary: Callable[[str], dict[str, object] | None],
         metrics: RenderMetrics,
     ) -> None:
         self._process = process
         self._dump = dump
         self._upstreams = upstreams
-        self._team_part = team_part
+        self._team_summary = team_summary
         self._metrics = metrics
 
     async def handle(self, exchange: Exchange) -> None:
@@ -85,7 +88,7 @@
         await exchange.respond(200, headers, held.accepted_body)
 
     async def _show_team(self, exchange: Exchange, team: str) -> None:
-        part = self._team_part(team)
+        part = self._team_summary(team)
         if part is None:
             await exchange.respond_json(404, {"error": "no such team"})
             return
--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -1,6 +1,7 @@
-"""The entry role: callers' requests in, heartbeats and questions of upstream daemons in.
+"""Implements the entry role: forwards callers' requests to upstreams.
 
-An entry keeps nothing that another entry needs. It can be killed and replaced at any time.
+An entry also receives the heartbeats of upstream daemons and answers their requests for turns in a
+rollout. It holds no state that another entry needs, so it can be killed and replaced at any time.
 """
 
 import logging
@@ -36,9 +37,9 @@
     def __init__(self, settings: Settings) -> None:
         self.process = Process(settings, self._handle_message)
         self.statuses = StatusTable()
-        self._judge = TurnResponder(self.process.documents, self.statuses)
+        self._turn_responder = TurnResponder(self.process.documents, self.statuses)
         self.picker = Picker(settings.zone, self.statuses)
-        self.path = EntryHandler(
+        self.handler = EntryHandler(
             self.process.documents,
             self.statuses,
             self.picker,
@@ -57,7 +58,7 @@
             self.process,
             self.dump,
             self.list_upstreams,
-            self.team_part,
+            self.team_summary,
             self._metrics.render,
         )
 
@@ -74,44 +75,44 @@
             admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY)
             await serve_http(nursery, self._admin.handle, settings.listen.admin, admin_limits)
             server, bound, scope = await serve_http(
-                nursery, self.path.handle, settings.listen.http, limits
+                nursery, self.handler.handle, settings.listen.http, limits
             )
             nursery.start_soon(self.process.run)
-            nursery.start_soon(self.process.on_change, self._forget_absent)
+            nursery.start_soon(self.process.on_change, self._remove_absent)
             _log_listening(bound)
             await stop.wait()
             await self._drain(server, scope)
             nursery.cancel_scope.cancel()
 
     async def _drain(self, server: HttpServer, scope: trio.CancelScope) -> None:
-        """Let the balancer see it, take nothing new, let what runs end."""
+        """Report unhealthy, stop accepting after the notice, then wait for running requests."""
         stop = self.process.settings.stop
         self.process.unhealthy = "draining"
-        logger.info("draining", extra={"in_flight": self.path.in_flight})
+        logger.info("draining", extra={"in_flight": self.handler.in_flight})
         with trio.move_on_after(stop.limit_seconds):
             await trio.sleep(stop.notice_seconds)
-            # No connection is accepted any more; those that were are still served.
+            # Stops accepting connections; those already accepted are still served.
             scope.cancel()
             server.close_idle()
             await server.wait_closed()
-        logger.info("drained", extra={"in_flight": self.path.in_flight})
+        logger.info("drained", extra={"in_flight": self.handler.in_flight})
 
     def dump(self) -> dict[str, object]:
         """Return the whole state."""
         return {
             **self.process.dump(),
-            "requests": dict(self.path.counts),
-            "in_flight": self.path.in_flight,
-            "attempts": self.path.attempts,
-            "retries": {"spent": self.path.budget.spent, "denied": self.path.budget.denied},
-            "teams": self.path.limits.dump(),
+            "requests": dict(self.handler.counts),
+            "in_flight": self.handler.in_flight,
+            "attempts": self.handler.attempts,
+            "retries": {"spent": self.handler.budget.spent, "denied": self.handler.budget.denied},
+            "teams": self.handler.limits.dump(),
             "upstreams": self.list_upstreams(),
             "picker": self.picker.dump(),
             "stale_heartbeats": self.statuses.stale,
         }
 
     def list_upstreams(self) -> list[dict[str, object]]:
-        """Return what is known of every upstream."""
+        """Return the state of every upstream as known from heartbeats."""
         return [
             {
                 "host": daemon.status.host,
@@ -131,8 +132,8 @@
             for daemon, upstream in self.statuses.upstreams()
         ]
 
-    def team_part(self, team: str) -> dict[str, object] | None:
-        """Return what concerns one team: its limits, its numbers and its routes."""
+    def team_summary(self, team: str) -> dict[str, object] | None:
+        """Return one team's limits, counters here and routes, or None if the team is unknown."""
         fleet = self.process.documents.fleet
         if team not in fleet.teams:
             return None
@@ -146,7 +147,7 @@
                 "burst": limits.burst,
                 "max_in_flight": limits.max_in_flight,
             },
-            "here": self.path.limits.dump().get(team, {}),
+            "here": self.handler.limits.dump().get(team, {}),
             "routes": routes,
         }
 
@@ -160,11 +161,11 @@
             case Goodbye(host=host, incarnation=incarnation):
                 self.statuses.forget(host, incarnation)
             case AskTurn() as question:
-                incoming.reply(self._judge.answer(question), None)
+                incoming.reply(self._turn_responder.answer(question), None)
             case _:
                 self.process.node.malformed += 1
 
-    def _forget_absent(self) -> None:
+    def _remove_absent(self) -> None:
         hosts = self.process.documents.hosts
         self.statuses.keep_only({host.name for host in hosts.hosts})
         self.picker.remove_absent({u.name for host in hosts.hosts for u in host.upstreams})
@@ -174,12 +175,12 @@
 
     def _samples(self) -> Samples:
         samples = process_samples(self.process)
-        for outcome, count in self.path.counts.items():
+        for outcome, count in self.handler.counts.items():
             verdict, _, reason = outcome.partition(" ")
             samples[sample("requests_total", verdict=verdict, reason=reason)] = count
-        samples[sample("requests_in_flight")] = self.path.in_flight
-        samples[sample("attempts_total")] = self.path.attempts
-        samples[sample("retries_denied_total")] = self.path.budget.denied
+        samples[sample("requests_in_flight")] = self.handler.in_flight
+        samples[sample("attempts_total")] = self.handler.attempts
+        samples[sample("retries_denied_total")] = self.handler.budget.denied
         for daemon, upstream in self.statuses.upstreams():
             labels = {"upstream": upstream.name, "state": upstream.state, "pool": upstream.pool}
             samples[sample("upstream_silent", **labels)] = float(daemon.silent())
--- a/libs/daemon/src/headcross_daemon/entrynews.py
+++ b/libs/daemon/src/headcross_daemon/entrynews.py
@@ -1,9 +1,9 @@
-"""What an entry tells other processes of what its own requests taught it.
+"""Sends news that an entry gained from its own requests to other processes.
 
-What is new is told at once: refused requests to the entries of the zone, lost replicas and what
-replicas ask to all entries. A few daemons keep the losses for entries that start after all others
-were killed. What still holds is told to a few entries each second: some may have started, or come
-out of a cut.
+News are sent at once: refused requests to the entries of the zone, lost replicas and the
+backpressure of replicas to all entries. A few daemons keep the losses for entries that start after
+all others were killed. News that still hold are repeated to a few entries each second, since some
+may have started or reconnected.
 """
 
 import random
@@ -22,24 +22,25 @@
 from headcross_wire.peermessages import LossNews, RefusedNews, ReplicaNews
 from headcross_wire.peernode import PeerNode
 
-# What is learned of lost replicas is told at once, and what comes within so long then together.
-TOLD_TOGETHER_SECONDS: Final = 0.1
-# Daemons that are told what makes requests suspect; their links are narrow.
-LOSS_KEEPERS: Final = 4
-# How often news are sent to one whose link is not open, and how soon again.
-TELL_TRIES: Final = 5
-TELL_AGAIN_SECONDS: Final = 0.1
-# Entries to which everything known of replicas is told again, each second.
-REPEAT_NEWS_TO: Final = 3
+# After news of lost replicas are sent, later ones are collected for this long and sent together.
+NEWS_BATCH_SECONDS: Final = 0.1
+# Number of daemons that keep the losses that make requests suspect. Few, as the links of daemons
+# have little bandwidth.
+DAEMONS_FOR_LOSSES: Final = 4
+# How often news are sent to a peer whose link is not open yet, and the interval between attempts.
+MAX_SEND_ATTEMPTS: Final = 5
+SEND_RETRY_SECONDS: Final = 0.1
+# Number of entries to which all news are repeated, each second.
+ENTRIES_PER_REPEAT: Final = 3
 
 Addresses = Callable[[], list[Address]]
 
 
 class EntryNews:
-    """The news of one entry.
+    """Sends the news of one entry.
 
-    `entries` are the other entries known, `zone_entries` those of the own zone, and `daemons`
-    those that the entry keeps itself informed by; daemons listen on `control_port`.
+    `entries` returns the other known entries, `zone_entries` those in the entry's own zone, and
+    `daemons` the daemons in its subset. Daemons listen on `control_port`.
     """
 
     def __init__(
@@ -64,62 +65,65 @@
         self._control_port = control_port
 
     def receive_replica_news(self, news: ReplicaNews) -> list[ReplicaState]:
-        """Take what another entry tells of replicas; return those of which it changes anything."""
+        """Record news of replicas from another entry; return the replicas whose state changed."""
         return receive_news(news, self._directory.find, monotonic())
 
-    def tell_refused(self) -> None:
-        """Tell the other entries of the zone what was refused here since the last time."""
+    def send_refused(self) -> None:
+        """Send the requests refused here since the last call to the other entries of the zone."""
         refused = self._overload.refused.take_pending()
         for address in self._zone_entries() if refused else []:
             self._node.send(address, RefusedNews(refused))
 
-    async def tell_asked(self) -> None:
-        """Tell what replicas have begun to ask of all entries, or no longer do."""
+    async def send_replica_news(self) -> None:
+        """Send changes in the backpressure of replicas to all entries.
+
+        Those of leaving replicas go to the daemons beside them, too.
+        """
         news = pending_news(self._directory.states(), monotonic())
         if news is not None:
-            await self._tell(news, [*self._entries(), *self._daemons_beside(news)])
+            await self._send(news, [*self._entries(), *self._daemons_beside(news)])
 
-    async def share_losses(self) -> None:
-        """Tell all other entries, and a few daemons, what is learned here of lost replicas."""
+    async def send_losses(self) -> None:
+        """Send news of lost replicas to all other entries and a few daemons, until cancelled."""
         async with trio.open_nursery() as nursery:
             while True:
                 news = await self._containment.wait_pending_news()
-                nursery.start_soon(self._tell, news, self._entries())
+                nursery.start_soon(self._send, news, self._entries())
                 kept = self._containment.shared.suspect_news(monotonic())
                 if kept is not None:
-                    nursery.start_soon(self._tell, kept, self._keepers())
-                await trio.sleep(TOLD_TOGETHER_SECONDS)
+                    nursery.start_soon(self._send, kept, self._daemons_for_losses())
+                await trio.sleep(NEWS_BATCH_SECONDS)
 
-    def repeat(self) -> None:
-        """Tell a few entries everything that holds of replicas."""
+    def repeat_known(self) -> None:
+        """Send all valid news of replicas to a few entries."""
         now = monotonic()
         lost = self._containment.shared.all_news(now)
-        asked = all_news(self._directory.states(), now)
+        backpressure = all_news(self._directory.states(), now)
         entries = self._entries()
-        for address in random.sample(entries, min(REPEAT_NEWS_TO, len(entries))):
-            for news in (lost, asked):
+        for address in random.sample(entries, min(ENTRIES_PER_REPEAT, len(entries))):
+            for news in (lost, backpressure):
                 if news is not None:
                     self._node.send(address, news)
 
-    def _keepers(self) -> list[Address]:
-        """Return daemons that keep losses for entries that start after all others were killed.
+    def _daemons_for_losses(self) -> list[Address]:
+        """Return the daemons that keep losses for entries that start after all others were killed.
 
-        All entries choose the same ones among the daemons that they keep themselves informed by.
+        Rendezvous hashing makes all entries choose the same ones among the daemons they share.
         """
         daemons = {str(address): address for address in self._daemons()}
-        return [daemons[name] for name in rendezvous_order("losses", daemons)[:LOSS_KEEPERS]]
+        return [daemons[name] for name in rendezvous_order("losses", daemons)[:DAEMONS_FOR_LOSSES]]
 
     def _daemons_beside(self, news: ReplicaNews) -> list[Address]:
-        """Return the daemons beside the replicas of some news that say that they leave."""
+        """Return the daemons beside the leaving replicas in `news`."""
         leaving = {item.replica for item in news.items if item.leaving}
         port = self._control_port()
         replicas = self._directory.replicas_with_daemons()
         return [Address(r.address.ip, port) for r in replicas if r.id in leaving]
 
-    async def _tell(self, news: LossNews | ReplicaNews, to: list[Address]) -> None:
-        """Send news; where the first message only opens the link, send them again."""
-        for _ in range(TELL_TRIES):
+    async def _send(self, news: LossNews | ReplicaNews, to: list[Address]) -> None:
+        """Send news, with retries since the first message to a peer only opens the link."""
+        for _ in range(MAX_SEND_ATTEMPTS):
             to = [address for address in to if not self._node.send(address, news)]
             if not to:
                 return
-            await trio.sleep(TELL_AGAIN_SECONDS)
+            await trio.sleep(SEND_RETRY_SECONDS)
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -1,6 +1,6 @@
-"""The entry role on the machines: callers' requests straight to replicas.
+"""Implements the entry role on the machines: forwards callers' requests directly to replicas.
 
-An entry keeps nothing that another entry needs. It can be killed and replaced at any time.
+An entry holds no state that another entry needs, so it can be killed and replaced at any time.
 """
 
 import logging
@@ -42,39 +42,45 @@
 from prometheus_client import Histogram
 
 from headcross_daemon.entrynews import EntryNews
-from headcross_daemon.machinecommon import AdminPages, MachineProcess
+from headcross_daemon.machineprocess import AdminPages, MachineProcess
 from headcross_daemon.machinesettings import MachineSettings
 from headcross_daemon.metrics import Samples, sample
 from headcross_daemon.readiness import Readiness
-from headcross_daemon.versionnews import NEWS_SECONDS, hear_versions, news_of_versions
+from headcross_daemon.versionnews import (
+    VERSION_NEWS_SECONDS,
+    receive_version_news,
+    recent_version_news,
+)
 
 if TYPE_CHECKING:
     from headcross_daemon.mirrorparts import MirrorParts
 
 LATENCY_BUCKETS: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12)
-SUBSCRIBE_SECONDS: Final = 1.0
-# Before a bound on old weights, subscriptions show which links deliver (see replicastate): they
-# are this frequent from a while before that counts.
-PROOF_SECONDS: Final = 0.3
-PROOFS_AHEAD_SECONDS: Final = ENDING_SECONDS + 1.5
-HOUSEKEEPING_SECONDS: Final = 1.0
-# Refused callers come back after 0.4 s at the earliest, to another entry of the zone.
-OVERLOAD_SECONDS: Final = 0.2
-# An entry asks for the losses that daemons keep for so long after its start.
-ASK_LOSSES_SECONDS: Final = 6.0
-# Descriptors that are not connections of callers or to replicas.
+SUBSCRIBE_INTERVAL_SECONDS: Final = 1.0
+# Before the bound on old weights, subscriptions show which links deliver (see replicastate). They
+# are sent at this interval, beginning some time before the result is needed.
+PROOF_INTERVAL_SECONDS: Final = 0.3
+PROOF_LEAD_SECONDS: Final = ENDING_SECONDS + 1.5
+HOUSEKEEPING_INTERVAL_SECONDS: Final = 1.0
+# Refused callers return after 0.4 s at the earliest, to another entry of the zone, which must know
+# of the refusal by then.
+OVERLOAD_CHECK_SECONDS: Final = 0.2
+# How long after its start an entry requests the losses that daemons keep.
+REQUEST_LOSSES_SECONDS: Final = 6.0
+# Descriptors for anything but connections from callers and to replicas.
 RESERVED_DESCRIPTORS: Final = 300
-# After a stop signal callers still come for this long: the platform asks for readiness once a
-# second and needs two answers.
-STILL_TAKING_SECONDS: Final = 4.0
-# Until then requests are taken whose time limit ends after the process; later ones are refused as
-# not run, since they could be cut.
-TAKING_ALL_SECONDS: Final = 2.6
-# The process ends this long before the platform would kill it.
+# How long connections are accepted after a stop signal. The platform checks readiness once a
+# second and needs two answers before it stops sending callers.
+ACCEPT_AFTER_STOP_SECONDS: Final = 4.0
+# How long after a stop signal requests are accepted even if their time limit ends after the
+# process. Later ones are refused as not run, since the end of the process could cut them off.
+ACCEPT_ALL_AFTER_STOP_SECONDS: Final = 2.6
+# The process exits this long before the platform would kill it.
 STOP_MARGIN_SECONDS: Final = 0.5
-# Callers rest on connections for less than the idle time they are told; this much is added to it.
-IDLE_EXTRA_SECONDS: Final = 3.0
-BODY_SECONDS: Final = 20.0
+# Added to the idle timeout of the configuration, which callers know, so that they stop using an
+# idle connection before the entry closes it.
+IDLE_MARGIN_SECONDS: Final = 3.0
+BODY_TIMEOUT_SECONDS: Final = 20.0
 
 logger = logging.getLogger(__name__)
 
@@ -90,7 +96,7 @@
             path,
             adapter,
             self._daemons,
-            self._hear,
+            self._handle_message,
             entry_pace(settings.bounds.facts),
             self._other_entries,
         )
@@ -143,28 +149,30 @@
         self._readiness = Readiness(
             lambda: self.process.facts.complete, self._directory.has_most_reports
         )
-        # Rounds of telling others that this entry mirrors weights.
+        # Number of rounds in which daemons outside of the subset were told of this mirror.
         self._announcements = 0
-        # Until then daemons are asked for the losses that they keep (monotonic).
-        self._asks_losses_until = monotonic() + ASK_LOSSES_SECONDS
-        # How many entries there are, as far as this one can tell.
-        self._entries = 1
+        # When to stop requesting losses from daemons (monotonic time).
+        self._request_losses_until = monotonic() + REQUEST_LOSSES_SECONDS
+        # Estimated number of entries, including this one.
+        self._entry_count = 1
 
     async def run(self, stop: trio.Event) -> None:
-        """Serve until `stop` is set, then let what runs end and return."""
+        """Serve until `stop` is set, then drain and return."""
         settings = self.process.settings
         async with trio.open_nursery() as nursery:
             callers, _ = await self._server.listen(parse_address(settings.listen.callers))
             readiness = HttpServer(self._answer_readiness, ServerLimits(max_body_bytes=1024))
-            asked, _ = await readiness.listen(parse_address(settings.listen.readiness))
-            nursery.start_soon(readiness.serve, asked)
+            readiness_listeners, _ = await readiness.listen(
+                parse_address(settings.listen.readiness)
+            )
+            nursery.start_soon(readiness.serve, readiness_listeners)
             await self._pages.serve(nursery, settings.listen.metrics)
             nursery.start_soon(self.process.run)
-            nursery.start_soon(self.process.on_change, self._take_facts)
+            nursery.start_soon(self.process.on_change, self._apply_facts)
             nursery.start_soon(self._subscribe)
-            nursery.start_soon(self._keep_house)
+            nursery.start_soon(self._run_housekeeping)
             nursery.start_soon(self._watch_overload, nursery)
-            nursery.start_soon(self._news.share_losses)
+            nursery.start_soon(self._news.send_losses)
             nursery.start_soon(self._path.unbegun.run)
             if self._mirror is not None:
                 nursery.start_soon(self._mirror.run)
@@ -214,7 +222,7 @@
         }
 
     def _reserved_shares(self) -> dict[str, float]:
-        """Return the part of the places that is kept for first tries, by service."""
+        """Return, by service, the share of slots that is reserved for first attempts."""
         configuration = self.process.facts.configuration
         services = configuration.services if configuration is not None else ()
         return {name: round(self._overload.reserved_share(name), 3) for name in services}
@@ -245,7 +253,7 @@
         return self._readiness.is_ready(trio.current_time())
 
     def _limits(self) -> ServerLimits:
-        """Return what the configuration in force lets callers do."""
+        """Return the limits on callers under the configuration in force."""
         settings = self.process.settings
         connections = max(64, (settings.limits.descriptors - RESERVED_DESCRIPTORS) * 2 // 3)
         configuration = self.process.facts.configuration
@@ -254,8 +262,8 @@
         limits = configuration.limits
         return ServerLimits(
             max_body_bytes=limits.max_body_bytes,
-            receive_seconds=BODY_SECONDS,
-            idle_seconds=limits.idle_seconds + IDLE_EXTRA_SECONDS,
+            receive_seconds=BODY_TIMEOUT_SECONDS,
+            idle_seconds=limits.idle_seconds + IDLE_MARGIN_SECONDS,
             max_connections=connections,
             max_header_bytes=limits.max_header_bytes,
             header_seconds=limits.header_seconds,
@@ -263,18 +271,19 @@
         )
 
     async def _drain(self, accepting: trio.CancelScope) -> None:
-        """Say so, still serve who comes, let what runs end."""
+        """Report not ready, serve requests that still arrive, then wait for running ones."""
         self._readiness.stop()
         self._server.sends_callers_away = True
         logger.info("stopping", extra={"in_flight": self._path.in_flight})
         limit = self.process.settings.bounds.stop_seconds - STOP_MARGIN_SECONDS
         started_at = trio.current_time()
         with trio.move_on_after(limit):
-            # At first everything is taken: callers still come, and most requests are short.
-            await trio.sleep(min(TAKING_ALL_SECONDS, limit / 3))
+            # At first all requests are accepted: callers still arrive, and most requests are short.
+            await trio.sleep(min(ACCEPT_ALL_AFTER_STOP_SECONDS, limit / 3))
             self._path.refuse_ending_after(started_at + limit)
             await trio.sleep(
-                min(STILL_TAKING_SECONDS, limit / 2) - min(TAKING_ALL_SECONDS, limit / 3)
+                min(ACCEPT_AFTER_STOP_SECONDS, limit / 2)
+                - min(ACCEPT_ALL_AFTER_STOP_SECONDS, limit / 3)
             )
             accepting.cancel()
             self._server.close_idle()
@@ -283,11 +292,11 @@
 
     # Facts.
 
-    def _take_facts(self) -> None:
+    def _apply_facts(self) -> None:
         self._directory.entries = len(self.process.known_entries()) + 1
         self._update_directory()
         self._directory.choose_subset()
-        self._ready()  # the wait for daemons begins when facts are complete
+        self._ready()  # starts the wait for daemons once the facts are complete
         self._server.limits = self._limits()
         configuration = self.process.facts.configuration
         if configuration is not None:
@@ -295,7 +304,7 @@
                 self._admission.notify(service)
 
     def _update_directory(self) -> None:
-        """Take the list of replicas; connections to earlier incarnations are of no use."""
+        """Apply the list of replicas; close connections to earlier incarnations of replicas."""
         for address in self._directory.update():
             self._path.attempts.connections.forget(address)
 
@@ -304,7 +313,7 @@
         return [Address(address.ip, port) for address in self._directory.subset_daemons()]
 
     def _daemons_for_digests(self, goal: LoadedModel) -> list[Address]:
-        """Return the daemons of this region that know a version's digests, or are to read them."""
+        """Return the daemons of this region that have a version's digests or will read them."""
         settings = self.process.settings
         replicas = self._directory.replicas_with_daemons()
         near = replicas_in_region_of(settings.zone, replicas, settings.zones)
@@ -312,13 +321,13 @@
         return [Address(r.address.ip, settings.peers.control_port) for r in known]
 
     def _other_entries(self) -> list[Address]:
-        """Return the entries that mirror weights, as this one heard of them."""
+        """Return the known entries that mirror weights."""
         port = parse_address(self.process.settings.listen.peers).port
         known = self._mirror.known() if self._mirror is not None else []
         return [Address(mirror.ip, port) for mirror in known]
 
     def _zone_entries(self) -> list[Address]:
-        """Return the other entries of this zone, to which callers that were refused return."""
+        """Return the other known entries of this zone, to which refused callers return."""
         settings = self.process.settings
         port = parse_address(settings.listen.peers).port
         known = self._mirror.known() if self._mirror is not None else []
@@ -326,13 +335,13 @@
             Address(m.ip, port) for m in known if m.zone == settings.zone and m.ip != settings.ip
         ]
 
-    def _hear(self, incoming: Incoming) -> None:
+    def _handle_message(self, incoming: Incoming) -> None:
         if isinstance(incoming.message, AskPlan):
             plan = self._plan()
             if plan is not None:
                 incoming.reply(KnownPlan(plan), None)
             return
-        if self._mirror is not None and self._mirror.hear(incoming):
+        if self._mirror is not None and self._mirror.handle_message(incoming):
             return
         if isinstance(incoming.message, RefusedNews):
             self._overload.refused.receive(incoming.message.fingerprints, trio.current_time())
@@ -347,7 +356,7 @@
         if not isinstance(incoming.message, ReplicaLoad):
             self.process.node.malformed += 1
             return
-        hear_versions(self.process.facts, incoming.message.named)
+        receive_version_news(self.process.facts, incoming.message.named)
         state = self._directory.record_report(incoming.message)
         if state is not None:
             self._admission.notify(state.replica.service)
@@ -355,30 +364,30 @@
     async def _subscribe(self) -> None:
         while True:
             self._directory.choose_subset()
-            self._count_entries()
+            self._update_entry_count()
             daemons = self._daemons()
             messages = map(self._with_news, self._subscriptions(daemons), daemons)
             send = self.process.node.send
-            taken = [send(*pair) for pair in zip(daemons, messages, strict=True)]
+            accepted = [send(*pair) for pair in zip(daemons, messages, strict=True)]
             if self._mirror is not None:
                 self._announce_mirror(self._mirror)
-            # The first message to a daemon only opens the link, and at the start none is known.
-            is_known = bool(daemons) and all(taken)
-            seconds = SUBSCRIBE_SECONDS if is_known else SUBSCRIBE_SECONDS / 5
-            if self._rules.any_ends_within(PROOFS_AHEAD_SECONDS):
-                seconds = PROOF_SECONDS
+            # The first message to a daemon only opens the link, and at a start no daemon is known.
+            is_known = bool(daemons) and all(accepted)
+            seconds = SUBSCRIBE_INTERVAL_SECONDS if is_known else SUBSCRIBE_INTERVAL_SECONDS / 5
+            if self._rules.any_ends_within(PROOF_LEAD_SECONDS):
+                seconds = PROOF_INTERVAL_SECONDS
             await trio.sleep(seconds * random.uniform(0.8, 1.2))
 
-    def _count_entries(self) -> None:
+    def _update_entry_count(self) -> None:
         entries = self._directory.estimate_entries()
         if entries is not None:
-            self._entries = entries
+            self._entry_count = entries
             self._path.budget.note_entries(entries)
 
     def _announce_mirror(self, mirror: "MirrorParts") -> None:
-        """Tell the daemons outside of the subset, half of them at a time, that this one mirrors.
+        """Announce the mirror to daemons outside of the subset, to half of them in each round.
 
-        All hosts of a transfer must go by the same order of mirrors.
+        All hosts of a transfer must use the same order of mirrors.
         """
         message = mirror.announcement(self._readiness.is_stopping)
         if message is None:
@@ -390,44 +399,44 @@
 
     def _subscriptions(self, daemons: list[Address]) -> list[Subscribe]:
         plan = self._plan()
-        sent_ms = now_ms() if self._rules.any_ends_within(PROOFS_AHEAD_SECONDS) else 0
+        sent_ms = now_ms() if self._rules.any_ends_within(PROOF_LEAD_SECONDS) else 0
         if self._mirror is not None:
             return self._mirror.subscriptions(
-                daemons, self._entries, self._readiness.is_stopping, plan, sent_ms
+                daemons, self._entry_count, self._readiness.is_stopping, plan, sent_ms
             )
         host = self.process.settings.host
         return [Subscribe(host, plan=plan, sent_ms=sent_ms)] * len(daemons)
 
     def _with_news(self, message: Subscribe, daemon: Address) -> Subscribe:
-        """Add what the daemon's process would not know if it has just begun."""
+        """Add the news that a daemon lacks if its process has just started."""
         return msgspec.structs.replace(
             message,
-            named=news_of_versions(self.process.facts),
-            loaded=self._directory.recently_loaded(daemon.ip, NEWS_SECONDS),
+            named=recent_version_news(self.process.facts),
+            loaded=self._directory.recently_loaded(daemon.ip, VERSION_NEWS_SECONDS),
             first_heard_age=self._directory.first_heard_age(daemon.ip),
-            wants_losses=monotonic() < self._asks_losses_until,
+            wants_losses=monotonic() < self._request_losses_until,
         )
 
     def _plan(self) -> WeightsPlan | None:
-        """Return what daemons need of the configuration in force."""
+        """Return the part of the configuration in force that daemons need."""
         configuration = self.process.facts.configuration
         return plan_of(configuration) if configuration is not None else None
 
     async def _watch_overload(self, nursery: trio.Nursery) -> None:
-        """Measure the demand, look for lost replicas, tell what is new, again and again."""
+        """Measure demand, detect lost replicas and send news, at short intervals."""
         while True:
-            await trio.sleep(OVERLOAD_SECONDS)
+            await trio.sleep(OVERLOAD_CHECK_SECONDS)
             self._overload.measure(trio.current_time())
             self._containment.update()
-            self._news.tell_refused()
-            nursery.start_soon(self._news.tell_asked)
+            self._news.send_refused()
+            nursery.start_soon(self._news.send_replica_news)
 
-    async def _keep_house(self) -> None:
-        """Once a second: take the list anew, close connections that were idle for too long."""
+    async def _run_housekeeping(self) -> None:
+        """Once a second, apply the list of replicas, repeat news and close expired connections."""
         while True:
-            await trio.sleep(HOUSEKEEPING_SECONDS)
+            await trio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
             self._update_directory()
-            self._news.repeat()
+            self._news.repeat_known()
             await self._path.attempts.connections.close_expired()
 
     # Metrics.
--- a/libs/daemon/src/headcross_daemon/heartbeats.py
+++ b/libs/daemon/src/headcross_daemon/heartbeats.py
@@ -1,7 +1,8 @@
-"""Heartbeats of an upstream daemon to all entries.
+"""Sends heartbeats of an upstream daemon to all entries.
 
-Sent at once when the state of an upstream changed, else once a period that grows with the fleet
-(see `headcross_fleet.membership`). A heartbeat that found a link down is sent again soon.
+A heartbeat is sent at once when the state of an upstream changes, otherwise once per period, which
+grows with the fleet (see `headcross_fleet.membership`). If a link was down, the heartbeat is sent
+again after a short delay.
 """
 
 from collections.abc import Callable
@@ -15,17 +16,17 @@
 from headcross_wire.peermessages import Goodbye, Status, UpstreamStatus
 from headcross_wire.peernode import PeerNode
 
-# The progress of a transfer is looked at this often; other changes are told at once.
-LOOK_SECONDS: Final = 1.0
+# How often the progress of transfers is checked; other changes are sent at once.
+PROGRESS_CHECK_SECONDS: Final = 1.0
 RESEND_SECONDS: Final = 0.3
-# Progress of a transfer is told in steps of this share.
+# Progress of a transfer is sent in steps of this share.
 PROGRESS_STEP: Final = 0.1
 
 
 class Heartbeats:
-    """Tells the entries of this daemon's upstreams."""
+    """Reports the state of this daemon's upstreams to the entries."""
 
-    # Heartbeats sent, over all entries.
+    # Number of heartbeats sent, over all entries.
     sent: int
 
     def __init__(
@@ -46,25 +47,25 @@
         self._changed = trio.Event()
 
     async def run(self) -> None:
-        """Send until cancelled."""
+        """Send heartbeats until cancelled."""
         due_at = 0.0
-        told: object = None
+        sent_state: object = None
         while True:
-            news = self._news()
-            if news != told or monotonic() >= due_at:
+            state = self._urgent_state()
+            if state != sent_state or monotonic() >= due_at:
                 complete = self.send()
-                told = news
+                sent_state = state
                 due_at = monotonic() + (self._period() if complete else RESEND_SECONDS)
-            with trio.move_on_after(min(LOOK_SECONDS, max(0.0, due_at - monotonic()))):
+            with trio.move_on_after(min(PROGRESS_CHECK_SECONDS, max(0.0, due_at - monotonic()))):
                 await self._changed.wait()
             self._changed = trio.Event()
 
-    def tell_change(self) -> None:
-        """Something worth telling at once may have changed."""
+    def notify_change(self) -> None:
+        """Check at once whether anything changed that needs a heartbeat."""
         self._changed.set()
 
     def send(self) -> bool:
-        """Send one heartbeat to every entry; return whether all links took it."""
+        """Send one heartbeat to every entry; return whether all links accepted it."""
         self._sequence += 1
         status = Status(
             host=self._host,
@@ -76,17 +77,17 @@
             upstreams=self._report(),
         )
         entries = self._entries()
-        taken = [self._node.send(entry.control_address, status) for entry in entries]
-        self.sent += sum(taken)
-        return all(taken)
+        accepted = [self._node.send(entry.control_address, status) for entry in entries]
+        self.sent += sum(accepted)
+        return all(accepted)
 
-    def say_goodbye(self) -> None:
-        """Tell the entries that this daemon is gone."""
+    def send_shutdown_notice(self) -> None:
+        """Notify the entries that this daemon shuts down."""
         for entry in self._entries():
             self._node.send(entry.control_address, Goodbye(self._host, self._incarnation))
 
-    def _news(self) -> tuple[object, ...]:
-        """Return what is worth telling at once when it changes."""
+    def _urgent_state(self) -> tuple[object, ...]:
+        """Return the state of which every change is sent at once."""
         upstreams = [
             (u.name, u.state, u.pool, u.digest, int(u.progress / PROGRESS_STEP))
             for u in self._report()
--- a/libs/daemon/src/headcross_daemon/losskeeping.py
+++ b/libs/daemon/src/headcross_daemon/lossregistry.py
@@ -1,7 +1,7 @@
-"""What a daemon beside a replica keeps for entries: which requests replicas were lost under.
+"""Keeps news of lost replicas, and of the requests that ran there, at a daemon beside a replica.
 
-Entries know it from one another, and may all be killed at once. Daemons take no part in what
-follows from it; they tell it to an entry that asks, which one does that has just started.
+Entries exchange these news among themselves, but may all be killed at once. Daemons only store the
+news, without acting on them, and return them to entries that ask, as entries do after a start.
 """
 
 from headcross_base.clocks import monotonic
@@ -10,20 +10,20 @@
 from headcross_wire.peernode import Reply
 
 
-class LossKeeper:
-    """The losses that one daemon was told."""
+class LossRegistry:
+    """The losses reported to one daemon."""
 
     def __init__(self) -> None:
         self._shared = SharedLosses()
 
-    def hear(self, news: LossNews) -> None:
-        """Take the news of an entry."""
+    def receive(self, news: LossNews) -> None:
+        """Record the news sent by an entry."""
         now = monotonic()
         self._shared.receive(news, now)
         self._shared.losses.expire(now)
 
     def answer(self, reply: Reply) -> None:
-        """Tell an entry everything that is remembered, if there is anything."""
+        """Reply to an entry with all losses that have not expired, if there are any."""
         now = monotonic()
         self._shared.losses.expire(now)
         news = self._shared.all_news(now)
@@ -31,5 +31,5 @@
             reply(news, None)
 
     def dump(self) -> int:
-        """Return how many losses are remembered."""
+        """Return the number of losses held."""
         return len(self._shared.losses.losses())
--- a/libs/daemon/src/headcross_daemon/machinemain.py
+++ b/libs/daemon/src/headcross_daemon/machinemain.py
@@ -1,8 +1,8 @@
-"""Starts a process on the machines: settings, logs, signals, the role.
+"""Starts a process on the machines of a platform: settings, logs, signals and the role.
 
-The program that calls `run` brings the adapter of its platform; nothing here knows which it is.
-Exit codes: 0 after a planned stop, 2 for settings that are not valid, 3 when an address cannot be
-bound.
+The program that calls `run` supplies the adapter of its platform; this module does not depend on
+the platform. Exit codes: 0 after a planned stop, 2 for settings that are not valid, 3 when an
+address cannot be bound.
 """
 
 import faulthandler
@@ -24,7 +24,7 @@
 from headcross_wire.httpclient import SOURCE_IP
 from headcross_wire.httpserver import BindError
 
-from headcross_daemon.machinecommon import MachineProcess
+from headcross_daemon.machineprocess import MachineProcess
 from headcross_daemon.machinesettings import MachineSettings, read_machine_settings
 
 EXIT_STOPPED: Final = 0
@@ -37,7 +37,7 @@
 
 
 class Role(Protocol):
-    """What both roles look like from here."""
+    """The interface that both roles have."""
 
     process: MachineProcess
 
@@ -47,7 +47,7 @@
 
 def run(path: Path, make_adapter: MakeAdapter) -> int:
     """Run the process that a settings file describes; return the exit code."""
-    # A crash of a library leaves the stack of every thread on standard error.
+    # If a native library crashes, the stack of every thread is written to standard error.
     faulthandler.enable()
     settings = read_machine_settings(path)
     if isinstance(settings, Failure):
@@ -73,7 +73,8 @@
     SOURCE_IP.set(settings.ip)
     stop = trio.Event()
     role = _make_role(settings, path, adapter)
-    # What was built so far lives as long as the process; the collector need not look at it again.
+    # Objects created so far live as long as the process, so the garbage collector need not traverse
+    # them again.
     gc.freeze()
     logger.info(
         "started", extra={"version": VERSION, "role": settings.role, "zone": settings.zone}
@@ -96,7 +97,7 @@
 
 
 def _make_role(settings: MachineSettings, path: Path, adapter: Adapter) -> Role:
-    # Each role imports only what it needs, which keeps the other one's libraries out of memory.
+    # Each role is imported only when used, which keeps the other one's libraries out of memory.
     if settings.role == "entry":
         from headcross_daemon.gatewayrole import GatewayRole
 
--- a/libs/daemon/src/headcross_daemon/machinecommon.py
+++ b/libs/daemon/src/headcross_daemon/machineprocess.py
@@ -1,4 +1,4 @@
-"""What both roles on the machines share: facts, peers, metrics, settings that change."""
+"""Holds the parts that both roles on the machines share: facts, peers, metrics and settings."""
 
 import logging
 from collections.abc import Callable
@@ -34,7 +34,11 @@
 
 
 class MachineProcess:
-    """The common parts of one process."""
+    """The common parts of one process.
+
+    `peers` returns the peers that are asked for facts, `entries` the entries learned from peers.
+    `handle_other` receives the messages that the common parts do not handle.
+    """
 
     settings: MachineSettings
     facts: Facts
@@ -49,7 +53,7 @@
         path: Path,
         adapter: Adapter,
         peers: Callable[[], list[Address]],
-        handle_rest: Handler,
+        handle_other: Handler,
         pace: FollowingPace,
         entries: Callable[[], list[Address]] = list,
     ) -> None:
@@ -65,11 +69,11 @@
         self._adapter = adapter
         self._peers = peers
         self._entries = entries
-        self._handle_rest = handle_rest
-        self._stamp = _stamp(path)
+        self._handle_other = handle_other
+        self._file_signature = _file_signature(path)
 
     async def run(self) -> None:
-        """Follow the platform and speak to peers until cancelled."""
+        """Follow the platform's store and exchange messages with peers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.node.run)
             await trio.lowlevel.checkpoint()
@@ -77,15 +81,15 @@
             nursery.start_soon(self.peer_facts.run)
             nursery.start_soon(self._watch_settings)
 
-    async def on_change(self, act: Callable[[], None]) -> None:
-        """Call `act` now and whenever a fact changes."""
+    async def on_change(self, callback: Callable[[], None]) -> None:
+        """Call `callback` now and whenever a fact changes."""
         while True:
-            act()
+            callback()
             await self.facts.wait_change()
 
     def reload(self, why: str) -> None:
-        """Read the settings file again; settings that are not valid change nothing."""
-        self._stamp = _stamp(self._path)
+        """Read the settings file again; invalid settings are logged and change nothing."""
+        self._file_signature = _file_signature(self._path)
         outcome = read_machine_settings(self._path)
         if isinstance(outcome, Failure):
             logger.error("settings rejected", extra={"why": why, "reason": outcome.detail})
@@ -138,7 +142,7 @@
         return samples
 
     def known_entries(self) -> list[Address]:
-        """Return the other entries: those heard of, and those that the settings name."""
+        """Return the other entries: those learned from peers and those named in the settings."""
         own = parse_address(self.settings.listen.peers)
         found = {*self._entries(), *self.settings.seed_addresses}
         return [address for address in found if address != own]
@@ -158,17 +162,17 @@
             case TopicFacts() as facts:
                 self.peer_facts.receive(facts, "peer")
             case _:
-                self._handle_rest(incoming)
+                self._handle_other(incoming)
 
     async def _watch_settings(self) -> None:
         while True:
             await trio.sleep(SETTINGS_CHECK_SECONDS)
-            if _stamp(self._path) != self._stamp:
+            if _file_signature(self._path) != self._file_signature:
                 self.reload("file changed")
 
 
 class AdminPages:
-    """Metrics and the state dump, for operators."""
+    """Serves metrics and the state dump to operators."""
 
     def __init__(
         self, dump: Callable[[], dict[str, object]], samples: Callable[[], Samples]
@@ -188,7 +192,7 @@
                 await exchange.respond_json(404, {"error": "no such page"})
 
     async def serve(self, nursery: trio.Nursery, address: str) -> None:
-        """Listen in the background, if there is an address to listen on."""
+        """Listen in the background; does nothing if `address` is empty."""
         if not address:
             return
         server = HttpServer(self.handle, ServerLimits(max_body_bytes=MAX_ADMIN_BODY))
@@ -196,8 +200,8 @@
         nursery.start_soon(server.serve, listeners)
 
 
-def _stamp(path: Path) -> tuple[int, int]:
-    """Return what changes when a file does."""
+def _file_signature(path: Path) -> tuple[int, int]:
+    """Return modification time (ns) and size of a file, zeros if it cannot be read."""
     try:
         status = path.stat()
     except OSError:
--- a/libs/daemon/src/headcross_daemon/machinesettings.py
+++ b/libs/daemon/src/headcross_daemon/machinesettings.py
@@ -1,6 +1,7 @@
-"""Settings of a process on machines whose platform publishes what is to run.
+"""Reads the settings of a process on machines whose platform publishes what is to run.
 
-One TOML file, checked whole; every key is known and every address is an IP number with a port.
+The settings are one TOML file, which is validated completely: unknown keys are rejected, and every
+address must be an IP address with a port.
 """
 
 import tomllib
@@ -24,12 +25,12 @@
 
 
 class ListenSection(_Section, frozen=True, kw_only=True):
-    """Where this process listens, IP:PORT; an address that the role does not need may be empty."""
+    """Where this process listens, IP:PORT; addresses that the role does not use may be empty."""
 
     callers: str = ""  # entry: requests
-    readiness: str = ""  # entry: the platform's question whether to send callers here
-    peers: Text  # other daemons of the system
-    swarm: str = ""  # chunks of weights; an entry without it mirrors none
+    readiness: str = ""  # entry: readiness checks of the platform
+    peers: Text  # messages from other daemons of the system
+    swarm: str = ""  # chunks of weights; an entry without it mirrors no weights
     metrics: str = ""  # metrics and the state dump; empty for none
 
 
@@ -44,22 +45,22 @@
 class ReplicaSection(_Section, frozen=True, kw_only=True):
     """The replica beside this daemon."""
 
-    address: Text  # as the list of replicas has it
+    address: Text  # as in the list of replicas
     service: Text
 
 
 class StoreSection(_Section, frozen=True, kw_only=True):
-    """Where the platform publishes."""
+    """The store where the platform publishes."""
 
     address: Text
 
 
 class LimitsSection(_Section, frozen=True, kw_only=True):
-    """What this process may use."""
+    """Resources that this process may use."""
 
     memory_mb: Annotated[float, msgspec.Meta(gt=0)]
     descriptors: Annotated[int, msgspec.Meta(ge=64)]
-    link_mbits: Annotated[float, msgspec.Meta(gt=0)]  # a second, each way
+    link_mbits: Annotated[float, msgspec.Meta(gt=0)]  # per second, in each direction
 
     @property
     def memory_bytes(self) -> float:
@@ -68,20 +69,20 @@
 
     @property
     def link_bytes_per_second(self) -> float:
-        """The link's rate each way, in bytes a second."""
+        """The link's rate in each direction, in bytes per second."""
         return self.link_mbits * MEGABYTE / BITS_PER_BYTE
 
 
 class BoundsSection(_Section, frozen=True, kw_only=True):
-    """What the operators ask for."""
+    """Bounds set by the operators."""
 
-    # After so long a named version must have replaced the older.
+    # A named version must have replaced the older one within this time.
     weights_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 8000.0
-    # After so long a new configuration must be in force everywhere.
+    # A new configuration must be in force everywhere within this time.
     configuration_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 2000.0
-    # After so long a replica that is leaving must get nothing new.
+    # A leaving replica must get no new requests after this time.
     leaving_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 2000.0
-    # These bounds hold for a process that the platform's store has served for so long.
+    # These bounds hold for a process that the platform's store has answered for this long.
     reached_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 3000.0
     retry_ratio: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2
     retry_slack: Annotated[float, msgspec.Meta(ge=0)] = 100.0
@@ -94,7 +95,7 @@
 
     @property
     def facts(self) -> FactBounds:
-        """The bounds on news from the platform."""
+        """The bounds on the age of facts from the platform."""
         return FactBounds(
             configuration=self.configuration_milliseconds / 1000,
             leaving=self.leaving_milliseconds / 1000,
@@ -110,7 +111,7 @@
     ip: Text
     zone: Text
     region: Text
-    zones: dict[str, str] = {}  # zone to region, all there are
+    zones: dict[str, str] = {}  # all zones, each with its region
     log_level: Literal["debug", "info", "warning", "error"] = "info"
     listen: ListenSection
     peers: PeersSection
@@ -121,23 +122,23 @@
 
     @property
     def seed_addresses(self) -> list[Address]:
-        """Where some entries listen for other daemons."""
+        """The peer addresses of some entries."""
         return [parse_address(seed) for seed in self.peers.seeds]
 
     @property
     def replica_address(self) -> Address | None:
-        """The replica beside this daemon."""
+        """The address of the replica beside this daemon, None if there is none."""
         return None if self.replica is None else parse_address(self.replica.address)
 
 
-NEEDED: Final = {
+REQUIRED_ADDRESSES: Final = {
     "entry": ("listen.callers", "listen.readiness"),
     "upstream": ("listen.swarm", "replica.address"),
 }
 
 
 def read_machine_settings(path: Path) -> Ok[MachineSettings] | Failure:
-    """Read and check a settings file; the failure's detail gives field and reason."""
+    """Read and validate a settings file; a failure's detail gives file, field and reason."""
     try:
         raw = tomllib.loads(path.read_text("utf-8"))
     except (OSError, UnicodeDecodeError, tomllib.TOMLDecodeError) as error:
@@ -160,12 +161,12 @@
             parse_address(text)
         except ValueError as error:
             return f"{field}: {error}"
-    missing = [field for field in NEEDED[settings.role] if field not in addresses]
+    missing = [field for field in REQUIRED_ADDRESSES[settings.role] if field not in addresses]
     return f"{missing[0]}: needed by the role {settings.role}" if missing else ""
 
 
 def _addresses(settings: MachineSettings) -> dict[str, str]:
-    """Return every address that is given, by its field."""
+    """Return the addresses that are not empty, by field."""
     listen: dict[str, Any] = msgspec.structs.asdict(settings.listen)
     found = {f"listen.{name}": text for name, text in listen.items()}
     found |= {f"peers.seeds[{i}]": seed for i, seed in enumerate(settings.peers.seeds)}
--- a/libs/daemon/src/headcross_daemon/main.py
+++ b/libs/daemon/src/headcross_daemon/main.py
@@ -41,7 +41,7 @@
 
 
 def main() -> None:
-    """Run the daemon; the entry point of the program."""
+    """Parse the command line, run the daemon and exit with its exit code."""
     arguments = docopt(__doc__, version=f"headcrossd {VERSION}")
     settings = read_settings(Path(arguments["--settings"]))
     if isinstance(settings, Failure):
@@ -81,14 +81,14 @@
 
 
 class Daemon(Protocol):
-    """What both roles look like from here."""
+    """The interface that both roles have."""
 
     async def run(self, stop: trio.Event) -> None:
         """Serve until `stop` is set, then drain and return."""
 
 
 def _make_daemon(settings: Settings) -> Daemon:
-    # Each role imports only what it needs, which keeps the other one's libraries out of memory.
+    # Each role is imported only when used, which keeps the other one's libraries out of memory.
     if settings.role == "entry":
         from headcross_daemon.entry import EntryDaemon
 
--- a/libs/daemon/src/headcross_daemon/metrics.py
+++ b/libs/daemon/src/headcross_daemon/metrics.py
@@ -1,7 +1,7 @@
-"""Metrics for Prometheus, made from the process's own counts when they are asked for.
+"""Serves metrics to Prometheus, computed from the process's own counters at each scrape.
 
-`prometheus_client` is imported on the first scrape or, in an entry, for the latency histogram; an
-upstream daemon that nobody scrapes does not pay for it in memory.
+`prometheus_client` is imported on the first scrape or, in an entry, for the latency histogram, so
+that an upstream daemon that is not scraped does not hold it in memory.
 """
 
 from collections.abc import Callable, Iterable, Mapping
@@ -11,7 +11,7 @@
     from prometheus_client.core import Metric
     from prometheus_client.registry import CollectorRegistry
 
-# Name (without the prefix) and labels of a sample to its value.
+# Maps the name (without the prefix) and the labels of a sample to its value.
 Samples = Mapping[tuple[str, tuple[tuple[str, str], ...]], float]
 
 
@@ -25,7 +25,7 @@
 
 
 class MetricsPage:
-    """The page a scrape gets."""
+    """Renders the metrics page; `collect` is called at each scrape."""
 
     def __init__(self, collect: Callable[[], Samples]) -> None:
         self._collect = collect
@@ -33,7 +33,7 @@
 
     @property
     def registry(self) -> "CollectorRegistry":
-        """The registry, made when first needed."""
+        """The registry, created on first use."""
         if self._registry is None:
             from prometheus_client.registry import CollectorRegistry
 
@@ -42,7 +42,7 @@
         return self._registry
 
     def render(self) -> bytes:
-        """Return the page."""
+        """Return the page in the text format of Prometheus."""
         from prometheus_client.exposition import generate_latest
 
         return generate_latest(self.registry)
@@ -55,7 +55,7 @@
         self._collect = collect
 
     def describe(self) -> Iterable["Metric"]:
-        """Return nothing: the samples are not known beforehand."""
+        """Return nothing: the names of the samples are not known in advance."""
         return []
 
     def collect(self) -> Iterable["Metric"]:
--- a/libs/daemon/src/headcross_daemon/mirrorparts.py
+++ b/libs/daemon/src/headcross_daemon/mirrorparts.py
@@ -1,6 +1,7 @@
-"""The mirror of weights within an entry: its parts, and what it says to the daemons.
+"""Builds the mirror of weights within an entry, and its messages to daemons.
 
-Kept apart from the entry's role so that an entry without a mirror loads nothing of it.
+This module is separate from the entry role so that an entry without a mirror does not import the
+mirror's libraries.
 """
 
 import random
@@ -29,19 +30,19 @@
 )
 from headcross_wire.peernode import Incoming
 
-from headcross_daemon.machinecommon import MachineProcess
+from headcross_daemon.machineprocess import MachineProcess
 
-# Part of the process's memory that may hold weights; larger ones are not mirrored.
-WEIGHTS_MEMORY_PART: Final = 0.04
-# Part of the link that chunks may fill.
-LINK_PART: Final = 0.5
+# Share of the process's memory that may hold weights; larger weights are not mirrored.
+WEIGHTS_MEMORY_SHARE: Final = 0.04
+# Share of the link's rate that chunks may use.
+LINK_SHARE: Final = 0.5
 LINK_BURST_BYTES: Final = 64 * 1024
-# How many daemons are asked, each time, which mirrors they heard of.
-DAEMONS_ASKED: Final = 2
+# Number of daemons that are asked for the mirrors they know, in each round of subscriptions.
+DAEMONS_ASKED_FOR_MIRRORS: Final = 2
 
 
 class MirrorParts:
-    """The mirror of one entry."""
+    """The mirror of one entry with its store, swarm and importer."""
 
     def __init__(
         self,
@@ -52,9 +53,9 @@
     ) -> None:
         settings = process.settings
         self._settings = settings
-        self._place = MirrorPlace(settings.ip, settings.zone)
-        self._store = ChunkStore(int(settings.limits.memory_bytes * WEIGHTS_MEMORY_PART))
-        rate = settings.limits.link_bytes_per_second * LINK_PART
+        self._location = MirrorPlace(settings.ip, settings.zone)
+        self._store = ChunkStore(int(settings.limits.memory_bytes * WEIGHTS_MEMORY_SHARE))
+        rate = settings.limits.link_bytes_per_second * LINK_SHARE
         downlink = LinkRate(rate, LINK_BURST_BYTES)
         self._facts = process.facts
         origin = OriginSource(self._find_origin, adapter.origin, DEFAULT_CHUNK_BYTES, lambda: True)
@@ -83,7 +84,7 @@
         )
 
     async def run(self) -> None:
-        """Mirror until cancelled."""
+        """Mirror weights until cancelled."""
         await self._mirror.run()
 
     def subscriptions(
@@ -94,37 +95,38 @@
         plan: WeightsPlan | None,
         sent_ms: int,
     ) -> list[Subscribe]:
-        """Return what to say to each daemon; one that stops is no longer to be counted on.
+        """Return the subscription for each daemon; while stopping, it announces no mirror.
 
-        `entries` is how many entries share the work, this one among them; `plan` is what daemons
-        need of the configuration, and `sent_ms` is told back by the daemons.
+        `entries` is the number of entries that share the mirroring, including this one. `plan` is
+        the part of the configuration that daemons need. Daemons return `sent_ms` in their reports.
         """
         self._mirror.mirror_count = entries
-        place = self._place_told(stopping)
-        asked = set(random.sample(daemons, min(DAEMONS_ASKED, len(daemons))))
+        location = self._announced_location(stopping)
+        asked = set(random.sample(daemons, min(DAEMONS_ASKED_FOR_MIRRORS, len(daemons))))
         host = self._settings.host
         return [
-            Subscribe(host, place, address in asked, plan, sent_ms=sent_ms) for address in daemons
+            Subscribe(host, location, address in asked, plan, sent_ms=sent_ms)
+            for address in daemons
         ]
 
     def announcement(self, stopping: bool) -> Subscribe | None:
-        """Return what daemons are told that need not tell their load; None if nothing."""
-        place = self._place_told(stopping)
-        return Subscribe(self._settings.host, place, wants_load=False) if place else None
+        """Return a subscription that announces the mirror without asking for load, or None."""
+        location = self._announced_location(stopping)
+        return Subscribe(self._settings.host, location, wants_load=False) if location else None
 
-    def _place_told(self, stopping: bool) -> MirrorPlace | None:
-        return self._place if self._mirror.decide_to_mirror() and not stopping else None
+    def _announced_location(self, stopping: bool) -> MirrorPlace | None:
+        return self._location if self._mirror.decide_to_mirror() and not stopping else None
 
     def _find_origin(self) -> Address | None:
         configuration = self._facts.configuration
         return configuration.origin_of_weights() if configuration is not None else None
 
     def known(self) -> list[MirrorPlace]:
-        """Return the mirrors heard of lately, this one among them."""
+        """Return the mirrors known at present, including this one."""
         return self._mirror.registry.known()
 
-    def hear(self, incoming: Incoming) -> bool:
-        """Take a message if it is for the mirror; return whether it was."""
+    def handle_message(self, incoming: Incoming) -> bool:
+        """Handle a message if it is for the mirror; return whether it was."""
         match incoming.message:
             case KnownMirrors(mirrors=mirrors):
                 for mirror in mirrors:
@@ -138,7 +140,7 @@
         return True
 
     def dump(self) -> dict[str, object]:
-        """Return the state."""
+        """Return the state for the state dump."""
         return {
             "weights": {a.digest[:12]: round(a.progress, 3) for a in self._store.artifacts()},
             "swarm": dict(self._swarm.counts),
--- a/libs/daemon/src/headcross_daemon/plainrunner.py
+++ b/libs/daemon/src/headcross_daemon/plainrunner.py
@@ -1,7 +1,7 @@
-"""The gate of a plain service's upstream: open while the fleet file names the service.
+"""Opens the gate of a plain service's upstream while the fleet file names the service.
 
-Nothing is loaded into a plain service, so it serves as soon as the configuration is settled, and
-leaves at once when its host is leaving or the service is no longer in the file.
+A plain service loads no weights, so it serves as soon as the configuration is settled. It leaves
+at once when its host is leaving or the service is no longer in the fleet file.
 """
 
 from headcross_fleet.documents import Documents
--- a/libs/daemon/src/headcross_daemon/process.py
+++ b/libs/daemon/src/headcross_daemon/process.py
@@ -1,4 +1,4 @@
-"""What both roles have in common: documents, the follower, the control channel, the admin API."""
+"""Holds the parts that both roles share: documents, follower, control channel, HTTP servers."""
 
 import time
 from collections.abc import Callable
@@ -27,12 +27,12 @@
     node: PeerNode
     follower: ConfigFollower
     pauses: PauseWatch
-    # Grows with every start; a daemon whose engine saw a higher one starts above that.
+    # Increases with every start; raised further if an engine has seen a higher one.
     incarnation: int
-    # Why the process does not serve, empty if it does; shown by the health check.
+    # Why the process does not serve, empty if it does. Shown by the health check.
     unhealthy: str
 
-    def __init__(self, settings: Settings, handle_rest: Handler) -> None:
+    def __init__(self, settings: Settings, handle_other: Handler) -> None:
         self.settings = settings
         self.journal = Journal()
         self.documents = Documents(self.journal)
@@ -49,23 +49,23 @@
         self.pauses = PauseWatch()
         self.incarnation = time.time_ns() // 1_000_000
         self.unhealthy = "starting"
-        self._handle_rest = handle_rest
+        self._handle_other = handle_other
 
     async def run(self) -> None:
-        """Follow the configuration until cancelled."""
+        """Run the control channel and follow the configuration until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.pauses.run)
             nursery.start_soon(self.node.run)
-            # The node must run before the follower speaks to peers.
+            # The node must run before the follower sends messages to peers.
             await trio.lowlevel.checkpoint()
             nursery.start_soon(self.follower.run)
             await self.follower.settled.wait()
             self.unhealthy = ""
 
-    async def on_change(self, act: Callable[[], None]) -> None:
-        """Call `act` now and whenever another document comes into force."""
+    async def on_change(self, callback: Callable[[], None]) -> None:
+        """Call `callback` now and whenever another document comes into force."""
         while True:
-            act()
+            callback()
             await self.documents.wait_change()
 
     def dump(self) -> dict[str, object]:
@@ -101,7 +101,7 @@
 
     @staticmethod
     def dump_node(node: PeerNode) -> dict[str, int]:
-        """Return the numbers of one peer channel."""
+        """Return the counters of one peer node."""
         return {
             "sent_bytes": node.sent_bytes,
             "received_bytes": node.received_bytes,
@@ -112,13 +112,17 @@
 
     def _handle(self, incoming: Incoming) -> None:
         if not self.follower.handle(incoming.message, incoming.reply):
-            self._handle_rest(incoming)
+            self._handle_other(incoming)
 
 
 async def serve_http(
     nursery: trio.Nursery, handler: HttpHandler, address: str, limits: ServerLimits
 ) -> tuple[HttpServer, Address, trio.CancelScope]:
-    """Listen and serve in the background; the scope stops accepting, connections live on."""
+    """Listen at `address` and serve in the background.
+
+    Returns the server, the bound address, and a scope whose cancellation stops accepting
+    connections; those already accepted are still served.
+    """
     server = HttpServer(handler, limits)
     listeners, bound = await server.listen(parse_address(address))
     scope = trio.CancelScope()
@@ -132,5 +136,5 @@
 
 
 def _rounded(seconds: float) -> float | None:
-    """Return an age for a dump; None when there never was anything."""
+    """Return an age rounded for a dump, None if infinite (nothing was ever received)."""
     return round(seconds, 3) if seconds < float("inf") else None
--- a/libs/daemon/src/headcross_daemon/processmetrics.py
+++ b/libs/daemon/src/headcross_daemon/processmetrics.py
@@ -1,4 +1,4 @@
-"""The samples that both roles show."""
+"""Collects the metric samples that both roles have in common."""
 
 from headcross_native.configservice import KEYS
 
@@ -7,7 +7,7 @@
 
 
 def process_samples(process: Process) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
-    """Return the samples of the common parts."""
+    """Return the samples of the parts that both roles share."""
     samples: dict[tuple[str, tuple[tuple[str, str], ...]], float] = {
         sample("healthy"): float(not process.unhealthy),
         sample("config_reads_total"): process.service.reads,
--- a/libs/daemon/src/headcross_daemon/readiness.py
+++ b/libs/daemon/src/headcross_daemon/readiness.py
@@ -1,45 +1,51 @@
-"""When an entry calls itself ready, so that the platform sends callers to it.
+"""Decides when an entry reports itself ready, so that the platform sends callers to it.
 
-It needs a configuration and the list of replicas. It also waits for a moment until it has heard
-most of the daemons that it keeps itself informed by: before that it knows neither loads nor which
-replicas are about to load new weights, and takes them for idle ones that hold the old.
+An entry needs a configuration and the list of replicas. It also waits for a limited time for
+reports of most daemons in its subset: without them it knows neither the load of replicas nor which
+of them are about to load new weights, and would treat those as idle replicas with the old weights.
 """
 
 from collections.abc import Callable
 from typing import Final
 
-# The longest wait for the daemons once facts are complete, in seconds. The first subscription only
-# opens a link and the second comes 0.2 s later; daemons that started together with this entry take
-# longer. A request that came 0.9 s after a start had been refused by two replicas that loaded.
-INFORMED_SECONDS: Final = 1.0
+# The longest wait for reports of daemons once the facts are complete. The first subscription only
+# opens the link and the second follows 0.2 s later; daemons that start together with this entry
+# take longer. Without the wait, a request 0.9 s after a start was refused by two replicas that
+# were loading weights.
+MAX_REPORT_WAIT_SECONDS: Final = 1.0
 
 
 class Readiness:
-    """Decides whether one entry is ready; once it knew enough it stays so until it stops."""
+    """Decides whether one entry is ready.
 
-    def __init__(self, facts_complete: Callable[[], bool], hears_most: Callable[[], bool]) -> None:
-        """Ask `facts_complete` for what may be served, `hears_most` whether loads are known."""
+    An entry that has once had enough reports needs no further ones to stay ready.
+    """
+
+    def __init__(
+        self, facts_complete: Callable[[], bool], has_most_reports: Callable[[], bool]
+    ) -> None:
+        """Take predicates: `facts_complete` on facts, `has_most_reports` on reports of daemons."""
         self._facts_complete = facts_complete
-        self._hears_most = hears_most
+        self._has_most_reports = has_most_reports
         self._complete_since: float | None = None
-        self._informed = False
+        self._was_ready = False
         self._stopping = False
 
     @property
     def is_stopping(self) -> bool:
-        """Whether the entry has been told to stop."""
+        """Whether the entry is stopping."""
         return self._stopping
 
     def stop(self) -> None:
-        """Be ready no more."""
+        """Report not ready from now on."""
         self._stopping = True
 
     def is_ready(self, now: float) -> bool:
-        """Tell whether callers may come; `now` is any clock in seconds, the same for all calls."""
+        """Return whether callers may be sent; `now` is in seconds, on one clock for all calls."""
         if self._stopping or not self._facts_complete():
             return False
         if self._complete_since is None:
             self._complete_since = now
-        waited = now - self._complete_since >= INFORMED_SECONDS
-        self._informed = self._informed or waited or self._hears_most()
-        return self._informed
+        waited = now - self._complete_since >= MAX_REPORT_WAIT_SECONDS
+        self._was_ready = self._was_ready or waited or self._has_most_reports()
+        return self._was_ready
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -1,4 +1,4 @@
-"""The upstream role on the machines: the weights of the replica beside this process."""
+"""Implements the upstream role on the machines: renews the weights of the replica beside it."""
 
 import logging
 from functools import partial
@@ -44,26 +44,28 @@
 )
 from headcross_wire.peernode import Incoming
 
-from headcross_daemon.losskeeping import LossKeeper
-from headcross_daemon.machinecommon import AdminPages, MachineProcess
+from headcross_daemon.lossregistry import LossRegistry
+from headcross_daemon.machineprocess import AdminPages, MachineProcess
 from headcross_daemon.machinesettings import MachineSettings
 from headcross_daemon.metrics import Samples, sample
-from headcross_daemon.versionnews import hear_versions, news_of_versions
+from headcross_daemon.versionnews import receive_version_news, recent_version_news
 
-# Part of the process's memory that may hold weights.
-WEIGHTS_MEMORY_PART: Final = 0.3
-# Parts of the link that chunks may fill. Requests to the replica, their answers and, on the way
-# down, the acknowledgements of those answers take the rest: so much for each that runs.
-DOWNLINK_PART: Final = 0.94
-DOWNLINK_PART_OF_REQUEST: Final = 0.0075
-LEAST_DOWNLINK_PART: Final = 0.80
-UPLINK_PART: Final = 0.82
-# ... and while the replica takes no requests, since it holds nothing that may serve.
-IDLE_LINK_PART: Final = 0.97
+# Share of the process's memory that may hold weights.
+WEIGHTS_MEMORY_SHARE: Final = 0.3
+# Shares of the link's rate that chunks may use. The rest is for requests to the replica, their
+# answers and, on the downlink, the acknowledgements of those answers, for which each running
+# request takes DOWNLINK_SHARE_PER_REQUEST.
+MAX_DOWNLINK_SHARE: Final = 0.94
+DOWNLINK_SHARE_PER_REQUEST: Final = 0.0075
+MIN_DOWNLINK_SHARE: Final = 0.80
+UPLINK_SHARE: Final = 0.82
+# The share while the replica accepts no requests, since it holds no weights that may serve.
+IDLE_LINK_SHARE: Final = 0.97
 LINK_BURST_BYTES: Final = 8 * 1024
-# While the origin, whose address the configuration gives, is needed and fails, it is listed anew
-# this often. It may be hundreds of kilobytes over a link of 3.8 Mbit/s.
-CONFIGURATION_FRESH_SECONDS: Final = 8.0
+# The configuration gives the address of the origin. While the origin is needed and fails, the
+# configuration is listed again when it is older than this. Not more often, as it may be hundreds
+# of kilobytes over a link of 3.8 Mbit/s.
+MAX_CONFIGURATION_AGE_SECONDS: Final = 8.0
 
 logger = logging.getLogger(__name__)
 
@@ -80,16 +82,16 @@
             path,
             adapter,
             self._daemons,
-            self._hear,
+            self._handle_message,
             daemon_pace(settings.bounds.facts),
         )
         facts = self.process.facts
         address = parse_address(settings.replica.address)
-        self._reporter = Reporter(address, adapter.replica, partial(news_of_versions, facts))
-        self._store = ChunkStore(int(settings.limits.memory_bytes * WEIGHTS_MEMORY_PART))
+        self._reporter = Reporter(address, adapter.replica, partial(recent_version_news, facts))
+        self._store = ChunkStore(int(settings.limits.memory_bytes * WEIGHTS_MEMORY_SHARE))
         rate = settings.limits.link_bytes_per_second
-        downlink = LinkRate(rate * LEAST_DOWNLINK_PART, LINK_BURST_BYTES)
-        uplink = LinkRate(rate * UPLINK_PART, LINK_BURST_BYTES)
+        downlink = LinkRate(rate * MIN_DOWNLINK_SHARE, LINK_BURST_BYTES)
+        uplink = LinkRate(rate * UPLINK_SHARE, LINK_BURST_BYTES)
         self._downlink = downlink
         self._uplink = uplink
         self._plans = PlanRegistry(facts)
@@ -98,7 +100,7 @@
             adapter.origin,
             DEFAULT_CHUNK_BYTES,
             lambda: self._reporter.answered,
-            self._find_origin_anew,
+            self._refresh_origin,
         )
         self._importer = Importer([origin], downlink, SMALL_WEIGHTS)
         self._swarm = Swarm(
@@ -110,17 +112,17 @@
             downlink,
             SMALL_WEIGHTS,
         )
-        place = DaemonLocation(
+        location = DaemonLocation(
             host=settings.ip,
             region_of_zone=settings.zones,
             replica_address=str(address),
             service=settings.replica.service,
             ports=SwarmPorts(settings.peers.control_port, settings.peers.swarm_port),
-            link_bytes_per_second=rate * LEAST_DOWNLINK_PART,
+            link_bytes_per_second=rate * MIN_DOWNLINK_SHARE,
         )
         self._mirrors = MirrorRegistry()
-        self._losses = LossKeeper()
-        self._book = DigestRegistry(
+        self._losses = LossRegistry()
+        self._digests = DigestRegistry(
             origin, self.process.node, self._daemons, settings.ip, self._daemons_for_digests
         )
         self._orders = Orders(str(address), facts, adapter.replica, self._reporter)
@@ -132,54 +134,54 @@
             self._orders,
             settings.bounds.weights_seconds,
         )
-        choice = GoalSelector(
+        goal_selector = GoalSelector(
             settings.replica.service,
-            place.link_bytes_per_second,
+            location.link_bytes_per_second,
             facts,
             self._reporter,
             self._store,
-            self._book,
+            self._digests,
             self._loading,
             self._plans,
         )
-        fetching = Fetcher(
-            place,
+        fetcher = Fetcher(
+            location,
             self._store,
             self._swarm,
             origin,
-            self._book,
+            self._digests,
             self._mirrors,
             self._loading,
-            choice,
+            goal_selector,
         )
         self._renewer = Renewer(
             facts,
             adapter.replica,
             self._reporter,
             origin,
-            self._book,
-            choice,
-            fetching,
+            self._digests,
+            goal_selector,
+            fetcher,
             self._loading,
             self._orders,
             self._plans,
-            self._set_link_use,
+            self._set_link_rates,
             self._set_busy,
         )
-        # Set when the plan is needed and not known.
-        self._plan_wanted = trio.Event()
+        # Set when the plan is needed but not known.
+        self._plan_needed = trio.Event()
         self._pages = AdminPages(self.dump, self._samples)
 
     async def run(self, stop: trio.Event) -> None:
-        """Renew until `stop` is set."""
+        """Renew the weights until `stop` is set."""
         async with trio.open_nursery() as nursery:
             await self._pages.serve(nursery, self.process.settings.listen.metrics)
             nursery.start_soon(self.process.run)
             nursery.start_soon(self._swarm.run)
             nursery.start_soon(self._reporter.run)
             nursery.start_soon(self._renewer.run)
-            nursery.start_soon(self._want_plan_if_empty)
-            nursery.start_soon(self._seek_plans)
+            nursery.start_soon(self._request_plan_if_empty)
+            nursery.start_soon(self._obtain_plans)
             logger.info("listening", extra={"peers": self.process.settings.listen.peers})
             await stop.wait()
             logger.info("stopped", extra={"step": self._renewer.step})
@@ -205,40 +207,40 @@
             "losses_kept": self._losses.dump(),
         }
 
-    def _set_link_use(self, running: int | None) -> None:
-        """Leave room on the link for the requests that run, None if none can come."""
+    def _set_link_rates(self, running: int | None) -> None:
+        """Leave bandwidth for the running requests; `running` is None if none can arrive."""
         rate = self.process.settings.limits.link_bytes_per_second
         if running is None:
-            self._downlink.set_rate(rate * IDLE_LINK_PART)
-            self._uplink.set_rate(rate * IDLE_LINK_PART)
+            self._downlink.set_rate(rate * IDLE_LINK_SHARE)
+            self._uplink.set_rate(rate * IDLE_LINK_SHARE)
             return
-        part = max(LEAST_DOWNLINK_PART, DOWNLINK_PART - DOWNLINK_PART_OF_REQUEST * running)
-        self._downlink.set_rate(rate * part)
-        self._uplink.set_rate(rate * UPLINK_PART)
+        share = max(MIN_DOWNLINK_SHARE, MAX_DOWNLINK_SHARE - DOWNLINK_SHARE_PER_REQUEST * running)
+        self._downlink.set_rate(rate * share)
+        self._uplink.set_rate(rate * UPLINK_SHARE)
 
-    async def _want_plan_if_empty(self) -> None:
-        """Have the plan sought at once if the replica needs weights to serve at all."""
+    async def _request_plan_if_empty(self) -> None:
+        """Request the plan at once if the replica holds no weights at all."""
         while not self._reporter.answered:
             await self._reporter.wait_change()
         report = self._reporter.report
         if report is not None and not report.loaded:
-            self._plan_wanted.set()
+            self._plan_needed.set()
 
-    async def _seek_plans(self) -> None:
-        """Seek the plan whenever it is wanted."""
+    async def _obtain_plans(self) -> None:
+        """Obtain the plan whenever it is needed."""
         while True:
-            await self._plan_wanted.wait()
+            await self._plan_needed.wait()
             await obtain_plan(
                 self._plans,
                 self.process.node,
-                self._plan_tellers,
+                self._plan_sources,
                 self._listing_rank,
                 lambda: self.process.follower.list_now(Topic.CONTROL),
             )
-            self._plan_wanted = trio.Event()
+            self._plan_needed = trio.Event()
 
-    def _plan_tellers(self) -> list[Address]:
-        """Return whom to ask for the plan: entries, and the first daemons of the region."""
+    def _plan_sources(self) -> list[Address]:
+        """Return the peers to ask for the plan: entries and the first daemons of the region."""
         port = self.process.settings.peers.control_port
         first = [ip for ip in self._region_order() if ip != self.process.settings.ip]
         return [
@@ -247,7 +249,7 @@
         ]
 
     def _listing_rank(self) -> int | None:
-        """Return this daemon's place in its region's order, None before the list is here."""
+        """Return this daemon's rank in its region's order, None before the replicas are listed."""
         if not self.process.facts.topics[Topic.REPLICAS].known:
             return None
         order = self._region_order()
@@ -261,16 +263,16 @@
     def _set_busy(self, busy: bool) -> None:
         self.process.follower.set_hurried(Topic.REPLICAS, busy)
 
-    def _find_origin_anew(self) -> None:
-        """Have the plan sought, or the configuration listed where the origin may have moved.
+    def _refresh_origin(self) -> None:
+        """Request the plan if unknown, else list the configuration, as the origin may have moved.
 
-        It is not listed if an entry told the plan, or that was done lately.
+        The configuration is not listed if it was listed, or the plan was received, recently.
         """
         if self._plans.newest() is None:
-            self._plan_wanted.set()
+            self._plan_needed.set()
             return
         age = self.process.facts.topics[Topic.CONTROL].age()
-        if age > CONFIGURATION_FRESH_SECONDS and not self._plans.received_recently():
+        if age > MAX_CONFIGURATION_AGE_SECONDS and not self._plans.received_recently():
             self.process.follower.list_now(Topic.CONTROL)
 
     def _daemons(self) -> list[Address]:
@@ -278,7 +280,7 @@
         return self._daemons_of(self._loading.peers())
 
     def _daemons_for_digests(self, goal: LoadedModel) -> list[Address]:
-        """Return the daemons of this region that know a version's digests, or are to read them."""
+        """Return the daemons of this region that have a version's digests or will read them."""
         return self._daemons_of(replicas_with_digests(self._region_replicas(), goal))
 
     def _region_replicas(self) -> list[Replica]:
@@ -290,7 +292,7 @@
         port = self.process.settings.peers.control_port
         return [Address(replica.address.ip, port) for replica in replicas]
 
-    def _hear(self, incoming: Incoming) -> None:
+    def _handle_message(self, incoming: Incoming) -> None:
         match incoming.message:
             case Subscribe() as subscription:
                 if subscription.wants_load:
@@ -299,8 +301,8 @@
                     )
                 if subscription.plan is not None:
                     self._plans.receive(subscription.plan)
-                hear_versions(self.process.facts, subscription.named)
-                self._hear_of_earlier_process(subscription)
+                receive_version_news(self.process.facts, subscription.named)
+                self._record_earlier_process(subscription)
                 if subscription.mirror is not None:
                     self._mirrors.record(subscription.mirror)
                 if subscription.wants_losses:
@@ -308,7 +310,7 @@
                 if subscription.wants_mirrors:
                     incoming.reply(KnownMirrors(self._mirrors.known()), None)
             case LossNews() as news:
-                self._losses.hear(news)
+                self._losses.receive(news)
             case ReplicaNews() as asked:
                 self._receive_replica_news(asked)
             case AskPlan():
@@ -318,14 +320,14 @@
             case KnownPlan(plan=plan):
                 self._plans.receive(plan)
             case AskDigests() as question:
-                self._book.answer(question, incoming.reply)
+                self._digests.answer(question, incoming.reply)
             case KnownDigests() as known:
-                self._book.receive(known)
+                self._digests.receive(known)
             case _:
                 self.process.node.malformed += 1
 
     def _receive_replica_news(self, news: ReplicaNews) -> None:
-        """Learn from an entry that the replica beside this process leaves."""
+        """Record that the replica beside this process is leaving, if an entry says so."""
         assert self.process.settings.replica is not None
         address = parse_address(self.process.settings.replica.address)
         for item in news.items:
@@ -333,8 +335,8 @@
             if item.leaving and listed is not None and listed.address == address:
                 self._reporter.receive_shutdown_notice(item.started_ms)
 
-    def _hear_of_earlier_process(self, subscription: Subscribe) -> None:
-        """Take an entry's word for what was here before this process began."""
+    def _record_earlier_process(self, subscription: Subscribe) -> None:
+        """Record what an entry knows of this daemon from before this process started."""
         now = monotonic()
         for news in subscription.loaded:
             held = LoadedModel(news.model, news.version)
--- a/libs/daemon/src/headcross_daemon/settings.py
+++ b/libs/daemon/src/headcross_daemon/settings.py
@@ -1,7 +1,7 @@
-"""The settings file of one daemon, in TOML, checked whole before anything starts.
+"""Reads the TOML settings file of one daemon, which is validated completely before a start.
 
-docs/operators/settings.md describes every field for operators; a test holds the two together.
-Sizes are bytes, times are seconds, rates are bytes a second, addresses are IP:PORT.
+docs/operators/settings.md describes every field for operators; a test checks that it names each.
+Sizes are in bytes, times in seconds, rates in bytes per second; addresses are IP:PORT.
 """
 
 import ipaddress
@@ -26,32 +26,32 @@
 
 
 class Listen(_Table, frozen=True, kw_only=True):
-    """Where the daemon listens; the host list gives the same addresses to others."""
+    """Where the daemon listens; the host list publishes the same addresses to others."""
 
     control: str  # control channel, from daemons
     http: str  # requests: from callers (entry) or from entries (upstream)
     admin: str  # administration API, from operators
     swarm: str = ""  # chunks, from upstream daemons; upstream role only
     weights: str = ""  # weights for the engines beside it, on loopback; upstream role only
-    source_ip: str = ""  # IP number that outgoing connections come from; empty for any
+    source_ip: str = ""  # source IP address of outgoing connections; empty for any
 
 
 class Platform(_Table, frozen=True, kw_only=True):
-    """Where the platform's services are."""
+    """Addresses of the platform's services."""
 
     config: Annotated[list[str], msgspec.Meta(min_length=1)]  # configuration service
-    peers: list[str] = []  # control addresses asked at a start with the service down
+    peers: list[str] = []  # control addresses asked if the service is down at a start
     store: str = ""  # weight store, tried first; empty if there is none
     origin: str = ""  # origin of weights; upstream role only
 
 
 class Weights(_Table, frozen=True, kw_only=True):
-    """Bounds on weights, apart from control memory."""
+    """Bounds on the memory and bandwidth for weights, separate from memory for control."""
 
     memory_bytes: Positive = 64 * GIB
     uplink_bytes_per_second: Rate = 0.0  # share of the link for sending chunks; 0 for no bound
     downlink_bytes_per_second: Rate = 0.0
-    burst_bytes: Positive = 4 * MIB  # what may go at once on an idle link
+    burst_bytes: Positive = 4 * MIB  # size of a burst on an idle link
 
 
 class Upstream(_Table, frozen=True, kw_only=True):
@@ -60,36 +60,36 @@
     name: str
     kind: UpstreamKind
     address: str
-    service: str = ""  # plain service it belongs to
-    max_concurrent: Positive = 64  # requests handed over at once
+    service: str = ""  # the plain service that it belongs to
+    max_concurrent: Positive = 64  # requests handed over concurrently
     max_queued: Annotated[int, msgspec.Meta(ge=0)] = 256
 
 
 class Limits(_Table, frozen=True, kw_only=True):
-    """Bounds on what callers send."""
+    """Bounds on connections and requests of callers."""
 
     max_body_bytes: Positive = 8 * MIB
-    receive_seconds: Seconds = 20.0  # for a whole request
-    write_seconds: Seconds = 30.0  # for a caller to take a piece of an answer
+    receive_seconds: Seconds = 20.0  # for a complete request
+    write_seconds: Seconds = 30.0  # for a caller to accept a piece of an answer
     max_connections: Positive = 4096
 
 
 class Ledger(_Table, frozen=True, kw_only=True):
-    """Bounds on the memory of requests and keys."""
+    """Bounds on the ledgers of requests and keys."""
 
     entries: Positive = 200_000
-    # A key is remembered for so long, and callers may resubmit for so long.
+    # How long a key is remembered, and thus how long callers may resubmit it.
     remember_seconds: Seconds = 120.0
 
 
 class Stop(_Table, frozen=True, kw_only=True):
     """A planned stop (SIGTERM)."""
 
-    # An entry goes on serving for so long after its health turned bad, for the balancer to see.
+    # How long an entry still serves after it reports unhealthy, so that load balancers notice.
     notice_seconds: Seconds = 3.0
-    # What runs is let to end for so long; then resumable streams go elsewhere.
+    # How long running requests may take to end; then resumable streams move to other upstreams.
     drain_seconds: Seconds = 60.0
-    # After so long in all the process ends whatever still runs.
+    # Total time after which the process exits, even if requests are still running.
     limit_seconds: Seconds = 300.0
 
 
@@ -111,7 +111,7 @@
 
 
 def read_settings(path: Path) -> Ok[Settings] | Failure:
-    """Read and check a settings file; the failure names file, field and reason."""
+    """Read and validate a settings file; a failure names file, field and reason."""
     try:
         settings = msgspec.toml.decode(path.read_bytes(), type=Settings)
     except OSError as error:
@@ -126,7 +126,7 @@
 
 
 def _find_problem(settings: Settings) -> str | None:
-    """Return what no single field shows, or None."""
+    """Return the first problem that the types of the fields do not exclude, or None."""
     if settings.log_level not in LEVELS:
         return f"log_level: one of {', '.join(LEVELS)}"
     for field, text in _addresses(settings):
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -1,6 +1,6 @@
-"""The upstream role: the daemon beside one or more upstreams.
+"""Implements the upstream role: the daemon beside one or more upstreams.
 
-It fetches weights, orders the engines, and every request to its upstreams passes through it.
+It fetches weights, sends orders to the engines, and forwards every request to its upstreams.
 """
 
 import logging
@@ -45,13 +45,15 @@
         self.process = Process(settings, self._handle_message)
         self.store = ChunkStore(settings.weights.memory_bytes)
         self.swarm, self.importer = _make_swarm(settings, self.store)
-        self.slots = {upstream.name: _make_slot(upstream) for upstream in settings.upstreams}
+        self.local_upstreams = {
+            upstream.name: _make_local_upstream(upstream) for upstream in settings.upstreams
+        }
         self.runners: dict[str, UpstreamRunner] = {}
         self.keys = KeyLedger(
             settings.name, settings.ledger.entries, settings.ledger.remember_seconds
         )
-        self.path = UpstreamHandler(
-            self.slots,
+        self.handler = UpstreamHandler(
+            self.local_upstreams,
             RequestLedger(settings.ledger.entries),
             self.keys,
             self.process.documents,
@@ -64,8 +66,8 @@
             self.process.node,
             self._report,
         )
-        for slot in self.slots.values():
-            slot.gate.on_change = self.heartbeats.tell_change
+        for local in self.local_upstreams.values():
+            local.gate.on_change = self.heartbeats.notify_change
         self._turns = TurnClient(
             settings.name, settings.zone, self.process.documents, self.process.node
         )
@@ -79,15 +81,15 @@
         """Serve until `stop` is set, then drain and return."""
         settings = self.process.settings
         limits = ServerLimits(
-            # Headers of its own come on top of what the entry let through.
+            # The entry adds headers of its own to what it accepted from the caller.
             max_body_bytes=settings.limits.max_body_bytes,
             write_seconds=settings.limits.write_seconds,
             max_connections=settings.limits.max_connections,
         )
         async with trio.open_nursery() as nursery:
-            # The slot's port is bound first: it keeps a second daemon out.
+            # Bound first: prevents a second daemon with the same settings from starting.
             server, bound, _ = await serve_http(
-                nursery, self.path.handle, settings.listen.http, limits
+                nursery, self.handler.handle, settings.listen.http, limits
             )
             _, weights, _ = await serve_http(
                 nursery, WeightsServer(self.store).handle, settings.listen.weights, ServerLimits()
@@ -96,8 +98,8 @@
             await serve_http(nursery, self._admin.handle, settings.listen.admin, admin_limits)
             nursery.start_soon(self.process.run)
             nursery.start_soon(self.swarm.run)
-            nursery.start_soon(self.process.on_change, self._take_hosts)
-            nursery.start_soon(self.process.on_change, self.heartbeats.tell_change)
+            nursery.start_soon(self.process.on_change, self._apply_hosts)
+            nursery.start_soon(self.process.on_change, self.heartbeats.notify_change)
             nursery.start_soon(self.heartbeats.run)
             for upstream in settings.upstreams:
                 self._start_runner(nursery, upstream, str(weights))
@@ -108,7 +110,7 @@
 
     def _start_runner(self, nursery: trio.Nursery, upstream: Upstream, weights: str) -> None:
         process = self.process
-        gate = self.slots[upstream.name].gate
+        gate = self.local_upstreams[upstream.name].gate
         if upstream.kind == "plain":
             nursery.start_soon(
                 run_plain,
@@ -142,10 +144,13 @@
         nursery.start_soon(runner.run)
 
     async def _drain(self, server: HttpServer) -> None:
-        """Take nothing new, tell the entries, let what runs end or go on elsewhere."""
+        """Refuse new requests, notify the entries, then wait for running requests.
+
+        Resumable streams that still run after the drain time are handed off to other upstreams.
+        """
         stop = self.process.settings.stop
         self.process.unhealthy = "draining"
-        gates = [slot.gate for slot in self.slots.values()]
+        gates = [local.gate for local in self.local_upstreams.values()]
         for gate in gates:
             gate.stop()
         self.heartbeats.send()
@@ -158,11 +163,11 @@
                 gate.hand_off.set()
             for gate in gates:
                 await gate.wait_idle()
-            # Entries that have not heard yet still get their "not run" for a moment.
+            # Entries that do not know of the stop yet still get a "not run" answer for this long.
             await trio.sleep(stop.notice_seconds)
             server.close_idle()
-        self.heartbeats.say_goodbye()
-        # Give the goodbye a moment to leave.
+        self.heartbeats.send_shutdown_notice()
+        # Leaves time for the shutdown notices to be transmitted.
         await trio.sleep(0.1)
         logger.info("drained", extra={"in_flight": sum(gate.in_flight for gate in gates)})
 
@@ -171,7 +176,7 @@
         return {
             **self.process.dump(),
             "upstreams": self.list_upstreams(),
-            "requests": dict(self.path.counts),
+            "requests": dict(self.handler.counts),
             "heartbeats_sent": self.heartbeats.sent,
             "keys": len(self.keys),
             "weights": self._dump_weights(),
@@ -205,7 +210,9 @@
                     "progress": round(status.progress, 4),
                     "in_flight": status.in_flight,
                     "queued": status.queued,
-                    "state_seconds": round(monotonic() - self.slots[status.name].gate.since, 3),
+                    "state_seconds": round(
+                        monotonic() - self.local_upstreams[status.name].gate.since, 3
+                    ),
                     "target_digest": target.digest if target is not None else "",
                     "target_pool": target.pool if target is not None else "",
                 }
@@ -231,10 +238,10 @@
         }
 
     def _report(self) -> list[UpstreamStatus]:
-        return [self._report_one(name, slot) for name, slot in self.slots.items()]
+        return [self._report_one(name, local) for name, local in self.local_upstreams.items()]
 
-    def _report_one(self, name: str, slot: LocalUpstream) -> UpstreamStatus:
-        gate = slot.gate
+    def _report_one(self, name: str, local: LocalUpstream) -> UpstreamStatus:
+        gate = local.gate
         runner = self.runners.get(name)
         engine = runner.engine_state if runner is not None else None
         age = monotonic() - runner.engine_state_at if runner is not None else 0.0
@@ -244,14 +251,14 @@
             pool=gate.pool,
             digest=gate.digest,
             in_flight=gate.in_flight,
-            queued=slot.queue.queued,
-            slots=slot.queue.slots,
+            queued=local.queue.queued,
+            slots=local.queue.slots,
             engine_load=engine.load if engine is not None else 0.0,
             engine_load_age=engine.load_age + age if engine is not None else 0.0,
             progress=runner.progress if runner is not None else 1.0,
         )
 
-    def _take_hosts(self) -> None:
+    def _apply_hosts(self) -> None:
         self.swarm.update_hosts(self.process.documents.hosts)
         self.keys.update_hosts(self.process.documents.hosts)
 
@@ -263,7 +270,7 @@
 
     def _samples(self) -> Samples:
         samples = process_samples(self.process)
-        for outcome, count in self.path.counts.items():
+        for outcome, count in self.handler.counts.items():
             verdict, _, reason = outcome.partition(" ")
             samples[sample("requests_total", verdict=verdict, reason=reason)] = count
         for status in self._report():
@@ -283,7 +290,7 @@
         return samples
 
 
-def _make_slot(upstream: Upstream) -> LocalUpstream:
+def _make_local_upstream(upstream: Upstream) -> LocalUpstream:
     return LocalUpstream(
         UpstreamGate(upstream.name),
         FairQueue(upstream.max_concurrent, upstream.max_queued),
--- a/libs/daemon/src/headcross_daemon/weightsserver.py
+++ b/libs/daemon/src/headcross_daemon/weightsserver.py
@@ -1,8 +1,8 @@
-"""Weights for the engines beside this daemon, over loopback.
+"""Serves weights to the engines beside this daemon, over loopback.
 
 An engine that was ordered to load an artifact fetches the manifest and then each chunk by its
-digest; it verifies both itself and reports the digest of what it loaded. Only whole artifacts are
-offered.
+digest. It verifies both itself and reports the digest of what it loaded. Only complete artifacts
+are served.
 """
 
 from typing import Final
@@ -14,7 +14,7 @@
 
 
 class WeightsServer:
-    """Handles requests of engines."""
+    """Handles requests of engines for manifests and chunks."""
 
     def __init__(self, store: ChunkStore) -> None:
         self._store = store
--- a/tests/test_version_news.py
+++ b/tests/test_version_news.py
@@ -2,7 +2,11 @@
 
 from headcross_base.addresses import Address
 from headcross_base.clocks import monotonic
-from headcross_daemon.versionnews import NEWS_SECONDS, hear_versions, news_of_versions
+from headcross_daemon.versionnews import (
+    VERSION_NEWS_SECONDS,
+    receive_version_news,
+    recent_version_news,
+)
 from headcross_facts.facts import Facts, VersionNotice
 from headcross_platform.store import MetadataStore
 from headcross_wire.peermessages import NamedVersionNews
@@ -18,11 +22,11 @@
 
 def told(facts: Facts) -> list[int]:
     """Return the versions that a process tells."""
-    return [news.version for news in news_of_versions(facts)]
+    return [news.version for news in recent_version_news(facts)]
 
 
 def test_a_version_is_told_while_it_or_the_next_one_is_new() -> None:
-    old, new = NEWS_SECONDS + 5.0, 1.0
+    old, new = VERSION_NEWS_SECONDS + 5.0, 1.0
     assert told(facts_with(new)) == [2]
     assert told(facts_with(old)) == []
     # It was wanted until a moment ago, and a killed process may have calls for it under way.
@@ -39,7 +43,7 @@
 def test_a_process_that_starts_learns_which_version_was_wanted_before_the_newest() -> None:
     facts = facts_with()
     facts.versions["m"] = [VersionNotice(3, monotonic(), at_start=True)]
-    hear_versions(facts, [NamedVersionNews("m", 2, 4.0), NamedVersionNews("m", 3, 1.0)])
+    receive_version_news(facts, [NamedVersionNews("m", 2, 4.0), NamedVersionNews("m", 3, 1.0)])
     older, newest = facts.versions["m"]
     assert (older.version, newest.version) == (2, 3)
     assert not older.at_start and not newest.at_start
