--- a/libs/cli/src/headcross_cli/explaining.py
+++ b/libs/cli/src/headcross_cli/explaining.py
@@ -34,8 +34,8 @@
     """The log lines that concern one request."""
 
     lines: list[Line] = field(default_factory=list)  # oldest first
-    # Lost attempts of other submissions with the same request digest, and the verdicts on them,
-    # oldest first.
+    # Lines of other submissions with the same request digest: lost attempts, and whether the
+    # request was judged to end replicas. Oldest first.
     related: list[Line] = field(default_factory=list)
     # Backpressure of replicas at the entry that refused the request for lack of a replica, oldest
     # first.
--- a/libs/cli/src/headcross_cli/planning.py
+++ b/libs/cli/src/headcross_cli/planning.py
@@ -40,25 +40,27 @@
         found = len(after.pools[name].assigned)
         if found < pool.replicas:
             yield Change("pool-short", name, f"{found} hosts for {pool.replicas} replicas")
-        was = old.pools.get(name)
-        if was is None:
+        previous = old.pools.get(name)
+        if previous is None:
             yield Change("pool-added", name, f"{pool.replicas} replicas of {pool.model}")
-        elif pool_artifacts(old, was) != pool_artifacts(new, pool):
-            text = f"{was.model} {was.version} becomes {pool.model} {pool.version}"
+        elif pool_artifacts(old, previous) != pool_artifacts(new, pool):
+            text = f"{previous.model} {previous.version} becomes {pool.model} {pool.version}"
             yield Change("version", name, f"{text}, {pool.max_unavailable} at a time")
-        elif was != pool:
+        elif previous != pool:
             yield Change("pool-changed", name, "replicas, zones or rules")
 
 
 def _upstream_changes(before: Placement, after: Placement) -> Iterator[Change]:
     for upstream in sorted(before.pool_by_upstream.keys() | after.pool_by_upstream.keys()):
-        was, becomes = before.pool_by_upstream.get(upstream), after.pool_by_upstream.get(upstream)
-        if was == becomes:
+        old_pool, new_pool = before.pool_by_upstream.get(upstream), after.pool_by_upstream.get(
+            upstream
+        )
+        if old_pool == new_pool:
             continue
-        if was is not None:
-            yield Change("upstream-leaves", upstream, was)
-        if becomes is not None:
-            yield Change("upstream-joins", upstream, becomes)
+        if old_pool is not None:
+            yield Change("upstream-leaves", upstream, old_pool)
+        if new_pool is not None:
+            yield Change("upstream-joins", upstream, new_pool)
 
 
 def _table_changes(
--- a/libs/daemon/src/headcross_daemon/admin.py
+++ b/libs/daemon/src/headcross_daemon/admin.py
@@ -88,8 +88,8 @@
         await exchange.respond(200, headers, held.accepted_body)
 
     async def _show_team(self, exchange: Exchange, team: str) -> None:
-        part = self._team_summary(team)
-        if part is None:
+        summary = self._team_summary(team)
+        if summary is None:
             await exchange.respond_json(404, {"error": "no such team"})
             return
-        await exchange.respond_json(200, part)
+        await exchange.respond_json(200, summary)
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -160,7 +160,7 @@
         """Serve until `stop` is set, then drain and return."""
         settings = self.process.settings
         async with trio.open_nursery() as nursery:
-            callers, _ = await self._server.listen(parse_address(settings.listen.callers))
+            caller_listeners, _ = await self._server.listen(parse_address(settings.listen.callers))
             readiness = HttpServer(self._answer_readiness, ServerLimits(max_body_bytes=1024))
             readiness_listeners, _ = await readiness.listen(
                 parse_address(settings.listen.readiness)
@@ -177,7 +177,7 @@
             if self._mirror is not None:
                 nursery.start_soon(self._mirror.run)
             accepting = trio.CancelScope()
-            nursery.start_soon(self._accept, callers, nursery, accepting)
+            nursery.start_soon(self._accept, caller_listeners, nursery, accepting)
             logger.info("listening", extra={"callers": settings.listen.callers})
             await stop.wait()
             await self._drain(accepting)
@@ -278,7 +278,8 @@
         limit = self.process.settings.bounds.stop_seconds - STOP_MARGIN_SECONDS
         started_at = trio.current_time()
         with trio.move_on_after(limit):
-            # At first all requests are accepted: callers still arrive, and most requests are short.
+            # At first all requests are accepted: callers still arrive, and most requests
+            # are short.
             await trio.sleep(min(ACCEPT_ALL_AFTER_STOP_SECONDS, limit / 3))
             self._path.refuse_ending_after(started_at + limit)
             await trio.sleep(
@@ -304,7 +305,7 @@
                 self._admission.notify(service)
 
     def _update_directory(self) -> None:
-        """Apply the list of replicas; close connections to earlier incarnations of replicas."""
+        """Apply the list of replicas; drop idle connections to replicas that have ended."""
         for address in self._directory.update():
             self._path.attempts.connections.forget(address)
 
--- a/libs/daemon/src/headcross_daemon/machinemain.py
+++ b/libs/daemon/src/headcross_daemon/machinemain.py
@@ -73,8 +73,8 @@
     SOURCE_IP.set(settings.ip)
     stop = trio.Event()
     role = _make_role(settings, path, adapter)
-    # Objects created so far live as long as the process, so the garbage collector need not traverse
-    # them again.
+    # Objects created so far live as long as the process, so the garbage collector need not
+    # traverse them again.
     gc.freeze()
     logger.info(
         "started", extra={"version": VERSION, "role": settings.role, "zone": settings.zone}
--- a/libs/daemon/src/headcross_daemon/process.py
+++ b/libs/daemon/src/headcross_daemon/process.py
@@ -27,7 +27,7 @@
     node: PeerNode
     follower: ConfigFollower
     pauses: PauseWatch
-    # Increases with every start; raised further if an engine has seen a higher one.
+    # Increases with every start. Orders to an engine that has seen a higher one exceed that one.
     incarnation: int
     # Why the process does not serve, empty if it does. Shown by the health check.
     unhealthy: str
--- a/libs/daemon/src/headcross_daemon/settings.py
+++ b/libs/daemon/src/headcross_daemon/settings.py
@@ -49,7 +49,7 @@
     """Bounds on the memory and bandwidth for weights, separate from memory for control."""
 
     memory_bytes: Positive = 64 * GIB
-    uplink_bytes_per_second: Rate = 0.0  # share of the link for sending chunks; 0 for no bound
+    uplink_bytes_per_second: Rate = 0.0  # bound on sending chunks; 0 for none
     downlink_bytes_per_second: Rate = 0.0
     burst_bytes: Positive = 4 * MIB  # size of a burst on an idle link
 
--- a/tests/test_machine_settings.py
+++ b/tests/test_machine_settings.py
@@ -1,4 +1,4 @@
-"""Settings of a process on the machines: whole and checked, with field and reason."""
+"""Tests the validation of the settings of a process on the machines, and its exit codes."""
 
 import os
 import subprocess
@@ -45,7 +45,7 @@
 }
 
 
-def test_good_settings_are_read(tmp_path: Path) -> None:
+def test_valid_settings_are_read(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(GOOD)
     outcome = read_machine_settings(path)
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("case", BAD)
-def test_bad_settings_are_refused_with_field_and_reason(tmp_path: Path, case: str) -> None:
+def test_invalid_settings_are_rejected_with_field_and_reason(tmp_path: Path, case: str) -> None:
     text, field = BAD[case]
     path = tmp_path / "settings.toml"
     path.write_text(text)
@@ -63,7 +63,7 @@
     assert str(path) in outcome.detail and field in outcome.detail
 
 
-def test_a_process_with_bad_settings_ends_with_its_own_code(tmp_path: Path) -> None:
+def test_a_process_with_invalid_settings_exits_with_code_2(tmp_path: Path) -> None:
     path = tmp_path / "settings.toml"
     path.write_text(BAD["unknown role"][0])
     process = subprocess.run(
@@ -78,7 +78,7 @@
     assert "role" in process.stderr
 
 
-def test_a_process_whose_address_is_taken_ends_with_its_own_code(tmp_path: Path) -> None:
+def test_a_process_whose_address_is_in_use_exits_with_code_3(tmp_path: Path) -> None:
     import socket
 
     with socket.socket() as taken:
--- a/tests/test_machine_stopping.py
+++ b/tests/test_machine_stopping.py
@@ -1,4 +1,4 @@
-"""Stopping, reloading and starting processes on the machines."""
+"""Tests planned stops, reloads and restarts of processes on the machines."""
 
 import signal
 from pathlib import Path
@@ -12,7 +12,7 @@
 from testing.machines import replicas_of, small_site
 
 
-async def test_a_planned_stop_cuts_nothing_and_ends_in_time(tmp_path: Path) -> None:
+async def test_a_planned_stop_cuts_no_stream_off_and_ends_in_time(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, plain=0) as site:
         replicas_of(site, MODEL_SERVICE)[0].event_seconds = 0.3
         replies: list[Reply] = []
@@ -30,7 +30,7 @@
             with trio.fail_after(3):
                 while await site.ready("entry0"):
                     await trio.sleep(0.02)
-            # Whoever still comes is served, and asked to go.
+            # Requests that still arrive are served, and the connection is closed after them.
             late = await ask(site.callers("entry0"), "/stream/x")
             assert late.whole and late.events == [0, 1, 2, 3]
             assert late.headers["connection"] == "close"
@@ -52,7 +52,7 @@
         assert connection.quiet()
         site.signal("entry0", signal.SIGTERM)
         assert await site.wait_exit("entry0") == 0
-        # The end of the connection can be read; a reset would raise something else.
+        # The end of the connection is read as such; a reset would raise an error that says so.
         assert connection.reusable()
         await connection.send("GET", "/nowhere/", [("host", "a.example")], b"")
         with pytest.raises(LinkLostError) as lost:
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize("by_signal", [True, False])
-async def test_settings_that_change_are_read_and_bad_ones_change_nothing(
+async def test_changed_settings_are_read_and_invalid_ones_change_nothing(
     tmp_path: Path, by_signal: bool
 ) -> None:
     async with small_site(tmp_path, models=0) as site:
@@ -96,7 +96,7 @@
         assert (await ask(site.callers("entry0"), "/stream/x")).status == 200
 
 
-async def test_an_entry_that_stood_still_serves_by_the_newest_facts(tmp_path: Path) -> None:
+async def test_an_entry_that_was_paused_serves_by_the_newest_facts(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=0) as site:
         site.signal("entry0", signal.SIGSTOP)
         site.change(tenants=[{"name": "team-1", "api_keys": ["new-key"]}])
@@ -109,10 +109,10 @@
         assert (await ask(site.callers("entry0"), "/again/x", key="new-key")).status == 200
 
 
-async def test_what_comes_late_in_a_planned_stop_is_answered_whole_or_refused_as_not_run(
+async def test_late_requests_in_a_planned_stop_are_answered_completely_or_refused_as_not_run(
     tmp_path: Path,
 ) -> None:
-    """A stream taken 3.7 s after the stop signal was cut at the end (LOST)."""
+    """A stream that is accepted late, e.g. 3.7 s after the stop signal, must not be cut off."""
     async with small_site(tmp_path, models=1, plain=1) as site:
         replica = replicas_of(site, MODEL_SERVICE)[0]
         replica.event_seconds = 0.55
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -1,4 +1,4 @@
-"""When an entry calls itself ready."""
+"""Tests when an entry reports itself ready."""
 
 from dataclasses import dataclass
 
@@ -7,13 +7,13 @@
 
 @dataclass
 class Knowledge:
-    """What an entry knows."""
+    """Which facts and reports an entry has."""
 
     complete: bool = False
     has_most_reports: bool = False
 
     def readiness(self) -> Readiness:
-        """Return the readiness of an entry that knows this."""
+        """Return the readiness of an entry with these facts and reports."""
         return Readiness(lambda: self.complete, lambda: self.has_most_reports)
 
 
@@ -23,8 +23,8 @@
     assert not readiness.is_ready(0.0) and not readiness.is_ready(100.0)
 
 
-def test_it_is_ready_as_soon_as_it_hears_most_daemons_and_stays_so() -> None:
-    """One that was ready before had a request refused by two replicas that loaded."""
+def test_an_entry_is_ready_once_it_has_most_reports_and_stays_ready() -> None:
+    """An entry that is ready earlier may send requests to replicas that are loading weights."""
     knowledge = Knowledge(complete=True)
     readiness = knowledge.readiness()
     assert not readiness.is_ready(0.0)
@@ -34,7 +34,7 @@
     assert readiness.is_ready(0.2)
 
 
-def test_daemons_that_stay_silent_keep_it_back_for_a_moment_only() -> None:
+def test_missing_reports_delay_readiness_for_a_limited_time_only() -> None:
     knowledge = Knowledge()
     readiness = knowledge.readiness()
     assert not readiness.is_ready(50.0)
@@ -44,7 +44,7 @@
     assert readiness.is_ready(60.0 + MAX_REPORT_WAIT_SECONDS)
 
 
-def test_one_that_stops_is_ready_no_more() -> None:
+def test_a_stopping_entry_is_not_ready() -> None:
     readiness = Knowledge(complete=True, has_most_reports=True).readiness()
     assert readiness.is_ready(0.0)
     readiness.stop()
--- a/tests/test_suspension.py
+++ b/tests/test_suspension.py
@@ -1,4 +1,4 @@
-"""A machine that is suspended: its steady clock stands still while the world goes on.
+"""Tests timers on a machine that is suspended, where the monotonic clock does not advance.
 
 A test cannot suspend a machine, so the clocks are passed in.
 """
@@ -24,17 +24,17 @@
 
 
 class Machine:
-    """A machine whose clock goes on while it is suspended."""
+    """A machine with a clock that advances during suspension."""
 
     def __init__(self) -> None:
         self._suspended = 0.0
 
     def clock(self) -> float:
-        """Return seconds, those of suspensions among them."""
+        """Return the time in seconds, including suspensions."""
         return time.monotonic() + self._suspended
 
     def suspend(self, seconds: float) -> None:
-        """Be suspended for some seconds, and wake."""
+        """Suspend the machine for some seconds and resume it."""
         self._suspended += seconds
 
     def run(self, main: Callable[[], Awaitable[T]]) -> T:
@@ -47,7 +47,7 @@
     machine = Machine()
 
     async def tick() -> None:
-        """Wake the process now and then, as the timers of every process do."""
+        """Wake the process at intervals, as the timers of every process do."""
         while True:
             await trio.sleep(0.1)
 
@@ -66,7 +66,9 @@
 
 
 @pytest.mark.parametrize("seconds", SUSPENSIONS)
-def test_what_is_left_of_a_request_shrinks_while_the_machine_is_suspended(seconds: float) -> None:
+def test_the_time_left_for_a_request_shrinks_while_the_machine_is_suspended(
+    seconds: float,
+) -> None:
     machine = Machine()
 
     async def main() -> float:
@@ -78,7 +80,7 @@
     assert machine.run(main) == pytest.approx(60.0 - seconds, abs=0.5)
 
 
-def test_timers_of_a_machine_that_was_not_suspended_fire_in_time() -> None:
+def test_timers_fire_on_time_without_suspension() -> None:
     machine = Machine()
 
     async def main() -> float:
@@ -91,20 +93,20 @@
 
 @pytest.fixture
 def clocks(monkeypatch: pytest.MonkeyPatch) -> list[object]:
-    """Return the clocks that processes are run by, which are not run here."""
+    """Replace trio.run and return the list of the clocks that are passed to it."""
     used: list[object] = []
     monkeypatch.setattr(trio, "run", lambda *args, clock=None: used.append(clock))
     return used
 
 
-def test_an_upstream_or_entry_daemon_goes_by_the_clock_that_counts_suspension(
+def test_an_upstream_or_entry_daemon_uses_the_clock_that_counts_suspension(
     clocks: list[object],
 ) -> None:
     nativemain.run(cast(Settings, None))
     assert isinstance(clocks[0], SuspensionClock)
 
 
-def test_a_process_on_the_machines_goes_by_the_clock_that_counts_suspension(
+def test_a_process_on_the_machines_uses_the_clock_that_counts_suspension(
     clocks: list[object], monkeypatch: pytest.MonkeyPatch
 ) -> None:
     settings = SimpleNamespace(
@@ -120,32 +122,32 @@
 
 
 def test_a_pause_of_the_process_between_the_two_readings_is_not_a_suspension() -> None:
-    steady = 0.0
+    monotonic = 0.0
 
-    def counting() -> float:
-        nonlocal steady
-        now = steady
-        steady += 3.0
+    def clock_with_suspension() -> float:
+        nonlocal monotonic
+        now = monotonic
+        monotonic += 3.0
         return now
 
-    clock = SuspensionClock(lambda: steady, counting)
+    clock = SuspensionClock(lambda: monotonic, clock_with_suspension)
     for _ in range(10):
-        assert clock.current_time() <= steady
+        assert clock.current_time() <= monotonic
 
 
-def test_the_clock_never_goes_back_and_reads_the_costly_one_rarely() -> None:
-    read = 0
-    steady = 0.0
+def test_the_clock_never_goes_back_and_rarely_reads_the_clock_that_counts_suspension() -> None:
+    reads = 0
+    monotonic = 0.0
 
-    def counting() -> float:
-        nonlocal read
-        read += 1
-        return steady + (5.0 if steady < 1.0 else 4.0)
+    def clock_with_suspension() -> float:
+        nonlocal reads
+        reads += 1
+        return monotonic + (5.0 if monotonic < 1.0 else 4.0)
 
-    clock = SuspensionClock(lambda: steady, counting)
+    clock = SuspensionClock(lambda: monotonic, clock_with_suspension)
     last = clock.current_time()
     for _ in range(20_000):
-        steady += 0.0001
+        monotonic += 0.0001
         assert clock.current_time() >= last
         last = clock.current_time()
-    assert read <= 2.0 / COMPARED_SECONDS + 2
+    assert reads <= 2.0 / COMPARED_SECONDS + 2
--- a/tests/test_tool.py
+++ b/tests/test_tool.py
@@ -1,4 +1,4 @@
-"""The command-line tool, and that the reference pages name every field."""
+"""Tests the command-line tool, and that the reference pages name every field."""
 
 import json
 import subprocess
@@ -64,8 +64,8 @@
     async with small_fleet(tmp_path) as small:
         admin = str(small.fleet.nodes["entry0"].address(ADMIN))
         code, printed, _ = await headcross("watch", "--admin", admin, "--until-converged")
-        look = json.loads(printed.splitlines()[-1])
-        assert (code, look["converged"], look["pools"][0]["serving"]) == (0, True, 3)
+        progress = json.loads(printed.splitlines()[-1])
+        assert (code, progress["converged"], progress["pools"][0]["serving"]) == (0, True, 3)
         small.text.version, small.text.replicas = "v2", 2
         path = tmp_path / "next.toml"
         path.write_text(str(small.text))
@@ -104,7 +104,7 @@
         ('["127.0.0.1:4"]', "[]", "platform.config: "),
     ],
 )
-def test_settings_that_are_not_valid_name_file_and_field(
+def test_the_failure_for_invalid_settings_names_file_and_field(
     tmp_path: Path, old: str, new: str, field: str
 ) -> None:
     path = tmp_path / "s.toml"
@@ -116,7 +116,7 @@
     assert outcome.detail.startswith(f"{path}: {field}"), outcome.detail
 
 
-def test_a_daemon_with_bad_settings_ends_with_code_2(tmp_path: Path) -> None:
+def test_a_daemon_with_invalid_settings_exits_with_code_2(tmp_path: Path) -> None:
     path = tmp_path / "s.toml"
     path.write_text("name = 1\n")
     command = [sys.executable, "-m", "headcross_daemon.main", "--settings", str(path)]
@@ -137,7 +137,7 @@
             assert field.name in text, f"{kind.__name__}.{field.name}"
 
 
-async def test_explain_tells_a_requests_story_from_several_logs(tmp_path: Path) -> None:
+async def test_explain_traces_a_request_through_several_logs(tmp_path: Path) -> None:
     entry, other = tmp_path / "entry.log", tmp_path / "other.log"
     first: dict[str, object] = {
         "at": "T1",
@@ -154,14 +154,16 @@
     other.write_text("a traceback\n")
     code, output, errors = await headcross("explain", "r1", str(entry), str(other))
     assert (code, errors) == (0, "headcross: 3 lines are no JSON objects\n")
-    told = output.splitlines()
-    assert told[0] == "T1  e  attempt  replica=i-1"
-    assert told[1].startswith("T2  e  refused  reason=no-room verdict=not-run")
-    assert told[2].startswith("It did not run: no-room (no replica has room) after 88.0 ms.")
-    assert len(told) == 3
+    printed_lines = output.splitlines()
+    assert printed_lines[0] == "T1  e  attempt  replica=i-1"
+    assert printed_lines[1].startswith("T2  e  refused  reason=no-room verdict=not-run")
+    assert printed_lines[2].startswith(
+        "It did not run: no-room (no replica has room) after 88.0 ms."
+    )
+    assert len(printed_lines) == 3
 
 
-async def test_explain_leads_from_a_barred_request_to_the_replicas_lost_under_it(
+async def test_explain_shows_for_a_barred_request_the_replicas_lost_while_running_it(
     tmp_path: Path,
 ) -> None:
     digest = {"request_digest": "d1"}
@@ -177,41 +179,41 @@
     log.write_text("\n".join(json.dumps(line) for line in lines))
     code, output, errors = await headcross("explain", "r3", str(log))
     assert (code, errors) == (0, "")
-    told = output.splitlines()
-    assert told[1] == "Other tries of the same request, and how it was judged:"
-    assert ["replica=i-1" in told[2], "replica=i-2" in told[3]] == [True, True]
+    printed_lines = output.splitlines()
+    assert printed_lines[1] == "Other tries of the same request, and how it was judged:"
+    assert ["replica=i-1" in printed_lines[2], "replica=i-2" in printed_lines[3]] == [True, True]
     assert "i-0" not in output
 
 
-async def test_explain_leads_from_a_refused_request_to_what_replicas_had_asked(
+async def test_explain_shows_for_a_refused_request_the_backpressure_of_replicas(
     tmp_path: Path,
 ) -> None:
-    def asked(at: str, message: str, replica: str, host: str = "e") -> dict[str, object]:
+    def backpressure(at: str, message: str, replica: str, host: str = "e") -> dict[str, object]:
         return {"at": at, "host": host, "message": message, "replica": replica}
 
     lines = [
         {"at": "T5", "host": "e", "message": "refused", "request": "r1", "reason": "no-room"},
-        asked("T1", "limit named", "i-1"),
-        asked("T2", "limit named", "i-2"),
-        asked("T3", "limit ended", "i-2"),
-        asked("T3", "replica asks for rest", "i-3"),
-        asked("T4", "replica leaves", "i-4", host="other"),
-        asked("T6", "replica leaves", "i-5"),
+        backpressure("T1", "limit named", "i-1"),
+        backpressure("T2", "limit named", "i-2"),
+        backpressure("T3", "limit ended", "i-2"),
+        backpressure("T3", "replica asks for rest", "i-3"),
+        backpressure("T4", "replica leaves", "i-4", host="other"),
+        backpressure("T6", "replica leaves", "i-5"),
     ]
     log = tmp_path / "entry.log"
     log.write_text("\n".join(json.dumps(line) for line in lines))
     code, output, errors = await headcross("explain", "r1", str(log))
     assert (code, errors) == (0, "")
-    told = output.splitlines()
-    assert told[1] == "What replicas had asked of that entry:"
-    assert told[2:4] == [
+    printed_lines = output.splitlines()
+    assert printed_lines[1] == "What replicas had asked of that entry:"
+    assert printed_lines[2:4] == [
         "T1  e  limit named  replica=i-1",
         "T3  e  replica asks for rest  replica=i-3",
     ]
-    assert len(told) == 5
+    assert len(printed_lines) == 5
 
 
-async def test_explain_says_so_when_no_log_knows_the_request(tmp_path: Path) -> None:
+async def test_explain_fails_if_no_log_has_the_request(tmp_path: Path) -> None:
     log = tmp_path / "entry.log"
     log.write_text("")
     code, output, errors = await headcross("explain", "r9", str(log))
