--- a/libs/weights/src/headcross_weights/neighbourview.py
+++ b/libs/weights/src/headcross_weights/neighbourview.py
@@ -38,7 +38,7 @@
     on_time_at: float
     # Average seconds from a request to the chunk, 0 before the first.
     latency: float
-    # Whether it answered a join message of this transfer.
+    # Whether it sent a join message in this transfer, so that it is not asked to join again.
     joined: bool
     # Its bitmap, until the manifest is known.
     bitmap: bytes
--- a/libs/weights/src/headcross_weights/pace.py
+++ b/libs/weights/src/headcross_weights/pace.py
@@ -32,7 +32,8 @@
     # Bounds on the timeout of a request to a neighbour, which is a multiple of its latency.
     min_timeout_seconds: float = 1.5
     max_timeout_seconds: float = 15.0
-    # A neighbour that did not answer is not asked for the first time, doubling up to the second.
+    # A neighbour that did not answer is not asked again for the backoff time, which doubles with
+    # each failure from the minimum to the maximum.
     min_backoff_seconds: float = 1.0
     max_backoff_seconds: float = 30.0
     # Timeout of a read from a weight source, and how long the source is paused after a failure
--- a/libs/weights/src/headcross_weights/sourcing.py
+++ b/libs/weights/src/headcross_weights/sourcing.py
@@ -73,8 +73,8 @@
         ranked = self._first_in_order(key, self._hosts)
         fetchers = ranked[: self._copies]
         if self._me in ranked:
-            rank = ranked.index(self._me)
-            if rank < self._copies:
+            position = ranked.index(self._me)
+            if position < self._copies:
                 return ChunkDuty(0, (), from_peer=False)
         has_fetcher = any(
             host.region == self._region for host in self._hosts if host.name in fetchers
@@ -101,5 +101,5 @@
 def _stand_in_duty(me: str, order: list[str], first: int, *, from_peer: bool) -> ChunkDuty:
     if me not in order:
         return ChunkDuty(None, (), from_peer)
-    rank = order.index(me)
-    return ChunkDuty(rank - first + 1, tuple(order[:rank]), from_peer)
+    position = order.index(me)
+    return ChunkDuty(position - first + 1, tuple(order[:position]), from_peer)
--- a/libs/weights/src/headcross_weights/transfer.py
+++ b/libs/weights/src/headcross_weights/transfer.py
@@ -151,7 +151,7 @@
         return view
 
     def receive_join(self, view: NeighbourView, bitmap: bytes) -> None:
-        """Handle the answer of a neighbour to a join message."""
+        """Record the chunks of a host that sent a join message."""
         view.joined = True
         if self.stored is None:
             view.bitmap = bitmap
