--- a/libs/facts/src/headcross_facts/facts.py
+++ b/libs/facts/src/headcross_facts/facts.py
@@ -54,7 +54,7 @@
     configuration: Configuration | None
     # Listed replicas by id.
     replicas: dict[str, Replica]
-    # Replicas whose valid entry was overwritten with one that cannot be decoded, by id, as they
+    # Replicas whose valid entry another writer has overwritten with an invalid one, by id, as they
     # were last listed. They get no new requests and no orders until a valid entry is back.
     overwritten: dict[str, Replica]
     # When entries of replicas expired around an outage of the store (monotonic), by id. Replicas
@@ -76,7 +76,7 @@
         self.topics = {topic: TopicState(topic) for topic in Topic}
         self.counts = Counter()
         self._store = store
-        # Why the newest entry of a replica cannot be decoded, by id.
+        # Why the newest entry of a replica is invalid, by id.
         self._invalid_reasons: dict[str, str] = {}
         self._changed = trio.Event()
         self._started_at = monotonic()
@@ -143,29 +143,29 @@
             self._list_failed_at = monotonic()
 
     def take_listing(self, topic: Topic, listing: Listing, age: float, source: str) -> bool:
-        """Apply a listing that was the newest `age` seconds ago; return whether it had news."""
+        """Apply a listing that was the newest `age` seconds ago; return whether it is new."""
         state = self.topics[topic]
         first = not state.known
-        news = state.take_listing(listing, age)
-        if news is None:
+        new_items = state.take_listing(listing, age)
+        if new_items is None:
             self.counts["ignored"] += 1
             fields = {"topic": topic.value, "revision": listing.revision, "held": state.revision}
             logger.info("older listing ignored", extra={**fields, "source": source})
             return False
-        return self._take(topic, news, source, at_start=first)
+        return self._take(topic, new_items, source, at_start=first)
 
     def take_changes(self, topic: Topic, changes: Changes) -> bool:
         """Apply changes that were read from the store; return whether there were any new ones."""
-        news = self.topics[topic].take_changes(changes)
-        return self._take(topic, news, FROM_STORE, at_start=False)
+        new_items = self.topics[topic].take_changes(changes)
+        return self._take(topic, new_items, FROM_STORE, at_start=False)
 
-    def _take(self, topic: Topic, news: list[Item], source: str, at_start: bool) -> bool:
-        for item in news:
+    def _take(self, topic: Topic, new_items: list[Item], source: str, at_start: bool) -> bool:
+        for item in new_items:
             self._take_item(topic, item, source, at_start)
-        if news or at_start:
+        if new_items or at_start:
             self._changed.set()
             self._changed = trio.Event()
-        return bool(news)
+        return bool(new_items)
 
     def _take_item(self, topic: Topic, item: Item, source: str, at_start: bool) -> None:
         fields = {"key": item.key, "revision": item.revision, "source": source}
@@ -206,7 +206,7 @@
             self.lapsed_at[replica_id] = now
 
     def _take_invalid_replica(self, replica_id: str, why: str, fields: dict[str, object]) -> None:
-        """Remove a replica whose entry was overwritten with one that cannot be decoded.
+        """Remove a replica whose entry another writer has overwritten with an invalid one.
 
         Requests in flight there continue. A line is logged only when the reason changes, since
         such an entry may be written again with every heartbeat.
--- a/libs/facts/src/headcross_facts/following.py
+++ b/libs/facts/src/headcross_facts/following.py
@@ -1,8 +1,8 @@
 """Follows the topics of the store: one listing, then a sequence of watches (long polls).
 
-A daemon beside a replica needs little of the configuration, which is large and may change several
-times a second, while the daemon's link is narrow: it watches the named versions and lists the rest
-on demand only.
+A replica's daemon needs little of the configuration, which is large and may change several times a
+second, while the daemon's link is narrow: it watches the named versions and lists the
+configuration on demand only.
 
 A watch without an answer does not show that there was no change: the store may have been silent
 for a moment, have answered everyone else since, and never answer this one call. So each watch is
@@ -63,7 +63,7 @@
     """Which topics of the store are followed, and the time limits and pauses of the calls."""
 
     watch: WatchLimits = WatchLimits(3.0, 1.5)
-    # Limits for the list of replicas, which a daemon beside a replica needs less urgently.
+    # Limits for the list of replicas, which a replica's daemon needs less urgently.
     list_watch: WatchLimits = WatchLimits(3.0, 1.5)
     # Limits after a failed call, until a call is answered; None for no change.
     lost_watch: WatchLimits | None = None
@@ -111,11 +111,11 @@
 # Pauses after a change as shares of the bounds. Each process makes one call after every pause.
 BATCH_DELAY_SHARE: Final = 0.075
 LIST_BATCH_DELAY_SHARE: Final = 0.1
-# Daemons beside replicas answer no callers, so none of the bounds applies to them. A late change
-# delays new weights; but each of their calls costs the store as much as an entry's, and there are
-# many more daemons than entries. A watch of theirs lasts for the sum of the bounds, less
-# DAEMON_MARGIN_SECONDS, times the factor of its topic. The two pauses after a change of the list
-# of replicas apply while a version is being fetched, and otherwise.
+# Replicas' daemons answer no callers, so none of the bounds applies to them. A late change delays
+# new weights; but each of their calls costs the store as much as an entry's, and there are many
+# more daemons than entries. Their watches last for `reached` and the shorter other bound together,
+# less DAEMON_MARGIN_SECONDS, times the factor of the topic. The two pauses after a change of the
+# list of replicas apply while a version is being fetched, and otherwise.
 DAEMON_MARGIN_SECONDS: Final = 2.0
 DAEMON_ANSWER_SECONDS: Final = 1.5
 VERSIONS_WATCH_FACTOR: Final = 1.4
@@ -150,12 +150,12 @@
 
 
 def daemon_polling(bounds: FactBounds) -> PollingSettings:
-    """Return the polling settings of a daemon beside a replica."""
+    """Return the polling settings of a replica's daemon."""
     shortest = min(bounds.configuration, bounds.leaving)
-    calm = max(MIN_WATCH_SECONDS, bounds.reached + shortest - DAEMON_MARGIN_SECONDS)
+    wait = max(MIN_WATCH_SECONDS, bounds.reached + shortest - DAEMON_MARGIN_SECONDS)
     return PollingSettings(
-        watch=WatchLimits(VERSIONS_WATCH_FACTOR * calm, DAEMON_ANSWER_SECONDS),
-        list_watch=WatchLimits(REPLICAS_WATCH_FACTOR * calm, DAEMON_ANSWER_SECONDS),
+        watch=WatchLimits(VERSIONS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
+        list_watch=WatchLimits(REPLICAS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
         batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
         list_batch_delay_seconds=DAEMON_LIST_BATCH_DELAY_SECONDS,
         idle_list_batch_delay_seconds=DAEMON_IDLE_LIST_BATCH_DELAY_SECONDS,
@@ -256,7 +256,7 @@
                     self._scopes[topic] = scope
                     listed = await self._step(topic, listed=False)
 
-    async def _delay_after_news(self, topic: Topic) -> None:
+    async def _delay_after_change(self, topic: Topic) -> None:
         seconds = self._polling.batch_delay(topic, topic in self._urgent)
         with trio.move_on_after(seconds) as scope:
             self._batch_delays[topic] = scope
@@ -281,7 +281,7 @@
             case Ok(value=changes):
                 self._note_recovery(topic)
                 if self._facts.take_changes(topic, changes):
-                    await self._delay_after_news(topic)
+                    await self._delay_after_change(topic)
                 return True
             case HistoryLost():
                 logger.info("history lost", extra={"topic": topic.value, "revision": revision})
--- a/libs/facts/src/headcross_facts/peerfacts.py
+++ b/libs/facts/src/headcross_facts/peerfacts.py
@@ -5,8 +5,8 @@
 filled the links between regions when all processes restarted at once. So a process first asks a
 few peers periodically for their revision, which takes a few bytes, and then requests the whole
 topic from one that has a newer revision. A process that knows nothing answers so at once: without
-an answer it could not be told from one whose answer is under way, and waiting for that kept an
-entry from asking peers that had the topic.
+an answer it could not be distinguished from one whose answer is still in transit, and waiting for
+that kept an entry from asking peers that had the topic.
 
 Entries are asked first, since they follow every topic; one other process is asked in addition
 while the store does not answer any entry either. A process that only lists a topic on demand
--- a/libs/facts/src/headcross_facts/topicstate.py
+++ b/libs/facts/src/headcross_facts/topicstate.py
@@ -39,33 +39,33 @@
         complete = self.revision if self.known else UNKNOWN_REVISION
         self.known = True
         listed = {item.key for item in listing.items}
-        gone = [
+        deleted = [
             Item(key, listing.revision, None)
             for key, held in self.items.items()
             if key not in listed and held.revision <= listing.revision
         ]
-        return self._take([*listing.items, *gone], listing.revision, age, complete)
+        return self._take([*listing.items, *deleted], listing.revision, age, complete)
 
     def take_changes(self, changes: Changes) -> list[Item]:
         """Apply the changes after this state's revision; return the new items."""
         return self._take(changes.items, changes.revision, 0.0, self.revision)
 
     def _take(self, items: Iterable[Item], revision: int, age: float, complete: int) -> list[Item]:
-        news: list[Item] = []
+        new_items: list[Item] = []
         # One answer may contain several changes of the same item.
         for item in sorted(items, key=lambda item: item.revision):
-            if not self._is_news(item, complete):
+            if not self._is_newer(item, complete):
                 continue
-            news.append(item)
+            new_items.append(item)
             if item.value is None:
                 del self.items[item.key]
             else:
                 self.items[item.key] = item
         self.revision = max(self.revision, revision)
         self.fresh_at = max(self.fresh_at, monotonic() - age)
-        return news
+        return new_items
 
-    def _is_news(self, item: Item, complete: int) -> bool:
+    def _is_newer(self, item: Item, complete: int) -> bool:
         """Return whether an item is newer than this state, which was complete up to `complete`.
 
         An item that is not held although its revision is at most `complete` has been deleted
--- a/libs/fleet/src/headcross_fleet/documents.py
+++ b/libs/fleet/src/headcross_fleet/documents.py
@@ -98,7 +98,7 @@
         return DocumentRevisions(self.revision, self.hosts_revision)
 
     def held(self, key: str) -> HeldDocument:
-        """Return the held state of a document."""
+        """Return the revisions held of a document."""
         return self._held[key]
 
     def contact_age(self) -> float:
@@ -106,7 +106,7 @@
         return monotonic() - self.contact_at
 
     async def wait_change(self) -> None:
-        """Wait until another document comes into force."""
+        """Wait until a newer document has been taken, whether in force or rejected."""
         await self._changed.wait()
 
     def offer(self, key: str, revision: int, body: bytes, age: float) -> bool:
--- a/libs/fleet/src/headcross_fleet/following.py
+++ b/libs/fleet/src/headcross_fleet/following.py
@@ -236,13 +236,13 @@
         self._take(key, outcome.value)
         return True
 
-    def _take(self, key: str, news: Snapshot | Unchanged) -> None:
+    def _take(self, key: str, answer: Snapshot | Unchanged) -> None:
         self._service_answered.add(key)
         held = self._documents.held(key)
-        if isinstance(news, Unchanged):
+        if isinstance(answer, Unchanged):
             self._documents.confirm(key, held.revision, held.digest, 0.0)
         else:
-            self._documents.offer(key, news.revision, news.body, 0.0)
+            self._documents.offer(key, answer.revision, answer.body, 0.0)
         self._send_hint_if_due(key)
 
     # Starting.
--- a/libs/fleet/src/headcross_fleet/membership.py
+++ b/libs/fleet/src/headcross_fleet/membership.py
@@ -89,10 +89,10 @@
         """
         known = self._daemons.get(host)
         if known is not None and known.status.incarnation <= incarnation:
-            gone = msgspec.structs.replace(
+            departed = msgspec.structs.replace(
                 known.status, incarnation=incarnation, sequence=2**62, period=1e9, upstreams=[]
             )
-            self._daemons[host] = DaemonStatus(gone, monotonic())
+            self._daemons[host] = DaemonStatus(departed, monotonic())
 
     def keep_only(self, hosts: set[str]) -> None:
         """Drop silent daemons that are not among the listed hosts."""
--- a/libs/fleet/src/headcross_fleet/topology.py
+++ b/libs/fleet/src/headcross_fleet/topology.py
@@ -31,8 +31,8 @@
     zone = [host for host in hosts.hosts if host.zone == me.zone and host.name != me.name]
     far = [host for host in hosts.hosts if host.zone != me.zone]
     chosen = _ring_successors(zone, me)
-    rest = [host for host in zone if host not in chosen]
-    chosen += _pick(f"near {me.name}", rest, NEAR_NEIGHBOURS)
+    others = [host for host in zone if host not in chosen]
+    chosen += _pick(f"near {me.name}", others, NEAR_NEIGHBOURS)
     return chosen + _pick(f"far {me.name}", far, FAR_NEIGHBOURS)
 
 
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -170,11 +170,11 @@
 
 async def test_changes_missing_from_the_history_are_read_by_a_listing(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=0) as site:
-        gone = replicas_of(site, PLAIN_SERVICE)[0]
+        removed = replicas_of(site, PLAIN_SERVICE)[0]
         site.store.set_mood(Mood.BUSY)
         site.change()
-        site.crash_replica(site.replicas[gone.id])
-        site.unlist(site.replicas[gone.id])
+        site.crash_replica(site.replicas[removed.id])
+        site.unlist(site.replicas[removed.id])
         site.store.forget_history()
         site.store.set_mood(Mood.WELL)
         await wait_version(site, "entry0", 2)
@@ -247,7 +247,7 @@
 async def test_a_daemon_learns_of_a_version_at_once_and_not_of_every_configuration(
     tmp_path: Path,
 ) -> None:
-    """Guards against bursts of configurations that fill the narrow links beside replicas."""
+    """Guards against bursts of configurations that fill the narrow links of replicas' daemons."""
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         daemon = site.machines["daemon0"].ip
--- a/tests/test_news_after_outage.py
+++ b/tests/test_news_after_outage.py
@@ -30,15 +30,15 @@
 NEW_ROUTE = {"name": "new", "path_prefix": "/new/"}
 
 
-async def wait_new_call(site: Machines, name: str, *, lost: bool) -> None:
+async def wait_new_call(site: Machines, name: str, *, failing: bool) -> None:
     """Wait until a process has just begun a watch of the configuration.
 
-    `lost` says whether its previous calls must have failed or must have succeeded.
+    `failing` says whether its previous call must have failed.
     """
     with trio.fail_after(WAIT_SECONDS):
         while True:
             topic = (await site.state(name))["topics"]["control"]
-            if topic["call_seconds"] < JUST_BEGUN_SECONDS and (topic["failing"] > 0) is lost:
+            if topic["call_seconds"] < JUST_BEGUN_SECONDS and (topic["failing"] > 0) is failing:
                 return
             await trio.sleep(0.02)
 
@@ -51,9 +51,9 @@
     async with small_site(tmp_path, models=0) as site:
         if silence == "long":
             site.store.set_mood(Mood.SILENT)
-            await wait_new_call(site, "entry0", lost=True)
+            await wait_new_call(site, "entry0", failing=True)
         else:
-            await wait_new_call(site, "entry0", lost=False)
+            await wait_new_call(site, "entry0", failing=False)
             site.store.set_mood(Mood.SILENT)
             await trio.sleep(SHORT_SILENCE_SECONDS)
         site.store.set_mood(Mood.WELL)
