--- a/libs/native/src/headcross_native/eventstream.py
+++ b/libs/native/src/headcross_native/eventstream.py
@@ -40,12 +40,12 @@
         >>> splitter.feed(b"id: 0\\ndata: a\\n\\nid: 1\\n"), splitter.tokens
         (b'id: 0\\ndata: a\\n\\n', 1)
         """
-        whole, end, self._rest = (self._rest + data).rpartition(EVENT_END)
+        complete, end, self._rest = (self._rest + data).rpartition(EVENT_END)
         if len(self._rest) > MAX_EVENT_BYTES:
             raise EventTooLongError
         if not end:
             return b""
-        for event in whole.split(EVENT_END):
+        for event in complete.split(EVENT_END):
             self.tokens += event.startswith(b"id:")
             self.done = self.done or event == DONE_EVENT
-        return whole + end
+        return complete + end
--- a/libs/wire/src/headcross_wire/peermessages.py
+++ b/libs/wire/src/headcross_wire/peermessages.py
@@ -104,12 +104,12 @@
 
 
 class Join(_Message, frozen=True, tag=20):
-    """Joins a transfer with a neighbour and states the sender's chunks; answered by a `Join`."""
+    """Joins a transfer with a neighbour and states the sender's chunks; the answer is a `Join`."""
 
     host: str
     artifact: str
     bitmap: bytes  # one bit per chunk, lowest first; empty while the manifest is unknown
-    wants_answer: bool
+    wants_answer: bool  # whether the receiver is to answer
 
 
 class Have(_Message, frozen=True, tag=21):
