--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -324,6 +324,6 @@
     while piece is not None:
         body += piece
         if len(body) > MAX_BODY_BYTES:
-            raise LinkLostError(f"the answer is longer than {MAX_BODY_BYTES} bytes")
+            raise LinkLostError(f"an answer over {MAX_BODY_BYTES} bytes")
         piece = await _wait_until(begun.until, connection.receive_piece, should_abandon)
     return bytes(body)
--- a/libs/gateway/src/headcross_gateway/linkproofs.py
+++ b/libs/gateway/src/headcross_gateway/linkproofs.py
@@ -68,10 +68,6 @@
             detail = f"the link did not show within {PROOF_SECONDS} s that it delivers"
             raise LinkUnprovenError(detail, silent=True) from None
         except LinkLostError as error:
-            raise LinkUnprovenError(
-                f"connection lost before its proof: {error}", silent=False
-            ) from None
+            raise LinkUnprovenError(f"lost before its proof: {error}", silent=False) from None
         if not connection.reusable():
-            raise LinkUnprovenError(
-                "the replica closed the connection with its answer to the proof", silent=False
-            )
+            raise LinkUnprovenError("closed by the replica with its proof", silent=False)
--- a/libs/renewal/src/headcross_renewal/loadverifier.py
+++ b/libs/renewal/src/headcross_renewal/loadverifier.py
@@ -28,12 +28,12 @@
         self,
         replica: ReplicaControl,
         reporter: Reporter,
-        book: DigestRegistry,
+        digests: DigestRegistry,
         in_doubt: InDoubtCalls,
     ) -> None:
         self._replica = replica
         self._reporter = reporter
-        self._book = book
+        self._digests = digests
         self._in_doubt = in_doubt
 
     async def run(self) -> None:
@@ -55,7 +55,7 @@
         """Return the indexes of bad chunks; None without digests or if a chunk is unreadable."""
         digests: ChunkDigests | None = None
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
-            digests = await self._book.obtain(held)
+            digests = await self._digests.obtain(held)
         if digests is None:
             return None
         bad = await find_corrupt_chunks(self._replica, held.model, digests.digests)
--- a/libs/renewal/src/headcross_renewal/mirrors.py
+++ b/libs/renewal/src/headcross_renewal/mirrors.py
@@ -31,9 +31,9 @@
     def __init__(self) -> None:
         self._last_heard_at: dict[MirrorLocation, float] = {}
 
-    def record(self, place: MirrorLocation) -> None:
+    def record(self, location: MirrorLocation) -> None:
         """Record an announcement of a mirror, received now."""
-        self._last_heard_at[place] = monotonic()
+        self._last_heard_at[location] = monotonic()
 
     def known(self) -> list[MirrorLocation]:
         """Return the mirrors that have not expired, sorted by IP address.
@@ -41,12 +41,12 @@
         >>> registry = MirrorRegistry()
         >>> registry.record(MirrorLocation("10.0.0.2", "a"))
         >>> registry.record(MirrorLocation("10.0.0.1", "a"))
-        >>> [place.ip for place in registry.known()]
+        >>> [location.ip for location in registry.known()]
         ['10.0.0.1', '10.0.0.2']
         """
         horizon = monotonic() - MIRROR_EXPIRY_SECONDS
         self._last_heard_at = {p: at for p, at in self._last_heard_at.items() if at >= horizon}
-        return sorted(self._last_heard_at, key=lambda place: place.ip)
+        return sorted(self._last_heard_at, key=lambda location: location.ip)
 
 
 def upload_seconds(
--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -44,14 +44,14 @@
         replica: ReplicaControl,
         reporter: Reporter,
         fetching: Fetcher,
-        book: DigestRegistry,
+        digests: DigestRegistry,
         in_doubt: InDoubtCalls,
     ) -> None:
         self._facts = facts
         self._replica = replica
         self._reporter = reporter
         self._fetching = fetching
-        self._book = book
+        self._digests = digests
         self._in_doubt = in_doubt
         self._first_report: ReplicaReport | None = None
 
@@ -137,7 +137,7 @@
 
     async def _adopt(self, goal: LoadedModel, copy: StagedCopy) -> int:
         """Adopt the staged chunks of a version; return how many were staged."""
-        digests = await self._book.obtain(goal)
+        digests = await self._digests.obtain(goal)
         if not copy.matching_chunks(digests.digests):
             if len(copy.indexes) < len(digests.digests):
                 self._in_doubt.rule_out_earlier_order()
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -64,7 +64,7 @@
         replica: ReplicaControl,
         reporter: Reporter,
         origin: OriginSource,
-        book: DigestRegistry,
+        digests: DigestRegistry,
         choice: GoalSelector,
         fetching: Fetcher,
         loading: Loading,
@@ -78,7 +78,7 @@
         self._replica = replica
         self._reporter = reporter
         self._origin = origin
-        self._book = book
+        self._digests = digests
         self._choice = choice
         self._fetching = fetching
         self._loading = loading
@@ -87,8 +87,8 @@
         self._set_link_use = set_link_use
         # Called with whether an update is running, which needs current facts about other replicas.
         self._set_busy = set_busy
-        self._recovery = Recovery(facts, replica, reporter, fetching, book, orders.in_doubt)
-        self._load_verifier = LoadVerifier(replica, reporter, book, orders.in_doubt)
+        self._recovery = Recovery(facts, replica, reporter, fetching, digests, orders.in_doubt)
+        self._load_verifier = LoadVerifier(replica, reporter, digests, orders.in_doubt)
         self._offered: set[LoadedModel] = set()
         # Set once all chunks of the version that is being fetched are staged.
         self._staged = trio.Event()
@@ -172,10 +172,10 @@
 
     async def _is_available(self, goal: LoadedModel) -> bool:
         """Return whether a version can be fetched now, from another replica or the origin."""
-        await self._book.obtain(goal)
+        await self._digests.obtain(goal)
         if any(has_loaded(replica, goal) for replica in self._loading.peers()):
             return True
-        if self._book.settled_within(goal, ORIGIN_ANSWERED_SECONDS):
+        if self._digests.settled_within(goal, ORIGIN_ANSWERED_SECONDS):
             return True
         return not isinstance(await self._origin.read_digests(goal), Failure)
 
@@ -235,7 +235,7 @@
     async def _obtain_digests(self, goal: LoadedModel) -> bool:
         """Obtain the digests; return False if an older version should be tried meanwhile."""
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
-            await self._book.obtain(goal)
+            await self._digests.obtain(goal)
             return True
         self._choice.defer(goal)
         return False
--- a/libs/renewal/src/headcross_renewal/staging.py
+++ b/libs/renewal/src/headcross_renewal/staging.py
@@ -62,7 +62,7 @@
 
         If a chunk is missing at the replica, no order of an earlier daemon process is open.
         """
-        found = copy.matching_chunks([place.digest for place in stored.locations])
+        found = copy.matching_chunks([location.digest for location in stored.locations])
         for index, data in found.items():
             stored.add(index, data)
         if len(found) == len(stored.locations):
@@ -84,7 +84,7 @@
         """
         bad: list[int] = []
         unread: list[int] = []
-        digests = [place.digest for place in stored.locations]
+        digests = [location.digest for location in stored.locations]
 
         async def check(index: int) -> None:
             data = await self._replica.read_chunk(self._model, index)
--- a/libs/renewal/src/headcross_renewal/turns.py
+++ b/libs/renewal/src/headcross_renewal/turns.py
@@ -48,4 +48,4 @@
             zones.setdefault(replica.zone, []).append(str(replica.address))
     key = f"{goal.model} {goal.version}"
     dealt = [address for zone in sorted(zones) for address in rendezvous_order(key, zones[zone])]
-    return {address: place % GROUP_COUNT for place, address in enumerate(dealt)}
+    return {address: position % GROUP_COUNT for position, address in enumerate(dealt)}
