--- a/libs/daemon/src/headcross_daemon/admin.py
+++ b/libs/daemon/src/headcross_daemon/admin.py
@@ -16,7 +16,7 @@
 
 from headcross_daemon.process import Process
 
-MAX_ADMIN_BODY: Final = 1024
+MAX_ADMIN_BODY_BYTES: Final = 1024
 TEAM_PREFIX: Final = f"/{ADMIN_API}/teams/"
 
 logger = logging.getLogger(__name__)
--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -20,7 +20,7 @@
 from headcross_wire.peernode import IncomingMessage
 from prometheus_client import Histogram
 
-from headcross_daemon.admin import MAX_ADMIN_BODY, AdminApi
+from headcross_daemon.admin import MAX_ADMIN_BODY_BYTES, AdminApi
 from headcross_daemon.metrics import MetricsPage, Samples, sample
 from headcross_daemon.process import Process, serve_http
 from headcross_daemon.processmetrics import process_samples
@@ -72,7 +72,7 @@
             max_connections=settings.limits.max_connections,
         )
         async with trio.open_nursery() as nursery:
-            admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY)
+            admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES)
             await serve_http(nursery, self._admin.handle, settings.listen.admin, admin_limits)
             server, bound, scope = await serve_http(
                 nursery, self.handler.handle, settings.listen.http, limits
@@ -98,7 +98,7 @@
         logger.info("drained", extra={"in_flight": self.handler.in_flight})
 
     def dump(self) -> dict[str, object]:
-        """Return the whole state."""
+        """Return the state of the process for the administration address."""
         return {
             **self.process.dump(),
             "requests": dict(self.handler.counts),
--- a/libs/daemon/src/headcross_daemon/entrynews.py
+++ b/libs/daemon/src/headcross_daemon/entrynews.py
@@ -1,9 +1,9 @@
-"""Sends news that an entry gained from its own requests to other processes.
+"""Sends other processes the news that an entry learned from its own requests.
 
-News are sent at once: refused requests to the entries of the zone, lost replicas and the
+News is sent at once: refused requests to the entries of the zone, lost replicas and the
 backpressure of replicas to all entries. A few daemons keep the losses for entries that start after
-all others were killed. News that still hold are repeated to a few entries each second, since some
-may have started or reconnected.
+all others were killed. News that is still valid is repeated to a few entries each second, since
+some may have started or reconnected.
 """
 
 import random
@@ -22,15 +22,15 @@
 from headcross_wire.peermessages import LossNews, RefusedNews, ReplicaNews
 from headcross_wire.peernode import PeerNode
 
-# After news of lost replicas are sent, later ones are collected for this long and sent together.
+# After news of lost replicas is sent, later news is collected for this long and sent together.
 NEWS_BATCH_SECONDS: Final = 0.1
 # Number of daemons that keep the losses that make requests suspect. Few, as the links of daemons
 # have little bandwidth.
 DAEMONS_FOR_LOSSES: Final = 4
-# How often news are sent to a peer whose link is not open yet, and the interval between attempts.
+# How often news is sent to a peer whose link is not open yet, and the interval between attempts.
 MAX_SEND_ATTEMPTS: Final = 5
 SEND_RETRY_SECONDS: Final = 0.1
-# Number of entries to which all news are repeated, each second.
+# Number of entries to which all news is repeated, each second.
 ENTRIES_PER_REPEAT: Final = 3
 
 Addresses = Callable[[], list[Address]]
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -62,7 +62,7 @@
 PROOF_INTERVAL_SECONDS: Final = 0.3
 PROOF_LEAD_SECONDS: Final = ENDING_SECONDS + 1.5
 HOUSEKEEPING_INTERVAL_SECONDS: Final = 1.0
-# Refused callers return after 0.4 s at the earliest, to another entry of the zone, which must know
+# Refused callers retry after 0.4 s at the earliest, at another entry of the zone, which must know
 # of the refusal by then.
 OVERLOAD_CHECK_SECONDS: Final = 0.2
 # How long after its start an entry requests the losses that daemons keep.
@@ -149,7 +149,7 @@
         self._readiness = Readiness(
             lambda: self.process.facts.complete, self._directory.has_most_reports
         )
-        # Number of rounds in which daemons outside of the subset were told of this mirror.
+        # Number of rounds in which this mirror was announced to daemons outside of the subset.
         self._announcements = 0
         # When to stop requesting losses from daemons (monotonic time).
         self._request_losses_until = monotonic() + REQUEST_LOSSES_SECONDS
@@ -184,7 +184,7 @@
             nursery.cancel_scope.cancel()
 
     def dump(self) -> dict[str, object]:
-        """Return the whole state."""
+        """Return the state of the process for the administration address."""
         return {
             **self.process.dump(),
             "ready": self._ready(),
@@ -222,7 +222,7 @@
         }
 
     def _reserved_shares(self) -> dict[str, float]:
-        """Return, by service, the share of slots that is reserved for first attempts."""
+        """Return, by service, the share of slots that is reserved for first tries."""
         configuration = self.process.facts.configuration
         services = configuration.services if configuration is not None else ()
         return {name: round(self._overload.reserved_share(name), 3) for name in services}
@@ -328,7 +328,7 @@
         return [Address(mirror.ip, port) for mirror in known]
 
     def _zone_entries(self) -> list[Address]:
-        """Return the other known entries of this zone, to which refused callers return."""
+        """Return the other known entries of this zone, at which refused callers retry."""
         settings = self.process.settings
         port = parse_address(settings.listen.peers).port
         known = self._mirror.known() if self._mirror is not None else []
--- a/libs/daemon/src/headcross_daemon/lossregistry.py
+++ b/libs/daemon/src/headcross_daemon/lossregistry.py
@@ -1,7 +1,7 @@
 """Keeps news of lost replicas, and of the requests that ran there, at a daemon beside a replica.
 
-Entries exchange these news among themselves, but may all be killed at once. Daemons only store the
-news, without acting on them, and return them to entries that ask, as entries do after a start.
+Entries exchange this news among themselves, but may all be killed at once. Daemons only store the
+news, without acting on it, and return it to entries that ask, as entries do after a start.
 """
 
 from headcross_base.clocks import monotonic
--- a/libs/daemon/src/headcross_daemon/machineprocess.py
+++ b/libs/daemon/src/headcross_daemon/machineprocess.py
@@ -28,7 +28,7 @@
 from headcross_daemon.metrics import MetricsPage, Samples, sample
 
 SETTINGS_CHECK_SECONDS: Final = 1.0
-MAX_ADMIN_BODY: Final = 1024
+MAX_ADMIN_BODY_BYTES: Final = 1024
 
 logger = logging.getLogger(__name__)
 
@@ -54,13 +54,13 @@
         adapter: Adapter,
         peers: Callable[[], list[Address]],
         handle_other: Handler,
-        pace: PollingSettings,
+        polling: PollingSettings,
         entries: Callable[[], list[Address]] = list,
     ) -> None:
         self.settings = settings
         self.facts = Facts(adapter.store)
         self.pauses = PauseWatch(limit_seconds=0.8)
-        self.follower = Follower(adapter.store, self.facts, self.pauses, pace)
+        self.follower = Follower(adapter.store, self.facts, self.pauses, polling)
         self.node = PeerNode(parse_address(settings.listen.peers), self._handle)
         self.peer_facts = PeerFacts(
             self.facts, self.follower, self.node, self._known_peers, self.known_entries
@@ -195,7 +195,7 @@
         """Listen in the background; does nothing if `address` is empty."""
         if not address:
             return
-        server = HttpServer(self.handle, ServerLimits(max_body_bytes=MAX_ADMIN_BODY))
+        server = HttpServer(self.handle, ServerLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES))
         listeners, _ = await server.listen(parse_address(address))
         nursery.start_soon(server.serve, listeners)
 
--- a/libs/daemon/src/headcross_daemon/machinesettings.py
+++ b/libs/daemon/src/headcross_daemon/machinesettings.py
@@ -104,7 +104,7 @@
 
 
 class MachineSettings(_Section, frozen=True, kw_only=True):
-    """The whole file."""
+    """The contents of a settings file."""
 
     host: Text  # unique in the fleet
     role: Literal["entry", "upstream"]
--- a/libs/daemon/src/headcross_daemon/main.py
+++ b/libs/daemon/src/headcross_daemon/main.py
@@ -54,7 +54,7 @@
 
 
 def run(settings: Settings) -> int:
-    """Run a daemon with these settings until it is told to stop; return the exit code."""
+    """Run a daemon with these settings until a stop signal; return the exit code."""
     code = EXIT_STOPPED
     try:
         trio.run(_run_until_stopped, settings, clock=SuspensionClock())
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -188,14 +188,14 @@
             nursery.cancel_scope.cancel()
 
     def dump(self) -> dict[str, object]:
-        """Return the whole state."""
+        """Return the state of the process for the administration address."""
         report = self._reporter.report
         plan = self._plans.newest()
         return {
             **self.process.dump(),
             "plan_version": plan.version if plan is not None else None,
             "step": self._renewer.step,
-            "orders": self._orders.given,
+            "orders": self._orders.issued,
             "orders_refused": self._orders.refused,
             "loaded": {m.model: m.version for m in report.loaded} if report else None,
             "load": self._reporter.confirmation.status.value,
@@ -311,8 +311,8 @@
                     incoming.reply(KnownMirrors(self._mirrors.known()), None)
             case LossNews() as news:
                 self._losses.receive(news)
-            case ReplicaNews() as asked:
-                self._receive_replica_news(asked)
+            case ReplicaNews() as replica_news:
+                self._receive_replica_news(replica_news)
             case AskPlan():
                 known_plan = self._plans.newest()
                 if known_plan is not None:
@@ -347,7 +347,7 @@
 
     def _samples(self) -> Samples:
         samples = self.process.samples()
-        samples[sample("orders_total")] = self._orders.given
+        samples[sample("orders_total")] = self._orders.issued
         samples[sample("orders_refused_total")] = self._orders.refused
         suspect = self._reporter.confirmation.status is LoadStatus.SUSPECT
         samples[sample("load_suspect")] = float(suspect)
--- a/libs/daemon/src/headcross_daemon/settings.py
+++ b/libs/daemon/src/headcross_daemon/settings.py
@@ -94,7 +94,7 @@
 
 
 class Settings(_Table, frozen=True, kw_only=True):
-    """The whole file."""
+    """The contents of a settings file."""
 
     name: Annotated[str, msgspec.Meta(min_length=1, max_length=63)]  # of this host
     role: Role
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -26,7 +26,7 @@
 from headcross_wire.peermessages import TurnAnswer, UpstreamStatus
 from headcross_wire.peernode import IncomingMessage
 
-from headcross_daemon.admin import MAX_ADMIN_BODY, AdminApi
+from headcross_daemon.admin import MAX_ADMIN_BODY_BYTES, AdminApi
 from headcross_daemon.heartbeats import Heartbeats
 from headcross_daemon.metrics import MetricsPage, Samples, sample
 from headcross_daemon.plainrunner import run_plain
@@ -94,7 +94,7 @@
             _, weights, _ = await serve_http(
                 nursery, WeightsServer(self.store).handle, settings.listen.weights, ServerLimits()
             )
-            admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY)
+            admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES)
             await serve_http(nursery, self._admin.handle, settings.listen.admin, admin_limits)
             nursery.start_soon(self.process.run)
             nursery.start_soon(self.swarm.run)
@@ -172,7 +172,7 @@
         logger.info("drained", extra={"in_flight": sum(gate.in_flight for gate in gates)})
 
     def dump(self) -> dict[str, object]:
-        """Return the whole state."""
+        """Return the state of the process for the administration address."""
         return {
             **self.process.dump(),
             "upstreams": self.list_upstreams(),
--- a/libs/daemon/src/headcross_daemon/versionnews.py
+++ b/libs/daemon/src/headcross_daemon/versionnews.py
@@ -1,4 +1,4 @@
-"""Exchanges between processes which versions of models were named lately, and when.
+"""Exchanges between processes which versions of models were named recently, and when.
 
 The store gives only the newest version of a model, without the time at which it was named. A
 process that has just started learns from others which versions were in force before and when each
--- a/libs/gateway/src/headcross_gateway/admission.py
+++ b/libs/gateway/src/headcross_gateway/admission.py
@@ -83,7 +83,7 @@
         """Return a replica with a slot reserved on it, None if there is none by `until`.
 
         Returns None at once if no replica accepts the request until then. `until` is on trio's
-        clock; `returning` tells that the caller was refused before. The slot must be released with
+        clock; `returning` is true if the caller was refused before. The slot must be released with
         `release_slot`.
         """
         queue = self._queues.setdefault(requirements.service, [])
--- a/libs/gateway/src/headcross_gateway/admitted.py
+++ b/libs/gateway/src/headcross_gateway/admitted.py
@@ -43,7 +43,7 @@
     unreached: int = 0  # replicas that it did not reach
     # An attempt at a silent replica was abandoned, and its retry was taken from the budget.
     retry_paid: bool = False
-    # A replica's own error answer, passed on if no later attempt succeeds.
+    # A replica's own error answer, forwarded if no later attempt succeeds.
     failed_answer: CompleteAnswer | None = None
     _identity: RequestIdentity | None = None
     _group: bytes | None = None
--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -136,7 +136,7 @@
         try:
             with self._unbegun.waiting(facts.model, replica_state) as waiting:
                 times.unbegun = waiting
-                placed_at = trio.current_time()
+                assigned_at = trio.current_time()
                 connection = await self.connections.take(
                     replica_state.replica.address, fresh=fresh
                 )
@@ -147,7 +147,7 @@
                 ):
                     begun: _BegunAnswer | Outcome = _REPLICA_UNAVAILABLE
                 else:
-                    hand_over = _with_elapsed_time(hand_over, trio.current_time() - placed_at)
+                    hand_over = _with_elapsed_time(hand_over, trio.current_time() - assigned_at)
                     begun = await self._begin(
                         connection, request, facts, replica_state, hand_over, timeouts, times
                     )
@@ -237,11 +237,11 @@
         relay: StreamRelay | None,
         timeouts: AttemptTimeouts,
     ) -> Outcome:
-        """Receive the rest of an answer and pass on a stream."""
+        """Receive the rest of an answer; forward it if it is a stream."""
         answer, facts = begun.answer, begun.facts
         if relay is not None and answer.status in SUCCESS:
             relay.begin(answer, facts.weights_version)
-            return await self._pass_stream(connection, begun, relay, timeouts)
+            return await self._forward_stream(connection, begun, relay, timeouts)
         body = await _read_body(connection, begun, timeouts.should_abandon)
         await self.connections.give(connection, answer)
         if facts.not_run:
@@ -249,7 +249,7 @@
             return DidNotRun(NOT_SERVING, detail, arrived=True, elsewhere=facts.elsewhere)
         return CompleteAnswer(answer, body)
 
-    async def _pass_stream(
+    async def _forward_stream(
         self,
         connection: HttpConnection,
         begun: _BegunAnswer,
@@ -258,7 +258,7 @@
     ) -> Outcome:
         piece, until = begun.piece, begun.until
         while piece is not None:
-            if await relay.pass_on(piece):
+            if await relay.forward(piece):
                 until = trio.current_time() + timeouts.pause_seconds
             piece = await _wait_until(until, connection.receive_piece, timeouts.should_abandon)
         if not await relay.finish():
--- a/libs/gateway/src/headcross_gateway/backpressure.py
+++ b/libs/gateway/src/headcross_gateway/backpressure.py
@@ -1,8 +1,8 @@
 """Tracks what one incarnation of a replica asks of this entry, and when it accepts a request.
 
 A limit applies to all entries together, as long as answers name it. A rest applies to this entry
-only, until it ends. Leaving is final. Limits and leavings are sent to the other entries; see
-`replicanews`. Times are in seconds on any one clock that does not go back.
+only, until it ends. Leaving is final. A limit and the fact that a replica leaves are sent to
+the other entries; see `replicanews`. Times are in seconds on any one clock that does not go back.
 """
 
 import logging
--- a/libs/gateway/src/headcross_gateway/budget.py
+++ b/libs/gateway/src/headcross_gateway/budget.py
@@ -23,7 +23,7 @@
 STARTS_PER_WINDOW: Final = 4
 # The slack is divided among the known entries, and among at least this many.
 MIN_ENTRIES: Final = 5
-# The rest of the slack covers rounding and late news of other entries.
+# The rest of the slack covers rounding and late news from other entries.
 SLACK_FRACTION: Final = 0.97
 
 
--- a/libs/gateway/src/headcross_gateway/confirmedloads.py
+++ b/libs/gateway/src/headcross_gateway/confirmedloads.py
@@ -59,7 +59,7 @@
         self._receives_reports = False
 
     def may_serve(self, model: str, version: int) -> bool:
-        """Tell whether a version that the replica holds may take requests."""
+        """Return whether a version that the replica holds may take requests."""
         load = LoadedModel(model, version)
         if load in self._suspect:
             return False
--- a/libs/gateway/src/headcross_gateway/containment.py
+++ b/libs/gateway/src/headcross_gateway/containment.py
@@ -108,7 +108,7 @@
         return NotRun(ENDS_REPLICAS, detail, round(seconds, 1))
 
     async def wait_pending_news(self) -> LossNews:
-        """Wait until this entry has news that the others do not know, and return them."""
+        """Wait until this entry has news that the others do not know, and return it."""
         while True:
             await self._learned.wait()
             self._learned = trio.Event()
@@ -118,7 +118,7 @@
                 return news
 
     def receive(self, news: LossNews) -> None:
-        """Store the news of another entry; `update` acts on them."""
+        """Store the news of another entry; `update` applies it."""
         self.shared.receive(news, monotonic())
 
     def update(self) -> None:
--- a/libs/gateway/src/headcross_gateway/demand.py
+++ b/libs/gateway/src/headcross_gateway/demand.py
@@ -1,7 +1,7 @@
 """Measures the requests per second of each service, and the share of them that find no free slot.
 
 A service whose requests find no free slot will lack slots for a while: the larger the share that
-an entry refused in the last seconds, the later it tells callers to retry.
+an entry refused in the last seconds, the longer the retry-after time it sends to callers.
 """
 
 import math
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -90,7 +90,7 @@
         logger.info("replica not listed", extra={"replica": replica_id, **fields})
 
     def _keep_lapsed(self, state: ReplicaState) -> bool:
-        """Tell whether a replica stays in use for now though its list entry has lapsed."""
+        """Return whether a replica stays in use for now though its list entry has lapsed."""
         lapsed_at = self._facts.lapsed_at.get(state.replica.id)
         if lapsed_at is None:
             return False
@@ -140,7 +140,7 @@
         return round(monotonic() - heard_at, 3) if heard_at is not None else None
 
     def has_most_reports(self) -> bool:
-        """Tell whether at least half of the subset's daemons have reported; true if none exist."""
+        """Return whether at least half of the subset's daemons reported; true if there are none."""
         states = [state for state in self._with_daemons() if state.in_subset]
         return 2 * sum(state.last_report is not None for state in states) >= len(states)
 
@@ -175,7 +175,7 @@
     def estimate_entries(self) -> int | None:
         """Estimate the number of entries from the listener counts that daemons report.
 
-        None if there is no recent report.
+        Returns None if there is no recent report.
 
         Without subsetting each daemon reports to every entry; otherwise to a share of them. The
         estimate is the mean over the daemons, rounded up: by the last report alone, 11 entries
--- a/libs/gateway/src/headcross_gateway/health.py
+++ b/libs/gateway/src/headcross_gateway/health.py
@@ -29,11 +29,11 @@
     on_trial: bool = False  # a trial request is in flight after an ejection
 
     def is_ejected(self) -> bool:
-        """Tell whether it is ejected now."""
+        """Return whether it is ejected now."""
         return monotonic() < self.ejected_until
 
     def needs_trial(self) -> bool:
-        """Tell whether its ejection is over and no request has succeeded since."""
+        """Return whether its ejection is over and no request has succeeded since."""
         return self.ejections > 0 and not self.is_ejected()
 
     def note_silence(self) -> None:
@@ -45,7 +45,7 @@
         return monotonic() - self.silent_at
 
     def answered_within(self, seconds: float) -> bool:
-        """Tell whether it answered in the last `seconds`, and nothing has failed there since."""
+        """Return whether it answered in the last `seconds`, and nothing has failed there since."""
         return not self.failures and monotonic() - self.answered_at < seconds
 
     def answered_age(self) -> float:
--- a/libs/gateway/src/headcross_gateway/linkproofs.py
+++ b/libs/gateway/src/headcross_gateway/linkproofs.py
@@ -47,7 +47,7 @@
         self._target = dialect.immediate_target()
 
     def is_needed(self, model: str | None, replica_state: ReplicaState) -> bool:
-        """Tell whether a request that its link delays could begin on weights past their bound."""
+        """Return whether a request delayed by its link could begin on weights past their bound."""
         version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
             return False
--- a/libs/gateway/src/headcross_gateway/lossnews.py
+++ b/libs/gateway/src/headcross_gateway/lossnews.py
@@ -44,7 +44,7 @@
         self._host = host
         self.rejected = 0
         self._on_news = on_news
-        # What this entry learned itself since news were last taken.
+        # What this entry learned itself since news was last taken.
         self._lost: dict[LossKey, set[RequestIdentity]] = {}
         self._alive: dict[LossKey, float] = {}
         self._answered: dict[RequestIdentity, float] = {}
@@ -89,7 +89,7 @@
         self._answered.clear()
         if not (lost or alive or answered):
             return None
-        return LossNews(lost, alive, answered, self._host, self._group_ends(now))
+        return LossNews(lost, alive, answered, self._host, self._group_outcomes(now))
 
     def all_news(self, now: float) -> LossNews | None:
         """Return all recorded losses, None if there are none."""
@@ -98,7 +98,7 @@
             for key, loss in self.losses.losses().items()
             if loss.requests
         ]
-        return LossNews(lost, host=self._host, groups=self._group_ends(now)) if lost else None
+        return LossNews(lost, host=self._host, groups=self._group_outcomes(now)) if lost else None
 
     def suspect_news(self, now: float) -> LossNews | None:
         """Return the losses that make requests suspect or barred, None if there are none."""
@@ -110,10 +110,10 @@
         ]
         return LossNews(lost) if lost else None
 
-    def _group_ends(self, now: float) -> list[GroupOutcomeNews]:
+    def _group_outcomes(self, now: float) -> list[GroupOutcomeNews]:
         """Return this entry's outcomes of the groups that have a recorded loss."""
         own = {group: self.groups.own(group, now) for group in self.losses.groups()}
-        return [GroupOutcomeNews(group, ends.lost, ends.answered) for group, ends in own.items()]
+        return [GroupOutcomeNews(group, each.lost, each.answered) for group, each in own.items()]
 
     def receive(self, news: LossNews, now: float) -> None:
         """Store the news of another entry; implausible items are counted and ignored."""
@@ -127,9 +127,9 @@
             identity = self._decode_identity(answered.request)
             if identity is not None and self._is_plausible(answered.age):
                 self.losses.note_answer(identity, now - answered.age)
-        for ends in news.groups:
-            outcomes = GroupOutcomes(max(0, ends.lost), max(0, ends.answered))
-            self.groups.receive(ends.group, news.host, outcomes, now)
+        for reported in news.groups:
+            outcomes = GroupOutcomes(max(0, reported.lost), max(0, reported.answered))
+            self.groups.receive(reported.group, news.host, outcomes, now)
         if self.rejected > rejected:
             fields = {"items": self.rejected - rejected, "reason": "identity, age or evidence"}
             logger.warning("news of losses rejected", extra=fields)
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -34,7 +34,7 @@
     request: Admitted
     state: ReplicaState
     key: LossKey
-    placed_at: float
+    assigned_at: float
     times: AttemptTimes = field(default_factory=AttemptTimes)
     ended_at: float | None = None  # None while in progress
     broken: bool = False  # the connection broke
@@ -138,7 +138,7 @@
             return
         now = self._clock()
         others = self._open.get(attempt.key, [])
-        if any(a.was_lost and a.ended_at and a.ended_at < attempt.placed_at for a in others):
+        if any(a.was_lost and a.ended_at and a.ended_at < attempt.assigned_at for a in others):
             self._note_alive(attempt.key, now)
         if losses.concerns(attempt.request.identity.scope):
             self._shared.note_answer(attempt.request.identity, now)
--- a/libs/gateway/src/headcross_gateway/outcomes.py
+++ b/libs/gateway/src/headcross_gateway/outcomes.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Streamed:
-    """The stream was received and passed on completely."""
+    """The stream was received and forwarded completely."""
 
 
 @dataclass(frozen=True, slots=True)
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -160,7 +160,7 @@
     def retry_after_seconds(self, service: str, opening_seconds: float = 0.0) -> float:
         """Return the seconds after which a refused caller should retry.
 
-        The value grows with the share of requests refused lately, since the overload then lasts
+        The value grows with the share of requests refused recently, since the overload then lasts
         longer, and a caller that retries into the same overload is refused for good. No replica
         accepts a request within `opening_seconds`.
         """
--- a/libs/gateway/src/headcross_gateway/picking.py
+++ b/libs/gateway/src/headcross_gateway/picking.py
@@ -122,7 +122,7 @@
         return fitting
 
     def _begins_in_time(self, state: ReplicaState, model: str) -> bool:
-        """Tell whether a request is expected to begin before the bound on its version.
+        """Return whether a request is expected to begin before the bound on its version.
 
         This applies to resumed streams too: a full link may deliver one after its withdrawal, past
         the bound.
@@ -135,7 +135,7 @@
         return state.waits.expected() <= self._rules.seconds_to_begin(model, version)
 
     def _starts_soon(self, state: ReplicaState, model: str) -> bool:
-        """Tell whether a replica is known to have a low enough load to start a request soon.
+        """Return whether a replica is known to have a low enough load to start a request soon.
 
         Always true while its version is not near its bound. Not applied to resumed streams: these
         fail without a slot, so they may wait where others may not.
@@ -151,7 +151,7 @@
 
     @staticmethod
     def _is_healthy(state: ReplicaState, requirements: Requirements) -> bool:
-        """Tell whether it is not ejected, or may get a trial request after an ejection."""
+        """Return whether it is not ejected, or may get a trial request after an ejection."""
         if state.health.is_ejected():
             return False
         if not state.health.needs_trial():
@@ -176,7 +176,7 @@
 
 
 def _link_is_trusted(state: ReplicaState) -> bool:
-    """Tell whether no recent delay on a replica's link is known.
+    """Return whether no recent delay on a replica's link is known.
 
     A link that delays requests delivers them even after the reset of their connection.
     """
--- a/libs/gateway/src/headcross_gateway/relay.py
+++ b/libs/gateway/src/headcross_gateway/relay.py
@@ -13,7 +13,7 @@
 
 # Hop-by-hop headers, which are not forwarded (RFC 9110, section 7.6.1), and the length, which is
 # set anew for the answer to the caller.
-HOP_HEADERS = frozenset(
+HOP_BY_HOP_HEADERS = frozenset(
     {
         "connection",
         "keep-alive",
@@ -62,7 +62,7 @@
         if not self.started:
             self.weights_version = weights_version
 
-    async def pass_on(self, data: bytes) -> int:
+    async def forward(self, data: bytes) -> int:
         """Send the events completed by `data`; return how many were sent.
 
         An event counts as delivered as soon as its sending begins, so a call that is cancelled
@@ -110,7 +110,7 @@
         self._last_at = now
 
     def _is_next(self, event: StreamEvent) -> bool:
-        """Record an event's id; tell whether the caller does not have it yet."""
+        """Record an event's id; return whether the caller does not have it yet."""
         if event.id is None or not event.id.isdecimal():
             return True
         if self.last_id is not None and self.last_id.isdecimal():
@@ -130,5 +130,5 @@
         if name == "connection"
         for token in value.split(",")
     }
-    dropped = HOP_HEADERS | named
+    dropped = HOP_BY_HOP_HEADERS | named
     return [(name, value) for name, value in headers if name not in dropped]
--- a/libs/gateway/src/headcross_gateway/replicanews.py
+++ b/libs/gateway/src/headcross_gateway/replicanews.py
@@ -34,14 +34,14 @@
 
 
 def all_news(states: Iterable[ReplicaState], now: float) -> ReplicaNews | None:
-    """Return the limits and leavings of all replicas, None if there are none."""
-    return _news([state for state in states if _asks(state.backpressure)], now)
+    """Return the limits of all replicas and which replicas leave, None if there are none."""
+    return _news([state for state in states if _has_limit_or_leaves(state.backpressure)], now)
 
 
 def receive_news(
     news: ReplicaNews, find: Callable[[str], ReplicaState | None], now: float
 ) -> list[ReplicaState]:
-    """Apply the news of another entry; return the replicas that they change.
+    """Apply the news of another entry; return the replicas whose state it changes.
 
     `find` returns a listed replica by its id, None if it is not listed.
     """
@@ -54,9 +54,11 @@
         state = find(item.replica)
         if state is None or _is_of_other_incarnation(item, state):
             continue
-        asked = state.backpressure
-        has_new_limit = asked.receive_limit(item.limit, now - item.age, state.own_share, now)
-        if (item.leaving and asked.leave("entry")) or has_new_limit:
+        backpressure = state.backpressure
+        has_new_limit = backpressure.receive_limit(
+            item.limit, now - item.age, state.own_share, now
+        )
+        if (item.leaving and backpressure.leave("entry")) or has_new_limit:
             changed.append(state)
     if rejected:
         logger.warning("news of replicas rejected", extra={"items": rejected, "reason": "range"})
@@ -77,9 +79,9 @@
     return ReplicaNews(items) if items else None
 
 
-def _asks(asked: Backpressure) -> bool:
+def _has_limit_or_leaves(backpressure: Backpressure) -> bool:
     """Return whether a replica has a limit or leaves."""
-    return asked.leaving or asked.limit.per_second is not None
+    return backpressure.leaving or backpressure.limit.per_second is not None
 
 
 def _is_plausible(item: ReplicaBackpressure) -> bool:
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -99,11 +99,11 @@
         return monotonic() - self.last_report.at if self.last_report is not None else float("inf")
 
     def is_report_late(self) -> bool:
-        """Tell whether the next report is overdue; false if there has been none."""
+        """Return whether the next report is overdue; false if there has been none."""
         return self.last_report is not None and self.report_age() > REPORT_LATE_SECONDS
 
     def is_delivering(self) -> bool:
-        """Tell whether a recent subscription has reached its daemon, or its report is missing.
+        """Return whether a recent subscription has reached its daemon, or its report is missing.
 
         This only saves an attempt: each request to old weights has its own proof (see linkproofs).
         """
@@ -126,7 +126,7 @@
         return self.in_flight + others
 
     def has_room(self, reserved: float = 0.0) -> bool:
-        """Tell whether a slot is free as far as is known; `reserved` is the share to leave free.
+        """Return whether a slot is free as far as is known; `reserved` is the share to leave free.
 
         All slots are used: a request that comes slightly too soon waits less at the replica than
         it would for another attempt.
@@ -156,18 +156,18 @@
         return self.backpressure.seconds_to_next(self.own_share, monotonic())
 
     def _is_limited_outside_subset(self) -> bool:
-        """Tell whether its limit is for other entries: those whose subset it is in share it."""
+        """Return whether its limit is for other entries: those whose subset it is in share it."""
         return not self.in_subset and self.backpressure.limit.per_second is not None
 
     def is_usable(self, now: float) -> bool:
-        """Tell whether it is useful in the subset: it holds weights, stays and answers."""
+        """Return whether it is useful in the subset: it holds weights, stays and answers."""
         listed = self.replica
         return bool(listed.loaded) and not self.is_leaving() and now >= self.excluded_until
 
     def record_outcome(self, outcome: Outcome, *, bound: bool) -> None:
         """Update the state by the outcome of an attempt.
 
-        `bound` tells that the request required one version, as a resumed stream does: a refusal
+        `bound` is true if the request required one version, as a resumed stream does: a refusal
         for the version does not mean that another incarnation answered.
         """
         match outcome:
@@ -211,21 +211,21 @@
         self.backpressure.note_ended()
 
     def reported_reachable(self) -> bool:
-        """Tell whether its daemon reaches it; true without a valid report."""
+        """Return whether its daemon reaches it; true without a valid report."""
         load = self.fresh_load()
         return load is None or load.reachable
 
     def reported_leaving(self) -> bool:
-        """Tell whether its daemon reports that it takes no requests, to load weights."""
+        """Return whether its daemon reports that it takes no requests, to load weights."""
         load = self.fresh_load()
         return load is not None and load.leaving
 
     def is_leaving(self) -> bool:
-        """Tell whether it announced that it leaves, in the list, an answer or a report."""
+        """Return whether it announced that it leaves, in the list, an answer or a report."""
         return self.replica.draining or self.backpressure.leaving
 
     def is_gone(self) -> bool:
-        """Tell whether no requests may be sent to this incarnation any more."""
+        """Return whether no requests may be sent to this incarnation any more."""
         if self.gone or self.lapsed_until is None:
             return self.gone
         if monotonic() >= self.lapsed_until:
@@ -255,7 +255,7 @@
         logger.info(message, extra=fields)
 
     def has_ended(self) -> bool:
-        """Tell whether it is known to have ended without announcing it."""
+        """Return whether it is known to have ended without announcing it."""
         if self.is_leaving():
             return False
         if self.gone or self.has_conflicting_incarnations():
@@ -266,7 +266,7 @@
         return monotonic() - since >= OUT_OF_REACH_SECONDS
 
     def has_conflicting_incarnations(self) -> bool:
-        """Tell whether the list and the last valid report name different incarnations.
+        """Return whether the list and the last valid report name different incarnations.
 
         Which one is the later is not known then, nor whether it holds weights: a new incarnation
         starts without. The list and the daemon agree again within a second or two.
@@ -279,13 +279,13 @@
         return reported.is_other_than(self.replica.incarnation)
 
     def is_unavailable(self) -> bool:
-        """Tell whether it must get no new requests: it leaves, is gone, loads or has restarted."""
+        """Return whether it must get no requests: it leaves, is gone, loads or has restarted."""
         if self.is_leaving() or self.is_gone() or self.reported_leaving():
             return True
         return self.has_conflicting_incarnations()
 
     def is_responsive(self) -> bool:
-        """Tell whether it and its daemon answer, as far as this entry knows."""
+        """Return whether it and its daemon answer, as far as this entry knows."""
         return (
             self.reported_reachable()
             and not self.is_report_late()
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -210,7 +210,7 @@
             weights = self._weights_of(request, replica_state)
             expected_version = _version_to_expect(request, replica_state)
             times = AttemptTimes()
-            placed_at = trio.current_time()
+            assigned_at = trio.current_time()
             try:
                 outcome = await self._attempt(request, replica_state, expected_version, times)
             finally:
@@ -218,7 +218,7 @@
             replica_state.record_outcome(outcome, bound=expected_version is not None)
             log_attempt(request, replica_state, outcome, weights, times)
             if isinstance(outcome, CompleteAnswer | Streamed):
-                seconds = trio.current_time() - placed_at
+                seconds = trio.current_time() - assigned_at
                 self._overload.note_answer(request.service, seconds)
             if not isinstance(outcome, DidNotRun):
                 # A replica that refused may have room shortly, so it is not excluded. One that may
@@ -226,7 +226,7 @@
                 request.tried.add(replica_state.replica.id)
             match outcome:
                 case CompleteAnswer():
-                    if not self._retries.should_repeat_failure(request, outcome):
+                    if not self._retries.should_retry_failure(request, outcome):
                         return await self._forward_complete(request, outcome)
                     request.failed_answer = outcome
                 case Streamed():
@@ -235,7 +235,7 @@
                     last = self._stronger_refusal(
                         last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
                     )
-                    if not self._retries.may_go_on_after_refusal(request, outcome):
+                    if not self._retries.may_continue_after_refusal(request, outcome):
                         opening = self._admission.seconds_to_opening(
                             requirements, request.configuration
                         )
@@ -350,7 +350,7 @@
             self._containment.watch.end(attempt, outcome)
         return outcome
 
-    # The end.
+    # Answers and refusals.
 
     @staticmethod
     def _stronger_refusal(last: Refusal | None, now: NotRun) -> Refusal:
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -66,10 +66,10 @@
         would be lost to a mere pause of its replica, which may still continue. If a saturated link
         silences many replicas at once, only as many requests leave as there are retries.
         """
-        wish = requirements_of(request.facts, request.service, may_run_again=True)
+        requirements = requirements_of(request.facts, request.service, may_run_again=True)
         tried = frozenset({*request.tried, state.replica.id})
-        wish = replace(wish, tried=tried, exact_version=request.bound_version)
-        opening = self._admission.seconds_to_opening(wish, request.configuration)
+        requirements = replace(requirements, tried=tried, exact_version=request.bound_version)
+        opening = self._admission.seconds_to_opening(requirements, request.configuration)
         if opening > RUN_AGAIN_WAIT_SECONDS:
             return False
         if not self._budget.may_spend(request.service):
@@ -77,7 +77,7 @@
         request.retry_paid = self._budget.spend(request.service)
         return request.retry_paid
 
-    def should_repeat_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
+    def should_retry_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
         """Return whether a failure answered by a replica is retried; takes the retry."""
         return outcome.failed and self.may_run_again(request)
 
@@ -93,7 +93,7 @@
             return True
         return self._containment.is_clear(request) and self._budget.spend(request.service)
 
-    def may_go_on_after_refusal(self, request: Admitted, outcome: DidNotRun) -> bool:
+    def may_continue_after_refusal(self, request: Admitted, outcome: DidNotRun) -> bool:
         """Return whether a request that did not run is sent elsewhere.
 
         If it arrived at the replica, this takes a retry.
--- a/libs/gateway/src/headcross_gateway/unbegun.py
+++ b/libs/gateway/src/headcross_gateway/unbegun.py
@@ -7,7 +7,7 @@
 before the bound are withdrawn by resetting their connections, upon which replicas drop them from
 the queue.
 
-An attempt has begun when the first part of its answer's body has arrived. An answer that is not
+An attempt has begun when the first piece of its answer's body has arrived. An answer that is not
 streamed arrives only when it is complete, so such an attempt at a model service is withdrawn even
 if its replica may be running it.
 """
@@ -28,7 +28,7 @@
 
 @dataclass(eq=False, slots=True)
 class _WaitingAttempt:
-    """One attempt, from its assignment to a replica to the first part of its answer."""
+    """One attempt, from its assignment to a replica to the first piece of its answer."""
 
     model: str
     state: ReplicaState
@@ -58,8 +58,8 @@
     def waiting(self, model: str | None, state: ReplicaState) -> Iterator[trio.CancelScope]:
         """Cancel the block once its replica may begin nothing more on the weights it holds.
 
-        The block must end with the first part of the answer: what has begun to arrive must be
-        passed on completely.
+        The block must end with the first piece of the answer: what has begun to arrive must be
+        forwarded completely.
         """
         version = state.version_of(model) if model is not None else None
         with trio.CancelScope() as scope, state.waits.waiting():
--- a/libs/gateway/src/headcross_gateway/waittimes.py
+++ b/libs/gateway/src/headcross_gateway/waittimes.py
@@ -27,13 +27,13 @@
     @contextmanager
     def waiting(self) -> Iterator[None]:
         """Count a request as waiting during the block."""
-        placed_at = monotonic()
-        self._since.append(placed_at)
+        started_at = monotonic()
+        self._since.append(started_at)
         try:
             yield
         finally:
-            self._since.remove(placed_at)
-            self._note(monotonic() - placed_at)
+            self._since.remove(started_at)
+            self._note(monotonic() - started_at)
 
     def expected(self) -> float:
         """Return how many seconds a request may wait at the replica, 0 if nothing is known."""
--- a/libs/gateway/src/headcross_gateway/weightsrules.py
+++ b/libs/gateway/src/headcross_gateway/weightsrules.py
@@ -17,7 +17,7 @@
 # With 0.9 and 1.1 s, requests began after the bound on 6 of 14 simulated days of a fleet.
 SEND_MARGIN_SECONDS: Final = 1.6
 # Requests that have not begun this long before the bound are withdrawn. The margin covers known
-# delays: news of a version wait up to 0.23 s between two answers of the store, and a request, or
+# delays: news of a version waits up to 0.23 s between two answers of the store, and a request, or
 # the reset of its connection, takes up to 0.36 s through a link that is full of chunks. Longer
 # delays are not covered: a link that holds packets back for seconds delivers a request after its
 # reset.
@@ -62,15 +62,15 @@
         return self._seconds_to_bound(model, version) - WITHDRAWAL_MARGIN_SECONDS
 
     def is_ending(self, model: str, version: int) -> bool:
-        """Tell whether a request that a link delays for long could start after the bound."""
+        """Return whether a request that a link delays for long could start after the bound."""
         return self._seconds_to_bound(model, version) < ENDING_SECONDS
 
     def may_arrive_past_bound(self, model: str, version: int) -> bool:
-        """Tell whether a request sent now could reach its replica after the version's bound."""
+        """Return whether a request sent now could reach its replica after the version's bound."""
         return self._seconds_to_bound(model, version) < MAX_LINK_HOLD_SECONDS
 
     def any_ends_within(self, seconds: float) -> bool:
-        """Tell whether a bound on older versions falls within the next `seconds`."""
+        """Return whether a bound on older versions falls within the next `seconds`."""
         now = monotonic()
         notices = (n for each in self.facts.versions.values() for n in each)
         return any(0 < self._bound_at(notice) - now < seconds for notice in notices)
--- a/libs/renewal/src/headcross_renewal/fetching.py
+++ b/libs/renewal/src/headcross_renewal/fetching.py
@@ -52,7 +52,7 @@
         digests: DigestRegistry,
         mirrors: MirrorRegistry,
         loading: Loading,
-        choice: GoalSelector,
+        goal_selector: GoalSelector,
     ) -> None:
         self._location = location
         self._store = store
@@ -61,7 +61,7 @@
         self._digests = digests
         self._mirrors = mirrors
         self._loading = loading
-        self._choice = choice
+        self._goal_selector = goal_selector
         self._pinned: set[str] = set()
 
     def open_links(self) -> None:
@@ -110,8 +110,8 @@
                     logger.warning("weights not fetched", extra={"reason": outcome.detail})
                     await trio.sleep(RETRY_SECONDS)
                 nursery.cancel_scope.cancel()
-            if not stored.is_complete and self._choice.is_older_more_complete(goal, stored):
-                self._choice.defer(goal)
+            if not stored.is_complete and self._goal_selector.is_older_more_complete(goal, stored):
+                self._goal_selector.defer(goal)
                 return False
         return True
 
@@ -129,7 +129,7 @@
             if len(stored.missing) != missing:
                 continue
             changed = set(self._participants(goal)) != set(participants)
-            if changed or self._choice.is_older_more_complete(goal, stored):
+            if changed or self._goal_selector.is_older_more_complete(goal, stored):
                 logger.info("stalled transfer cancelled", extra={"goal": weights_name(goal)})
                 scope.cancel()
                 return
--- a/libs/renewal/src/headcross_renewal/goalchoice.py
+++ b/libs/renewal/src/headcross_renewal/goalchoice.py
@@ -52,7 +52,7 @@
         self._digests = digests
         self._loading = loading
         self._plans = plans
-        # Versions that were unavailable lately, and until when others are preferred (monotonic).
+        # Versions that were unavailable recently, and until when others are preferred (monotonic).
         self._deferred_until: dict[LoadedModel, float] = {}
 
     def choose(self) -> LoadedModel | None:
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -106,7 +106,7 @@
         if break_off:
             await self._drain(goal)
         try:
-            if await self._orders.give(Load(goal, staging, stored, break_off)):
+            if await self._orders.issue(Load(goal, staging, stored, break_off)):
                 await self._wait_loaded(goal)
         finally:
             self._orders.accept_requests()
--- a/libs/renewal/src/headcross_renewal/mirrors.py
+++ b/libs/renewal/src/headcross_renewal/mirrors.py
@@ -29,11 +29,11 @@
     """The mirrors that were announced to this process recently."""
 
     def __init__(self) -> None:
-        self._last_heard_at: dict[MirrorLocation, float] = {}
+        self._announced_at: dict[MirrorLocation, float] = {}
 
     def record(self, location: MirrorLocation) -> None:
         """Record an announcement of a mirror, received now."""
-        self._last_heard_at[location] = monotonic()
+        self._announced_at[location] = monotonic()
 
     def known(self) -> list[MirrorLocation]:
         """Return the mirrors that have not expired, sorted by IP address.
@@ -45,8 +45,8 @@
         ['10.0.0.1', '10.0.0.2']
         """
         horizon = monotonic() - MIRROR_EXPIRY_SECONDS
-        self._last_heard_at = {p: at for p, at in self._last_heard_at.items() if at >= horizon}
-        return sorted(self._last_heard_at, key=lambda location: location.ip)
+        self._announced_at = {each: at for each, at in self._announced_at.items() if at >= horizon}
+        return sorted(self._announced_at, key=lambda location: location.ip)
 
 
 def upload_seconds(
--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -25,7 +25,7 @@
 from headcross_renewal.sources import weights_name
 from headcross_renewal.staging import Staging
 
-# Entries are told to divert requests this long before the order is sent.
+# Entries are asked to divert requests this long before the order is sent.
 DIVERT_NOTICE_SECONDS: Final = 0.04
 RETRY_SECONDS: Final = 0.3
 
@@ -45,15 +45,15 @@
 class Orders:
     """Sends one replica's orders and repeats those without an answer."""
 
-    # Numbers of orders sent and refused.
-    given: int
+    # Numbers of orders sent and of those refused.
+    issued: int
     refused: int
     in_doubt: InDoubtCalls
 
     def __init__(
         self, replica_address: str, facts: Facts, replica: ReplicaControl, reporter: Reporter
     ) -> None:
-        self.given = 0
+        self.issued = 0
         self.refused = 0
         self.in_doubt = InDoubtCalls(monotonic())
         self._address = replica_address
@@ -91,7 +91,7 @@
         notices = self._facts.versions.get(goal.model, [])
         return not self.in_doubt.earlier_put_may_land(goal, held, notices, now)
 
-    async def give(self, load: Load) -> bool:
+    async def issue(self, load: Load) -> bool:
         """Order a load; return whether the replica has accepted the order."""
         line = await self._replica.open_line()
         if isinstance(line, Failure):
@@ -99,7 +99,7 @@
             await trio.sleep(RETRY_SECONDS)
             return False
         try:
-            return await self._give_on_line(line.value, load)
+            return await self._issue_on_line(line.value, load)
         finally:
             await line.value.close()
 
@@ -112,7 +112,7 @@
             assert load is not None
             began = monotonic()
             while not self._is_settled(load.goal):
-                await self.give(load)
+                await self.issue(load)
             fields = {"goal": weights_name(load.goal), "seconds": round(monotonic() - began, 3)}
             logger.info("order settled", extra=fields)
             self._reporter.accept_requests()
@@ -130,7 +130,7 @@
             self.in_doubt.settle()  # a repeat would have no effect
         return self.in_doubt.order is None
 
-    async def _give_on_line(self, line: OrderLine, load: Load) -> bool:
+    async def _issue_on_line(self, line: OrderLine, load: Load) -> bool:
         read_at = await _read_back(load)
         self._reporter.divert_requests()
         report = await self._reporter.refresh()
@@ -139,7 +139,7 @@
             return False
         if self.in_doubt.observe(report):
             return False  # the order is settled and needs no repeat
-        if self._is_disowned():
+        if self._is_overwritten():
             logger.warning("entry names no replica, order withheld", extra={"to": self._address})
             await trio.sleep(RETRY_SECONDS)
             return False
@@ -157,7 +157,7 @@
         self, line: OrderLine, load: Load, report: ReplicaReport, read_at: float
     ) -> bool:
         """Send the order; return whether it was accepted."""
-        self.given += 1
+        self.issued += 1
         goal = load.goal
         sent_at = monotonic()
         order = SentOrder(goal, report.order_sequence, report.started_ms)
@@ -189,7 +189,7 @@
         logger.info("order taken", extra={**fields, "done": outcome.value.done})
         return True
 
-    def _is_disowned(self) -> bool:
+    def _is_overwritten(self) -> bool:
         """Return whether the list entry of this daemon's replica belongs to another writer now."""
         overwritten = self._facts.overwritten.values()
         return any(str(replica.address) == self._address for replica in overwritten)
--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -43,14 +43,14 @@
         facts: Facts,
         replica: ReplicaControl,
         reporter: Reporter,
-        fetching: Fetcher,
+        fetcher: Fetcher,
         digests: DigestRegistry,
         in_doubt: InDoubtCalls,
     ) -> None:
         self._facts = facts
         self._replica = replica
         self._reporter = reporter
-        self._fetching = fetching
+        self._fetcher = fetcher
         self._digests = digests
         self._in_doubt = in_doubt
         self._first_report: ReplicaReport | None = None
@@ -142,13 +142,13 @@
             if len(copy.indexes) < len(digests.digests):
                 self._in_doubt.rule_out_earlier_order()
             return 0
-        stored = await self._fetching.admit_secondary(goal)
+        stored = await self._fetcher.admit_secondary(goal)
         return self._staging(goal).take(stored, copy) if stored is not None else 0
 
     async def _admit(self, goal: LoadedModel) -> StoredArtifact | None:
         """Return the storage for a version, None without its digests or room for it."""
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
-            return await self._fetching.admit_secondary(goal)
+            return await self._fetcher.admit_secondary(goal)
         return None
 
     async def _keep_whole(self, goal: LoadedModel, stored: StoredArtifact) -> None:
@@ -173,7 +173,7 @@
     async def _fetch(self, goal: LoadedModel, stored: StoredArtifact, fetched: trio.Event) -> None:
         """Fetch the missing chunks of a version; set `fetched` once all are stored."""
         while not stored.is_complete:
-            if not await self._fetching.fetch(goal, stored):
+            if not await self._fetcher.fetch(goal, stored):
                 await trio.sleep(RETRY_SECONDS)
         fetched.set()
 
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -65,8 +65,8 @@
         reporter: Reporter,
         origin: OriginSource,
         digests: DigestRegistry,
-        choice: GoalSelector,
-        fetching: Fetcher,
+        goal_selector: GoalSelector,
+        fetcher: Fetcher,
         loading: Loading,
         orders: Orders,
         plans: PlanRegistry,
@@ -79,15 +79,15 @@
         self._reporter = reporter
         self._origin = origin
         self._digests = digests
-        self._choice = choice
-        self._fetching = fetching
+        self._goal_selector = goal_selector
+        self._fetcher = fetcher
         self._loading = loading
         self._orders = orders
         self._plans = plans
         self._set_link_use = set_link_use
         # Called with whether an update is running, which needs current facts about other replicas.
         self._set_busy = set_busy
-        self._recovery = Recovery(facts, replica, reporter, fetching, digests, orders.in_doubt)
+        self._recovery = Recovery(facts, replica, reporter, fetcher, digests, orders.in_doubt)
         self._load_verifier = LoadVerifier(replica, reporter, digests, orders.in_doubt)
         self._offered: set[LoadedModel] = set()
         # Set once all chunks of the version that is being fetched are staged.
@@ -103,7 +103,7 @@
 
     async def _renew(self) -> None:
         while True:
-            goal = self._choice.choose()
+            goal = self._goal_selector.choose()
             if self._reporter.shutting_down:
                 # An order would interrupt the last requests that the replica completes.
                 self._enter_step("replica leaves", goal)
@@ -113,11 +113,11 @@
             if goal is None or self._reporter.holds(goal):
                 if goal is not None:
                     await self._offer(goal)
-                    if self._choice.choose() != goal:
+                    if self._goal_selector.choose() != goal:
                         continue  # another one was named meanwhile
                 self._enter_step("idle", goal)
                 self._set_busy(False)
-                self._fetching.open_links()
+                self._fetcher.open_links()
                 await self._wait_change()
                 continue
             self._set_busy(True)
@@ -162,7 +162,7 @@
             newer = LoadedModel(goal.model, newest)
             if not await self._is_available(newer):
                 continue
-            if self._choice.is_worth_fetching(goal, delays_newer=True):
+            if self._goal_selector.is_worth_fetching(goal, delays_newer=True):
                 continue
             fields = {"goal": weights_name(goal), "newest": newest, "step": self.step}
             logger.info("version superseded", extra=fields)
@@ -185,7 +185,7 @@
         self._enter_step("digests", goal)
         if not await self._obtain_digests(goal):
             return
-        stored = await self._fetching.admit(goal)
+        stored = await self._fetcher.admit(goal)
         staging = Staging(goal, self._replica, self._orders.in_doubt)
         self._enter_step("adopting", goal)
         adopted = 0
@@ -200,7 +200,7 @@
             nursery.start_soon(self._adjust_link_use, goal)
             nursery.start_soon(self._stage_fetched_chunks, goal, staging, stored)
             nursery.start_soon(self._loading.drain_ahead, goal, stored)
-            fetched = await self._fetching.fetch(goal, stored)
+            fetched = await self._fetcher.fetch(goal, stored)
             if fetched:
                 await self._staged.wait()
                 # Waits in this step, where a newer version can cancel it.
@@ -211,7 +211,7 @@
         self._enter_step("waiting for its turn", goal)
         await self._loading.wait_turn(goal)
         self._enter_step("loading", goal)
-        if not self._choice.is_outdated(goal):
+        if not self._goal_selector.is_outdated(goal):
             await self._loading.load(goal, staging, stored)
 
     async def _adjust_link_use(self, goal: LoadedModel) -> None:
@@ -227,7 +227,7 @@
 
         The bound comes first if a version between the loaded one and `goal` has been named.
         """
-        held = self._choice.held_version(goal.model)
+        held = self._goal_selector.held_version(goal.model)
         named = self._facts.versions.get(goal.model, [])
         skipped = [n.version for n in named if held < n.version < goal.version]
         return not held or bool(skipped)
@@ -237,7 +237,7 @@
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
             await self._digests.obtain(goal)
             return True
-        self._choice.defer(goal)
+        self._goal_selector.defer(goal)
         return False
 
     async def _stage_fetched_chunks(
@@ -264,7 +264,7 @@
         if held is None or held in self._offered or self._plans.origin() is None:
             return  # an entry will send the origin; listing the configuration is not worth it
         with trio.move_on_after(OFFER_TIMEOUT_SECONDS):
-            stored = await self._fetching.admit(held)
+            stored = await self._fetcher.admit(held)
             adopted = await Staging(held, self._replica, self._orders.in_doubt).adopt(stored)
             if adopted:
                 self._orders.in_doubt.rule_out_earlier_order()
--- a/libs/renewal/src/headcross_renewal/reporting.py
+++ b/libs/renewal/src/headcross_renewal/reporting.py
@@ -48,7 +48,7 @@
     # Set by the renewer before it sends an order, so that entries divert requests in time.
     diverting: bool
     # Whether the replica announced that it shuts down. Stays set for the rest of its incarnation.
-    ends: bool
+    shutting_down: bool
     # Whether the replica's loaded weights are known to be intact.
     confirmation: Confirmation
 
@@ -147,7 +147,7 @@
     def add_listener(self, host: str, reply: Reply, subscribed_ms: int = 0) -> None:
         """Send the state to a process from now on, until its subscription times out.
 
-        `subscribed_ms` is echoed, so that the process can tell how long its messages take.
+        `subscribed_ms` is echoed, so that the process can measure how long its messages take.
         """
         now = monotonic()
         known = self._listeners.get(host)
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -159,9 +159,9 @@
     data = b"".join(EVENT % number for number in ids)
     if gap:
         with pytest.raises(EventOutOfOrderError):
-            await relay.pass_on(data)
+            await relay.forward(data)
     else:
-        await relay.pass_on(data)
+        await relay.forward(data)
     assert exchange.sent == b"".join(EVENT % number for number in passed)
     assert relay.last_id == (str(passed[-1]) if passed else "0")
 
