--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -32,7 +32,7 @@
 
 
 class EntryDaemon:
-    """One entry."""
+    """Runs the process of one entry."""
 
     def __init__(self, settings: Settings) -> None:
         self.process = Process(settings, self._handle_message)
--- a/libs/daemon/src/headcross_daemon/entrynews.py
+++ b/libs/daemon/src/headcross_daemon/entrynews.py
@@ -77,7 +77,7 @@
     async def send_replica_news(self) -> None:
         """Send changes in the backpressure of replicas to all entries.
 
-        Those of leaving replicas go to the daemons beside them, too.
+        Changes for leaving replicas are also sent to the daemons beside them.
         """
         news = pending_news(self._directory.states(), monotonic())
         if news is not None:
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -86,7 +86,7 @@
 
 
 class GatewayRole:
-    """One entry."""
+    """Runs the process of one entry."""
 
     process: MachineProcess
 
--- a/libs/daemon/src/headcross_daemon/machineprocess.py
+++ b/libs/daemon/src/headcross_daemon/machineprocess.py
@@ -34,7 +34,7 @@
 
 
 class MachineProcess:
-    """The common parts of one process.
+    """The parts of one process that do not depend on its role.
 
     `peers` returns the peers that are asked for facts, `entries` the entries learned from peers.
     `handle_other` receives the messages that the common parts do not handle.
--- a/libs/daemon/src/headcross_daemon/process.py
+++ b/libs/daemon/src/headcross_daemon/process.py
@@ -18,7 +18,7 @@
 
 
 class Process:
-    """The common parts of one daemon."""
+    """The parts of one daemon that do not depend on its role."""
 
     settings: Settings
     journal: Journal
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -71,7 +71,7 @@
 
 
 class RenewalRole:
-    """One daemon beside a replica."""
+    """Runs the process of one daemon beside a replica."""
 
     process: MachineProcess
 
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -39,7 +39,7 @@
 
 
 class UpstreamDaemon:
-    """One upstream daemon."""
+    """Runs the process of one upstream daemon."""
 
     def __init__(self, settings: Settings) -> None:
         self.process = Process(settings, self._handle_message)
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -140,7 +140,7 @@
         return round(monotonic() - heard_at, 3) if heard_at is not None else None
 
     def has_most_reports(self) -> bool:
-        """Return whether at least half of the subset's daemons reported; true if there are none."""
+        """Return whether at least half of the subset's daemons reported; true if it has none."""
         states = [state for state in self._with_daemons() if state.in_subset]
         return 2 * sum(state.last_report is not None for state in states) >= len(states)
 
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -37,7 +37,7 @@
 # With fewer serving replicas than this, none is drained ahead of its load.
 MIN_REPLICAS_TO_DRAIN_AHEAD: Final = 3
 LOADING_CHECK_SECONDS: Final = 0.05
-# Time limit for a load to finish before the renewal chooses its next step anew.
+# Time limit for a load to finish before the renewer chooses the goal again.
 LOAD_WAIT_SECONDS: Final = 6.0
 
 logger = logging.getLogger(__name__)
--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -45,7 +45,7 @@
 class Orders:
     """Sends one replica's orders and repeats those without an answer."""
 
-    # Numbers of orders sent and of those refused.
+    # Numbers of orders sent, and of those that were refused.
     issued: int
     refused: int
     in_doubt: InDoubtCalls
--- a/libs/renewal/src/headcross_renewal/staging.py
+++ b/libs/renewal/src/headcross_renewal/staging.py
@@ -60,7 +60,7 @@
     def take(self, stored: StoredArtifact, copy: StagedCopy) -> int:
         """Add the chunks in `copy` that match a version to the store; return how many match.
 
-        If a chunk is missing at the replica, no order of an earlier daemon process is open.
+        If a chunk is missing at the replica, no order of an earlier daemon process is in doubt.
         """
         found = copy.matching_chunks([location.digest for location in stored.locations])
         for index, data in found.items():
