--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -112,7 +112,7 @@
             self._orders.accept_requests()
 
     async def _drain(self, goal: LoadedModel) -> None:
-        """Divert new requests and give the running ones a moment to end before the order."""
+        """Divert new requests and give the running ones some time to end before the order."""
         self._reporter.divert_requests()
         group = group_of(self._address, goal, self.peers()) or 0
         latest = latest_start(group, self._last_group_start(goal))
--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -19,7 +19,7 @@
 
 from tests.test_gateway_rules import rules
 
-WISH: Final = Requirements("api", None, None, (), True)
+REQUIREMENTS: Final = Requirements("api", None, None, (), True)
 CONFIGURATION: Final = Configuration(
     1, (), {"api": Service("api", 1)}, (), CallerLimits(1, 1, 1.0, 1.0)
 )
@@ -52,9 +52,9 @@
     admission, directory = site(2)
     exhaust(directory, 0.5)
     before = trio.current_time()
-    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, before + 1.0) is None
+    assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, before + 1.0) is None
     assert trio.current_time() == before
-    assert admission.seconds_to_opening(WISH, CONFIGURATION) > 1.0
+    assert admission.seconds_to_opening(REQUIREMENTS, CONFIGURATION) > 1.0
 
 
 async def test_a_request_goes_to_the_one_replica_without_a_limit() -> None:
@@ -63,7 +63,9 @@
     free = next(iter(directory.states()))
     free.note_signals(BackpressureSignals(), monotonic() + 1)
     for _ in range(free.replica.slots):
-        place = await admission.acquire_slot(WISH, CONFIGURATION, ORDER, trio.current_time())
+        place = await admission.acquire_slot(
+            REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time()
+        )
         assert place is free
 
 
@@ -73,7 +75,7 @@
     state.note_signals(BackpressureSignals(limit=50.0), 0.0)
     for _ in range(2):
         until = trio.current_time() + 5.0
-        assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, until) is state
+        assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, until) is state
 
 
 @pytest.mark.parametrize("opening", [0.0, 3.0, 30.0])
@@ -91,22 +93,25 @@
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.2), 0.0)
     now = trio.current_time()
-    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now) is None
-    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now + 5.0) is state
+    assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, now) is None
+    assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, now + 5.0) is state
     now = trio.current_time()
-    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now) is None
+    assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, now) is None
     state.note_signals(BackpressureSignals(), 0.0)
-    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, now) is state
+    assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, now) is state
 
 
 async def test_a_trial_request_after_a_rest_that_is_cancelled_allows_another_one() -> None:
     admission, directory = site(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.0), 0.0)
-    place = await admission.acquire_slot(WISH, CONFIGURATION, ORDER, trio.current_time())
+    place = await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time())
     assert place is state
     admission.release_slot(place)
-    assert await admission.acquire_slot(WISH, CONFIGURATION, ORDER, trio.current_time()) is state
+    assert (
+        await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time())
+        is state
+    )
 
 
 async def test_a_shorter_rest_does_not_end_a_longer_one() -> None:
--- a/tests/test_gateway_subsetting.py
+++ b/tests/test_gateway_subsetting.py
@@ -31,7 +31,7 @@
 
 WEIGHTS = Service("lm", 100, WeightsLayout(("m",), 1, 1))
 CONFIGURATION = Configuration(1, (), {"lm": WEIGHTS}, (), CallerLimits(1, 1, 1.0, 1.0))
-WISH = Requirements("lm", "m", None, (), True)
+REQUIREMENTS = Requirements("lm", "m", None, (), True)
 
 
 def fleet(zones: int, in_each: int) -> list[Replica]:
@@ -132,10 +132,10 @@
         load = ReplicaLoad(address, 1, True, False, {"m": 1}, busy, 0, 0.0, 1.0, 1)
         directory.record_report(load)
     for _ in inside:
-        picked = picker.pick(WISH, CONFIGURATION)
+        picked = picker.pick(REQUIREMENTS, CONFIGURATION)
         assert picked is not None and picked.in_subset
         picked.reserve_slot()
-    picked = picker.pick(WISH, CONFIGURATION)
+    picked = picker.pick(REQUIREMENTS, CONFIGURATION)
     assert picked is not None and not picked.in_subset
 
 
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -40,7 +40,7 @@
 )
 
 
-WISH = Requirements("api", None, None, (), True)
+REQUIREMENTS = Requirements("api", None, None, (), True)
 CONFIGURATION = Configuration(1, (), {"api": Service("api", 1)}, (), CallerLimits(1, 1, 1.0, 1.0))
 
 
@@ -194,7 +194,7 @@
     async def wait(name: str, priority: int, returning: bool, until: float) -> None:
         queue_order = QueueOrder(priority, returning, 9.0)
         place = await admission.acquire_slot(
-            WISH, CONFIGURATION, queue_order, until, returning=returning
+            REQUIREMENTS, CONFIGURATION, queue_order, until, returning=returning
         )
         order.append(name if place is not None else f"{name} refused")
         if place is not None:
@@ -227,18 +227,22 @@
     searches = 0
     pick = picker.pick
 
-    def count(wish: Requirements, configuration: Configuration, reserved: float = 0.0) -> object:
+    def count(
+        requirements: Requirements, configuration: Configuration, reserved: float = 0.0
+    ) -> object:
         nonlocal searches
         searches += 1
-        return pick(wish, configuration, reserved)
+        return pick(requirements, configuration, reserved)
 
     monkeypatch.setattr(picker, "pick", count)
-    first = await admission.acquire_slot(WISH, CONFIGURATION, QueueOrder(1, False, 9.0), 1.0)
+    first = await admission.acquire_slot(
+        REQUIREMENTS, CONFIGURATION, QueueOrder(1, False, 9.0), 1.0
+    )
     assert first is not None
 
     async def wait() -> None:
         order = QueueOrder(1, True, 9.0)
-        await admission.acquire_slot(WISH, CONFIGURATION, order, 5.0, returning=True)
+        await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, order, 5.0, returning=True)
 
     async with trio.open_nursery() as nursery:
         for _ in range(100):
@@ -249,7 +253,9 @@
             admission.notify("api")
         assert searches == 10 and admission.waiting("api") == 100
         # A first try does not wait behind them.
-        fresh = await admission.acquire_slot(WISH, CONFIGURATION, QueueOrder(2, False, 9.0), 1.0)
+        fresh = await admission.acquire_slot(
+            REQUIREMENTS, CONFIGURATION, QueueOrder(2, False, 9.0), 1.0
+        )
         assert fresh is not None
         nursery.cancel_scope.cancel()
 
