--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -37,7 +37,7 @@
 # With fewer serving replicas than this, none is drained ahead of its load.
 MIN_REPLICAS_TO_DRAIN_AHEAD: Final = 3
 LOADING_CHECK_SECONDS: Final = 0.05
-# Time limit for a load to finish before the renewal chooses its next step anew.
+# Time limit for a load to finish before the renewer chooses the goal again.
 LOAD_WAIT_SECONDS: Final = 6.0
 
 logger = logging.getLogger(__name__)
@@ -106,13 +106,13 @@
         if break_off:
             await self._drain(goal)
         try:
-            if await self._orders.give(Load(goal, staging, stored, break_off)):
+            if await self._orders.issue(Load(goal, staging, stored, break_off)):
                 await self._wait_loaded(goal)
         finally:
             self._orders.accept_requests()
 
     async def _drain(self, goal: LoadedModel) -> None:
-        """Divert new requests and give the running ones a moment to end before the order."""
+        """Divert new requests and give the running ones some time to end before the order."""
         self._reporter.divert_requests()
         group = group_of(self._address, goal, self.peers()) or 0
         latest = latest_start(group, self._last_group_start(goal))
