--- a/bench/soak/__init__.py
+++ b/bench/soak/__init__.py
@@ -1,1 +1,1 @@
-"""A randomized soak of the real programs, with faults injected from outside them."""
+"""A randomized soak test of the real programs, with faults injected from outside."""
--- a/bench/soak/__main__.py
+++ b/bench/soak/__main__.py
@@ -1,4 +1,4 @@
-"""The command line of the soak."""
+"""Runs the command line of the soak (`python -m bench.soak`)."""
 
 import sys
 
--- a/bench/soak/actions.py
+++ b/bench/soak/actions.py
@@ -23,7 +23,7 @@
     RELOAD = "reload"  # SIGHUP with a changed settings file
     # Replicas.
     REPLICA_CRASH = "replica crash"  # comes back as a new incarnation
-    REPLICA_REBORN = "replica reborn"  # loses power and starts again at once under its id
+    REPLICA_RESTART = "replica reborn"  # loses power and starts again at once under its id
     REPLICA_SLOW = "replica slow"
     REPLICA_WAIT = "replica wait"  # requests wait there before they run
     REPLICA_FAULT = "replica fault"
--- a/bench/soak/actors.py
+++ b/bench/soak/actors.py
@@ -14,11 +14,11 @@
 from testing.machinelayout import MODEL_SERVICE
 from testing.platformstore import Mood
 
-RESET_EVERY_SECONDS: Final = 0.5
+RESET_INTERVAL_SECONDS: Final = 0.5
 # The store removes the entry of a replica that has crashed after three heartbeats of silence.
-LAPSE_SECONDS: Final = 3.6
+LISTING_EXPIRY_SECONDS: Final = 3.6
 RESTART_SECONDS: Final = 0.3  # between the end of a drained replica and its next incarnation
-FAULTY_LIMIT_SECONDS: Final = 10.0  # longer than any caller waits
+MAX_FAULTY_REQUEST_SECONDS: Final = 10.0  # longer than any caller waits
 LINK_KINDS: Final = {
     ActionKind.LINK_DELAY: LinkKind.DELAY,
     ActionKind.LINK_CUT: LinkKind.CUT,
@@ -42,14 +42,14 @@
             ActionKind.STOP: self._stop,
             ActionKind.RELOAD: self._reload,
             ActionKind.REPLICA_CRASH: self._crash_replica,
-            ActionKind.REPLICA_REBORN: self._begin_life,
+            ActionKind.REPLICA_RESTART: self._restart_replica,
             ActionKind.REPLICA_SLOW: self._slow_replica,
-            ActionKind.REPLICA_WAIT: self._let_wait,
+            ActionKind.REPLICA_WAIT: self._delay_requests,
             ActionKind.REPLICA_FAULT: self._break_answers,
-            ActionKind.ORDERS_LATE: self._keep_orders,
+            ActionKind.ORDERS_LATE: self._hold_orders,
             ActionKind.REPLICA_LIMIT: self._limit_replica,
-            ActionKind.REPLICA_REST: self._let_rest,
-            ActionKind.REPLICA_LEAVES: self._say_leaving,
+            ActionKind.REPLICA_REST: self._request_rest,
+            ActionKind.REPLICA_LEAVES: self._announce_leaving,
             ActionKind.STORE_MOOD: self._set_mood,
             ActionKind.STORE_FORGET: self._forget,
             ActionKind.ORIGIN_DOWN: self._take_origin_down,
@@ -72,7 +72,7 @@
 
     async def _play(self, action: Action) -> None:
         self._site.faults[action.kind.value] += 1
-        self._site.tell(describe(action))
+        self._site.print_progress(describe(action))
         await self._plays[action.kind](action)
         if action.kind not in OPERATOR_KINDS:
             self.last_fault_ended_at = trio.current_time()
@@ -81,8 +81,10 @@
 
     async def _fault_links(self, action: Action) -> None:
         first, second = self._sides(action)
-        disturbance = self._site.disturb(action.kind.value, self._struck(action))
-        with self._site.links.during(
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._affected_machines(action)
+        )
+        with self._site.links.active(
             LinkFault(LINK_KINDS[action.kind], first, second, action.amount)
         ):
             await trio.sleep(action.seconds)
@@ -92,20 +94,22 @@
 
     async def _reset_links(self, action: Action) -> None:
         first, second = self._sides(action)
-        disturbance = self._site.disturb(action.kind.value, self._struck(action))
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._affected_machines(action)
+        )
         with trio.move_on_after(action.seconds):
             while True:
                 self._site.links.reset(first, second)
-                await trio.sleep(RESET_EVERY_SECONDS)
+                await trio.sleep(RESET_INTERVAL_SECONDS)
         disturbance.ended_at = trio.current_time()
 
     def _sides(self, action: Action) -> tuple[frozenset[str], frozenset[str]]:
         ips = [self._site.ip_of(target) for target in action.targets]
         return frozenset(ips[:1]), frozenset(ips[1:])
 
-    def _struck(self, action: Action) -> frozenset[str]:
-        struck = (self._site.machines_at(target) for target in action.targets)
-        return frozenset().union(*struck)
+    def _affected_machines(self, action: Action) -> frozenset[str]:
+        affected = (self._site.machines_at(target) for target in action.targets)
+        return frozenset().union(*affected)
 
     # Processes.
 
@@ -125,19 +129,23 @@
 
     async def _crash_replica(self, action: Action) -> None:
         seat = self._seat(action)
-        disturbance = self._site.disturb(action.kind.value, self._site.machines_at(seat.seat.name))
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._site.machines_at(seat.seat.name)
+        )
         gone = seat.listed
         self._site.end_replica(seat)
         await trio.sleep(action.seconds)
         await self._site.start_replica(seat)
         disturbance.ended_at = trio.current_time()
-        await trio.sleep(max(0.0, LAPSE_SECONDS - action.seconds))
+        await trio.sleep(max(0.0, LISTING_EXPIRY_SECONDS - action.seconds))
         if gone is not None:
             self._site.machines.unlist(gone)
 
-    async def _begin_life(self, action: Action) -> None:
+    async def _restart_replica(self, action: Action) -> None:
         seat = self._seat(action)
-        disturbance = self._site.disturb(action.kind.value, self._site.machines_at(seat.seat.name))
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._site.machines_at(seat.seat.name)
+        )
         await self._site.restart_replica(seat, clock_step_ms=round(action.amount))
         disturbance.ended_at = trio.current_time()
 
@@ -150,7 +158,7 @@
         await trio.sleep(action.seconds)
         replica.event_seconds, replica.service_seconds = before
 
-    async def _let_wait(self, action: Action) -> None:
+    async def _delay_requests(self, action: Action) -> None:
         replica = self._seat(action).replica
         if replica is None:
             return
@@ -165,11 +173,11 @@
         replica.faults.extend(action.faults)
         await trio.sleep(action.seconds)
         replica.faults.clear()
-        with trio.move_on_after(FAULTY_LIMIT_SECONDS):
+        with trio.move_on_after(MAX_FAULTY_REQUEST_SECONDS):
             while replica.faulty:
                 await trio.sleep(0.05)
 
-    async def _keep_orders(self, action: Action) -> None:
+    async def _hold_orders(self, action: Action) -> None:
         replica = self._seat(action).replica
         if replica is None:
             return
@@ -190,7 +198,7 @@
         replica.limit = None
         limit.ended_at = trio.current_time()
 
-    async def _let_rest(self, action: Action) -> None:
+    async def _request_rest(self, action: Action) -> None:
         replica = self._seat(action).replica
         if replica is None:
             return
@@ -198,7 +206,7 @@
         await trio.sleep(action.seconds)
         replica.rest = None
 
-    async def _say_leaving(self, action: Action) -> None:
+    async def _announce_leaving(self, action: Action) -> None:
         seat = self._seat(action)
         if seat.replica is None:
             return
@@ -231,7 +239,9 @@
     async def _set_mood(self, action: Action) -> None:
         assert action.mood is not None
         targets = [self._site.ip_of(target) for target in action.targets] or None
-        disturbance = self._site.disturb(f"store {action.mood.value}", self._struck(action))
+        disturbance = self._site.begin_disturbance(
+            f"store {action.mood.value}", self._affected_machines(action)
+        )
         store = self._site.machines.store
         store.set_mood(action.mood, targets)
         await trio.sleep(action.seconds)
@@ -239,7 +249,7 @@
         disturbance.ended_at = trio.current_time()
 
     async def _forget(self, action: Action) -> None:
-        disturbance = self._site.disturb(action.kind.value, frozenset())
+        disturbance = self._site.begin_disturbance(action.kind.value, frozenset())
         self._site.machines.store.forget_history()
         disturbance.ended_at = trio.current_time()
 
@@ -281,9 +291,9 @@
     async def _add_entry(self, action: Action) -> None:
         name = action.targets[0]
         self._site.machines.add_entry(name, "z0")
-        disturbance = self._site.disturb(action.kind.value, frozenset({name}))
+        disturbance = self._site.begin_disturbance(action.kind.value, frozenset({name}))
         await self._site.start_process(name)
-        await self._site.wait_up(name)
+        await self._site.wait_until_up(name)
         disturbance.ended_at = trio.current_time()
 
 
--- a/bench/soak/badrequests.py
+++ b/bench/soak/badrequests.py
@@ -12,7 +12,7 @@
 from testing.machinelayout import HOST, KEY
 
 ANSWER_SECONDS: Final = 6.0  # longer than the entry waits for a header
-SMUGGLED: Final = "-smuggled"
+SMUGGLED_SUFFIX: Final = "-smuggled"
 
 
 class BadForm(Enum):
@@ -62,7 +62,7 @@
 
 def compose(form: BadForm, request_id: str) -> bytes:
     """Return the bytes of a bad request; all hide another one where a careless reader finds it."""
-    hidden = _head(f"{request_id}{SMUGGLED}") + "Content-Length: 0\r\n\r\n"
+    hidden = _head(f"{request_id}{SMUGGLED_SUFFIX}") + "Content-Length: 0\r\n\r\n"
     match form:
         case BadForm.NOT_HTTP:
             text = f"\x00\x01{request_id}\r\n\r\n{hidden}"
--- a/bench/soak/bounds.py
+++ b/bench/soak/bounds.py
@@ -1,4 +1,4 @@
-"""The bounds that every soak runs under; the settings of its processes say the same."""
+"""The bounds that every soak checks; the settings of its processes have the same values."""
 
 from typing import Final
 
@@ -16,4 +16,4 @@
     loss_slack=0.2,
     told=0.5,
 )
-STOP_SECONDS: Final = 4.0  # from a stop signal to the end of the process
+STOP_SECONDS: Final = 4.0  # from the stop signal to the exit of the process
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -19,18 +19,18 @@
     RequestKind.STREAM: 3,
     RequestKind.STRICT_STREAM: 2,
 }
-FRESH_SHARE: Final = 0.4  # requests on a connection of their own
+NEW_CONNECTION_SHARE: Final = 0.4  # requests on a connection of their own
 LEAVING_SHARE: Final = 0.06
 REPEATING_SHARE: Final = 0.15
 BAD_SHARE: Final = 0.03
-MOST_REPEATS: Final = 2
+MAX_REPEATS: Final = 2
 MAX_FILLER_BYTES: Final = 4000
 DEADLINE_SECONDS: Final = (1.5, 7.0)
 LEAVING_SECONDS: Final = (0.0, 0.6)
 # A caller gives up so long after its deadline, when it must have had an answer.
-GRACE_SECONDS: Final = 3.0
-KEPT_CONNECTIONS: Final = 12  # for one entry
-CONNECT_SECONDS: Final = 1.0  # what the platform's pages give a new connection
+ANSWER_GRACE_SECONDS: Final = 3.0
+MAX_KEPT_CONNECTIONS: Final = 12  # for one entry
+CONNECT_TIMEOUT_SECONDS: Final = 1.0  # what the platform's pages give a new connection
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,7 +44,7 @@
 async def dial(address: Address) -> CallerLink | None:
     """Connect as a caller; return None if that fails."""
     stream = None
-    with trio.move_on_after(CONNECT_SECONDS):
+    with trio.move_on_after(CONNECT_TIMEOUT_SECONDS):
         try:
             stream = await trio.open_tcp_stream(
                 address.ip, address.port, local_address=SOURCE_IP.get()
@@ -95,7 +95,7 @@
             leaves_after=leaves_after if leaves else None,
             leaves_by_reset=generator.random() < 0.5,
             repeats=generator.random() < REPEATING_SHARE,
-            fresh=generator.random() < FRESH_SHARE,
+            fresh=generator.random() < NEW_CONNECTION_SHARE,
         )
 
     async def _call(self, draft: Draft, repeats: int) -> None:
@@ -110,16 +110,16 @@
         # Nobody has read what went to a connection that the entry never took.
         if link.own_end in self.site.links.refused:
             request.written = False
-        await self._give(entry, link, draft, request)
+        await self._return_connection(entry, link, draft, request)
         failed = not 200 <= request.status < 300 and not request.caller_left
-        if draft.repeats and failed and repeats < MOST_REPEATS:
+        if draft.repeats and failed and repeats < MAX_REPEATS:
             await self._call(self._repeat(draft), repeats + 1)
 
     async def _exchange(self, draft: Draft, request: CallerRequest, link: CallerLink) -> None:
-        patience = draft.leaves_after
-        if patience is None:
-            patience = draft.deadline_seconds + GRACE_SECONDS
-        with trio.move_on_after(patience) as scope:
+        timeout_seconds = draft.leaves_after
+        if timeout_seconds is None:
+            timeout_seconds = draft.deadline_seconds + ANSWER_GRACE_SECONDS
+        with trio.move_on_after(timeout_seconds) as scope:
             await exchange(link.connection, draft, request)
         request.caller_left = draft.leaves_after is not None and scope.cancelled_caught
 
@@ -152,11 +152,11 @@
         fresh = await dial(self.site.machines.callers(entry))
         return None if fresh is None else (entry, fresh)
 
-    async def _give(
+    async def _return_connection(
         self, entry: str, link: CallerLink, draft: Draft, request: CallerRequest
     ) -> None:
         kept = self.kept.setdefault(entry, [])
-        if request.whole and len(kept) < KEPT_CONNECTIONS and link.connection.reusable():
+        if request.whole and len(kept) < MAX_KEPT_CONNECTIONS and link.connection.reusable():
             kept.append(link)
         elif draft.leaves_by_reset:
             await link.connection.abandon()
--- a/bench/soak/check_backpressure.py
+++ b/bench/soak/check_backpressure.py
@@ -1,41 +1,42 @@
-"""Promises on what replicas ask in their answers: limits, rests, leavings.
+"""Checks that entries follow what replicas ask in their answers: limits, rests and leaving.
 
-An entry counts as told once a request that it sent there after the replica began to ask has been
-answered.
+An entry counts as informed once the replica has answered a request of that entry which reached it
+after it began to ask.
 """
 
 import math
 from collections.abc import Iterator
 from typing import Final
 
-from bench.soak.check_quiet import sender_machines, undisturbed
+from bench.soak.check_disturbances import is_undisturbed, sender_machines
 from bench.soak.check_violations import Promise, Violation
 from bench.soak.record import Arrival, Record, ReplicaLimit
 
-# What a limit allows in any span (source: the platform's pages on replicas in need).
+# A limit allows, in any span of this length, the limit's requests times a factor and some extra
+# (source: the platform's pages on replicas in need).
 SPAN_SECONDS: Final = 4.0
-SPAN_PART: Final = 1.5
-SPAN_EXTRA: Final = 5
-# Requests of one entry that may reach a replica in a rest (source: the same).
-MOST_IN_REST: Final = 2
+SPAN_FACTOR: Final = 1.5
+SPAN_EXTRA_REQUESTS: Final = 5
+# Requests of one entry that may reach a replica during its rest (source: the same pages).
+MAX_REQUESTS_IN_REST: Final = 2
 
 
 def check_limits(record: Record) -> list[Violation]:
-    """Find spans in which a replica got more than its limit allows, the first one of each."""
+    """Find, for each limit, the first span with more requests than the limit allows."""
     return [found for limit in record.limits for found in _over_limit(record, limit)]
 
 
 def _over_limit(record: Record, limit: ReplicaLimit) -> Iterator[Violation]:
-    told = _told_at(record, limit.replica_id, limit.began_at)
+    informed = _informed_times(record, limit.replica_id, limit.began_at)
     first = limit.began_at + record.bounds.reached
     moments = sorted(
         arrival.at
         for arrival in record.arrivals
         if arrival.replica_id == limit.replica_id
         and first <= arrival.at < limit.ended_at
-        and _counts(record, arrival, told)
+        and _is_counted(record, arrival, informed)
     )
-    allowed = math.floor(SPAN_PART * SPAN_SECONDS * limit.per_second + SPAN_EXTRA)
+    allowed = math.floor(SPAN_FACTOR * SPAN_SECONDS * limit.per_second + SPAN_EXTRA_REQUESTS)
     for start in moments:
         count = sum(start <= at < start + SPAN_SECONDS for at in moments)
         if count > allowed:
@@ -45,7 +46,7 @@
 
 
 def check_rests(record: Record) -> list[Violation]:
-    """Find requests of one entry, beyond two, within a rest that it was asked for."""
+    """Find rests in which the entry asked to pause sent more than two requests."""
     return [
         found
         for arrival in record.arrivals
@@ -64,54 +65,56 @@
         and first < arrival.at < last
         and entry is not None
         and _entry_of(record, arrival) == entry
-        and _is_undisturbed(record, arrival, asked.at)
+        and _arrived_undisturbed(record, arrival, asked.at)
     ]
-    if len(within) > MOST_IN_REST:
+    if len(within) > MAX_REQUESTS_IN_REST:
         detail = f"{len(within)} requests of {entry} in a rest of {asked.rest_seconds:.2f} s"
         yield Violation(Promise.REST, asked.at, asked.replica_id, detail)
 
 
-def check_said_leaving(record: Record) -> list[Violation]:
-    """Find requests sent too long after their entry was told that the replica leaves."""
+def check_announced_leaving(record: Record) -> list[Violation]:
+    """Find requests sent too long after their entry was informed that the replica leaves."""
     violations = []
-    for said in record.leaving:
-        told = _told_at(record, said.replica_id, said.at)
+    for announcement in record.leaving:
+        informed = _informed_times(record, announcement.replica_id, announcement.at)
         for arrival in record.arrivals:
             request = record.requests.get(arrival.request_id)
-            if arrival.replica_id != said.replica_id or request is None:
+            if arrival.replica_id != announcement.replica_id or request is None:
                 continue
-            told_at = told.get(request.entry, math.inf)
-            if request.sent_at <= told_at + record.bounds.leaving:
+            informed_at = informed.get(request.entry, math.inf)
+            if request.sent_at <= informed_at + record.bounds.leaving:
                 continue
-            if not _is_undisturbed(record, arrival, told_at):
+            if not _arrived_undisturbed(record, arrival, informed_at):
                 continue
             detail = (
-                f"request {request.id} was sent {request.sent_at - told_at:.3f} s "
+                f"request {request.id} was sent {request.sent_at - informed_at:.3f} s "
                 f"after {request.entry} was told"
             )
-            violations.append(Violation(Promise.SAID_LEAVING, arrival.at, said.replica_id, detail))
+            violations.append(
+                Violation(Promise.ANNOUNCED_LEAVING, arrival.at, announcement.replica_id, detail)
+            )
     return violations
 
 
-def _told_at(record: Record, replica_id: str, since: float) -> dict[str, float]:
-    """Return when entries were first answered by a replica that they asked after a moment."""
-    told: dict[str, float] = {}
+def _informed_times(record: Record, replica_id: str, since: float) -> dict[str, float]:
+    """Return, by entry, when a replica first answered a request that arrived after `since`."""
+    informed: dict[str, float] = {}
     for arrival in record.arrivals:
         request = record.requests.get(arrival.request_id)
         if arrival.replica_id != replica_id or arrival.at < since or request is None:
             continue
         if request.ended_at is not None and request.status:
-            told[request.entry] = min(told.get(request.entry, math.inf), request.ended_at)
-    return told
+            informed[request.entry] = min(informed.get(request.entry, math.inf), request.ended_at)
+    return informed
 
 
-def _counts(record: Record, arrival: Arrival, told: dict[str, float]) -> bool:
-    """Tell whether a request came from an entry that had been told for long enough."""
+def _is_counted(record: Record, arrival: Arrival, informed: dict[str, float]) -> bool:
+    """Return whether a request came from an entry that had been informed for long enough."""
     entry = _entry_of(record, arrival)
-    told_at = told.get(entry, math.inf) if entry is not None else math.inf
-    if arrival.at < told_at + record.bounds.told:
+    informed_at = informed.get(entry, math.inf) if entry is not None else math.inf
+    if arrival.at < informed_at + record.bounds.told:
         return False
-    return _is_undisturbed(record, arrival, told_at)
+    return _arrived_undisturbed(record, arrival, informed_at)
 
 
 def _entry_of(record: Record, arrival: Arrival) -> str | None:
@@ -119,6 +122,6 @@
     return request.entry if request is not None else None
 
 
-def _is_undisturbed(record: Record, arrival: Arrival, since: float) -> bool:
+def _arrived_undisturbed(record: Record, arrival: Arrival, since: float) -> bool:
     concerned = sender_machines(record, arrival.request_id) | {arrival.replica_id}
-    return undisturbed(record, concerned, since, arrival.at)
+    return is_undisturbed(record, concerned, since, arrival.at)
--- a/bench/soak/check_quiet.py
+++ b/bench/soak/check_disturbances.py
@@ -1,23 +1,23 @@
-"""Which machines were undisturbed: promises with a time bound hold for these only."""
+"""Finds undisturbed machines: promises with a time bound hold only for these."""
 
 from bench.soak.record import PlannedStop, Record
 
 
-def undisturbed(record: Record, machines: frozenset[str], since: float, until: float) -> bool:
-    """Tell whether neither a fault nor a planned stop concerned some machines."""
-    if not record.is_quiet(machines, since, until):
+def is_undisturbed(record: Record, machines: frozenset[str], since: float, until: float) -> bool:
+    """Return whether neither a fault nor a planned stop affected any of the machines."""
+    if not record.is_fault_free(machines, since, until):
         return False
     stops = (stop for stop in record.stops if stop.entry in machines)
     return not any(stop.at <= until and _back_at(stop) >= since for stop in stops)
 
 
-def quiet_everywhere(record: Record, since: float, until: float) -> bool:
-    """Tell whether no fault concerned anybody between two moments."""
-    return record.is_quiet(_machines_with_faults(record), since, until)
+def is_fault_free_everywhere(record: Record, since: float, until: float) -> bool:
+    """Return whether no fault affected any machine between two times."""
+    return record.is_fault_free(_machines_with_faults(record), since, until)
 
 
 def sender_machines(record: Record, request_id: str) -> frozenset[str]:
-    """Return the entry of a request; all machines that were ever disturbed if it is not known."""
+    """Return the entry of a request; for an unknown request, every machine ever disturbed."""
     request = record.requests.get(request_id)
     if request is not None:
         return frozenset({request.entry})
@@ -29,7 +29,7 @@
 
 
 def _back_at(stop: PlannedStop) -> float:
-    """Return when the entry was there again, at the earliest that the record allows."""
+    """Return the earliest time at which the entry can have been back, by the record."""
     if stop.restarted_at is not None:
         return stop.restarted_at
     return float("inf") if stop.ended_at is None else stop.ended_at
--- a/bench/soak/check_news.py
+++ b/bench/soak/check_propagation.py
@@ -1,9 +1,9 @@
-"""Promises on how soon news take effect: weights, leaving replicas, configurations."""
+"""Checks how soon new weights, leaving replicas and new configurations take effect."""
 
 from collections import defaultdict
 from collections.abc import Iterator
 
-from bench.soak.check_quiet import quiet_everywhere, sender_machines, undisturbed
+from bench.soak.check_disturbances import is_fault_free_everywhere, is_undisturbed, sender_machines
 from bench.soak.check_violations import Promise, Violation
 from bench.soak.record import (
     Arrival,
@@ -16,7 +16,7 @@
 
 
 def check_old_weights(record: Record) -> list[Violation]:
-    """Find runs that began on old weights too long after newer ones were named."""
+    """Find runs that began on old weights too long after the naming of newer ones."""
     violations = []
     for run in record.runs:
         named = next((n for n in record.versions if _is_late_start(record, run, n)), None)
@@ -37,20 +37,20 @@
         return False
     since = named.at - record.bounds.reached
     sender = sender_machines(record, run.request_id)
-    return quiet_everywhere(record, since, run.began_at) and undisturbed(
+    return is_fault_free_everywhere(record, since, run.began_at) and is_undisturbed(
         record, sender, since, run.began_at
     )
 
 
 def check_leaving(record: Record) -> list[Violation]:
-    """Find requests that reached a replica too long after the store had shown it as leaving."""
+    """Find requests that reached a replica too long after the store listed it as leaving."""
     draining: defaultdict[str, list[ReplicaDrains]] = defaultdict(list)
     for drains in record.draining:
         draining[drains.replica_id].append(drains)
     violations = []
     for arrival in record.arrivals:
-        shows = draining[arrival.replica_id]
-        shown = next((s for s in shows if _is_late_arrival(record, arrival, s)), None)
+        listings = draining[arrival.replica_id]
+        shown = next((s for s in listings if _is_late_arrival(record, arrival, s)), None)
         if shown is None:
             continue
         detail = (
@@ -65,11 +65,11 @@
     if arrival.at <= shown.at + record.bounds.leaving:
         return False
     concerned = sender_machines(record, arrival.request_id) | {arrival.replica_id}
-    return undisturbed(record, concerned, shown.at - record.bounds.reached, arrival.at)
+    return is_undisturbed(record, concerned, shown.at - record.bounds.reached, arrival.at)
 
 
 def check_configuration(record: Record) -> list[Violation]:
-    """Find routes that an entry learned too late, or lost again within one life."""
+    """Find routes that an entry learned too late, or lost again within one process lifetime."""
     return [*_late_routes(record), *_lost_routes(record)]
 
 
@@ -91,23 +91,23 @@
 
 
 def _published_at(record: Record, configuration: int) -> float | None:
-    """Return the first publication of a configuration or of a later one, which contains it."""
+    """Return when a configuration, or a later one, which includes it, was first published."""
     return min((c.at for c in record.configurations if c.version >= configuration), default=None)
 
 
 def _is_in_touch(record: Record, probe: RouteProbe) -> bool:
     bounds = record.bounds
-    # How long an entry must have been undisturbed, and how long ago a configuration was published,
-    # count at the same time: a call that a silent store holds may last no longer than either.
+    # The time for which an entry must have been undisturbed and the time since the publication run
+    # concurrently: a call that a silent store delays may last no longer than either.
     since = probe.sent_at - bounds.reached
-    # A fault that comes while the probe is under way explains a missing answer, but not one that
-    # says the route does not exist.
+    # A fault that begins while the probe is in flight explains a missing answer, but not an answer
+    # that the route does not exist.
     until = probe.sent_at + (bounds.reached if probe.found is None else 0.0)
-    return undisturbed(record, frozenset({probe.entry}), since, until)
+    return is_undisturbed(record, frozenset({probe.entry}), since, until)
 
 
 def _lost_routes(record: Record) -> Iterator[Violation]:
-    """Yield the probes that an entry answered as though it had gone back to older settings."""
+    """Yield the probes whose answers show that an entry went back to an older configuration."""
     lives: defaultdict[tuple[str, int], list[RouteProbe]] = defaultdict(list)
     for probe in record.probes:
         lives[probe.entry, probe.life].append(probe)
@@ -116,11 +116,11 @@
 
 
 def _lost_in_life(probes: list[RouteProbe]) -> Iterator[Violation]:
-    there = [probe for probe in probes if probe.found]
+    found_probes = [probe for probe in probes if probe.found]
     for probe in probes:
         if probe.found is not False:
             continue
-        before = (p.configuration for p in there if _answered_at(p) < probe.sent_at)
+        before = (p.configuration for p in found_probes if _answered_at(p) < probe.sent_at)
         newest = max(before, default=0)
         if probe.configuration <= newest:
             detail = (
--- a/bench/soak/check_service.py
+++ b/bench/soak/check_service.py
@@ -1,4 +1,4 @@
-"""Promises on service as a whole: planned stops, retries, recovery after faults."""
+"""Checks the promises on overall service: planned stops, retries, recovery after faults."""
 
 from bisect import bisect_left
 from collections.abc import Iterator
@@ -8,20 +8,20 @@
 from bench.soak.check_violations import Promise, Violation
 from bench.soak.record import Bounds, CallerRequest, PlannedStop, Record
 
-# What a request may have used of its deadline so that its loss counts (LOST in the users' rules).
+# The loss of a request counts if it had used less than this share of its deadline (LOST in the
+# users' rules).
 DEADLINE_SHARE: Final = 0.7
-# Sums of binary fractions differ from the decimal ones that the bounds are written in.
-ROUNDING: Final = 1e-9
-# The least service, as a share and in requests, that shows a recovery (the soak's own choice).
-RECOVERED_SHARE: Final = 0.5
-RECOVERED_REQUESTS: Final = 20
-# How long callers are watched, in seconds, until too few requests are a failure of the soak
-# (its own choice).
-RECOVERY_WATCHED: Final = 5.0
+# The bounds are decimal fractions, so sums in binary floating point differ from them slightly.
+ROUNDING_TOLERANCE: Final = 1e-9
+# Recovery is shown by this share of requests served, and judged on at least so many requests.
+MIN_RECOVERY_SHARE: Final = 0.5
+MIN_RECOVERY_REQUESTS: Final = 20
+# Too few requests to judge recovery are a violation only if callers were observed for longer.
+RECOVERY_OBSERVATION_SECONDS: Final = 5.0
 
 
 def check_planned_stop(record: Record) -> list[Violation]:
-    """Find requests that a planned stop cut off without an answer."""
+    """Find requests that got no answer because of a planned stop."""
     arrived = {arrival.request_id for arrival in record.arrivals}
     return [
         Violation(
@@ -32,24 +32,24 @@
         )
         for request in record.requests.values()
         if (ended_at := request.ended_at) is not None
-        and not _crossed_a_close(record.bounds, request, ended_at, arrived)
-        and _lost_without_reason(record, request, ended_at)
+        and not _crossed_connection_close(record.bounds, request, ended_at, arrived)
+        and _lost_without_fault(record, request, ended_at)
         and any(_is_cut_by(record, stop, request, ended_at) for stop in record.stops)
     ]
 
 
-def _crossed_a_close(
+def _crossed_connection_close(
     bounds: Bounds, request: CallerRequest, ended_at: float, arrived: set[str]
 ) -> bool:
-    """Tell whether a request met the close of an idle connection, and nobody has read it."""
+    """Return whether a request crossed the close of an idle connection, so nobody read it."""
     return request.id not in arrived and ended_at - request.sent_at <= bounds.loss_slack
 
 
-def _lost_without_reason(record: Record, request: CallerRequest, ended_at: float) -> bool:
+def _lost_without_fault(record: Record, request: CallerRequest, ended_at: float) -> bool:
     if not request.written or request.status != 0 or request.caller_left:
         return False
     since = request.sent_at - record.bounds.reached
-    return record.is_quiet(frozenset({request.entry}), since, ended_at)
+    return record.is_fault_free(frozenset({request.entry}), since, ended_at)
 
 
 def _is_cut_by(record: Record, stop: PlannedStop, request: CallerRequest, ended_at: float) -> bool:
@@ -60,37 +60,37 @@
         return False
     if request.deadline_seconds == 0.0:
         return True
-    # A caller may notice the end later than it came.
+    # A caller may notice the end of the connection late.
     used_seconds = min(ended_at, process_ended_at) - request.sent_at
     return used_seconds < DEADLINE_SHARE * request.deadline_seconds
 
 
 def check_retry_bound(record: Record) -> list[Violation]:
-    """Find windows in which replicas got more repeated requests than they may.
+    """Find windows in which replicas got more repeated requests than the bound allows.
 
-    Of windows that overlap, only the first is told.
+    Of overlapping windows, only the first is reported.
     """
     requests = sorted(request.sent_at for request in record.requests.values())
     repeats = _repeats(record)
     violations: list[Violation] = []
-    told_until = float("-inf")
+    reported_until = float("-inf")
     for start in _window_starts(requests, repeats, record.bounds.retry_window):
-        if start < told_until:
+        if start < reported_until:
             continue
         count = _count(repeats, start, record.bounds.retry_window)
         if count <= record.bounds.retry_slack:
             continue
         allowed = _allowed(requests, start, record.bounds)
-        if count <= allowed + ROUNDING:
+        if count <= allowed + ROUNDING_TOLERANCE:
             continue
-        told_until = start + record.bounds.retry_window
-        detail = f"{count} repeats from {start:.3f} to {told_until:.3f}, {allowed:.2f} allowed"
+        reported_until = start + record.bounds.retry_window
+        detail = f"{count} repeats from {start:.3f} to {reported_until:.3f}, {allowed:.2f} allowed"
         violations.append(Violation(Promise.RETRY_BOUND, start, "all replicas", detail))
     return violations
 
 
 def _repeats(record: Record) -> list[float]:
-    """Return when requests came to a replica that had come to one before."""
+    """Return the times of arrivals of requests that had already arrived at some replica."""
     known: set[str] = set()
     repeats = []
     for arrival in sorted(record.arrivals, key=lambda arrival: arrival.at):
@@ -101,11 +101,11 @@
 
 
 def _window_starts(requests: list[float], repeats: list[float], window: float) -> list[float]:
-    """Return the starts of the windows with the least room for repeats.
+    """Return the starts of the windows that leave the fewest repeats allowed.
 
-    A window holds its start and not its end. Moved to later, it has no more room until one of its
-    repeats drops out or a request comes into one of the windows that allow repeats: just before
-    that, and nowhere else, its room is least.
+    A window includes its start and excludes its end. As it moves later, its remaining allowance
+    does not grow until one of its repeats drops out or a request enters one of the windows that
+    determine the allowance; the allowance is least just before that, and nowhere else.
     """
     starts = set(repeats)
     starts.update(at - ahead for at in requests for ahead in (0.0, window / 2, window))
@@ -124,7 +124,7 @@
 
 
 def check_recovery(record: Record) -> list[Violation]:
-    """Find out whether ordinary service came back after the last fault."""
+    """Check that ordinary service returned after the last fault."""
     return list(_recovery_faults(record))
 
 
@@ -137,12 +137,12 @@
         for request in record.requests.values()
         if request.sent_at > due_at and not request.caller_left
     ]
-    if len(judged) < RECOVERED_REQUESTS:
-        if record.ended_at - due_at > RECOVERY_WATCHED:
+    if len(judged) < MIN_RECOVERY_REQUESTS:
+        if record.ended_at - due_at > RECOVERY_OBSERVATION_SECONDS:
             yield _not_recovered(due_at, f"only {len(judged)} requests were sent")
         return
     served = sum(is_served(request) for request in judged)
-    if served < RECOVERED_SHARE * len(judged):
+    if served < MIN_RECOVERY_SHARE * len(judged):
         yield _not_recovered(due_at, f"{served} of {len(judged)} requests were served")
 
 
--- a/bench/soak/check_summary.py
+++ b/bench/soak/check_summary.py
@@ -1,4 +1,4 @@
-"""What a soak came to, as rows of tables."""
+"""Summarizes a soak: violations by promise, and requests by kind and outcome."""
 
 from collections import Counter
 from collections.abc import Iterable
@@ -11,20 +11,20 @@
 
 
 class Outcome(Enum):
-    """How a request ended for its caller."""
+    """How a request ended from its caller's point of view."""
 
-    SERVED = "served"  # a whole success
-    CUT = "cut"  # a success that did not end as it should
-    REFUSED = "refused"  # the system's own answer that it has not run
+    SERVED = "served"  # a complete success
+    CUT = "cut"  # a success whose answer is incomplete
+    REFUSED = "refused"  # answered by the system itself: the request has not run
     FAILED = "failed"  # any other answer
     NO_ANSWER = "no answer"
-    LEFT = "left"  # the caller did not wait for the end
-    UNDER_WAY = "under way"  # not ended when the soak did
+    LEFT = "left"  # the caller closed the connection before the end
+    UNDER_WAY = "under way"  # still running when the soak ended
 
 
 @dataclass(frozen=True, slots=True)
 class PromiseCount:
-    """How often a promise was broken."""
+    """The number of violations of one promise."""
 
     promise: Promise
     violations: int
@@ -32,7 +32,7 @@
 
 @dataclass(frozen=True, slots=True)
 class OutcomeCount:
-    """How many requests of a kind ended in one way."""
+    """The number of requests of one kind with one outcome."""
 
     kind: RequestKind
     outcome: Outcome
@@ -41,7 +41,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Summary:
-    """The figures of a soak. Promises are all there, outcomes only if a request had them."""
+    """The counts of a soak: every promise, and the outcomes that occurred."""
 
     promises: tuple[PromiseCount, ...]
     outcomes: tuple[OutcomeCount, ...]
@@ -63,7 +63,7 @@
 
 
 def outcome_of(request: CallerRequest) -> Outcome:
-    """Tell how a request ended."""
+    """Classify how a request ended."""
     if request.caller_left:
         return Outcome.LEFT
     if request.ended_at is None:
--- a/bench/soak/check_violations.py
+++ b/bench/soak/check_violations.py
@@ -1,19 +1,19 @@
-"""What a checker of the soak finds: one broken promise at a time."""
+"""Defines the promises that a soak checks, and a violation of one of them."""
 
 from dataclasses import dataclass
 from enum import Enum
 
 
 class Promise(Enum):
-    """What the system promises to callers and operators."""
+    """A guarantee that the system gives to callers or operators."""
 
-    WHOLE_OWN = "whole and own answers"
+    COMPLETE_ANSWERS = "whole and own answers"
     AT_MOST_ONCE = "at most one run"
-    NOT_RUN_TRUE = "not run means not run"
+    REFUSED_NOT_RUN = "not run means not run"
     ONE_VERSION = "one version in an answer"
     OLD_WEIGHTS = "no late start on old weights"
     LEAVING = "no late work for a leaving replica"
-    SAID_LEAVING = "no late work for a replica that says that it leaves"
+    ANNOUNCED_LEAVING = "no late work for a replica that says that it leaves"
     LIMIT = "no more than a replica's limit allows"
     REST = "nothing for a replica that asked for rest"
     PLANNED_STOP = "a planned stop cuts nothing off"
@@ -24,9 +24,9 @@
 
 @dataclass(frozen=True, slots=True)
 class Violation:
-    """A promise that was broken once."""
+    """One breach of a promise."""
 
     promise: Promise
-    at: float  # on the record's clock
-    subject: str  # the request, replica or entry that it befell
+    at: float  # in seconds on the record's clock
+    subject: str  # the affected request, replica or entry
     detail: str
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -1,6 +1,6 @@
-"""The checkers of the soak: from what was seen to the promises that were broken.
+"""Runs all checks of a soak on its record and collects the broken promises.
 
-Each checker is a pure function of a record and judges one promise.
+Each check is a pure function of a record and judges one promise.
 """
 
 from collections.abc import Callable
@@ -8,12 +8,12 @@
 
 from bench.soak.check_answers import (
     check_at_most_once,
-    check_not_run_true,
+    check_complete_answers,
     check_one_version,
-    check_whole_own,
+    check_refused_not_run,
 )
-from bench.soak.check_backpressure import check_limits, check_rests, check_said_leaving
-from bench.soak.check_news import check_configuration, check_leaving, check_old_weights
+from bench.soak.check_backpressure import check_announced_leaving, check_limits, check_rests
+from bench.soak.check_propagation import check_configuration, check_leaving, check_old_weights
 from bench.soak.check_service import check_planned_stop, check_recovery, check_retry_bound
 from bench.soak.check_summary import Summary, summarize
 from bench.soak.check_violations import Promise, Violation
@@ -22,13 +22,13 @@
 __all__ = ["CHECKS", "Promise", "Summary", "Violation", "check_all", "summarize"]
 
 CHECKS: Final[dict[Promise, Callable[[Record], list[Violation]]]] = {
-    Promise.WHOLE_OWN: check_whole_own,
+    Promise.COMPLETE_ANSWERS: check_complete_answers,
     Promise.AT_MOST_ONCE: check_at_most_once,
-    Promise.NOT_RUN_TRUE: check_not_run_true,
+    Promise.REFUSED_NOT_RUN: check_refused_not_run,
     Promise.ONE_VERSION: check_one_version,
     Promise.OLD_WEIGHTS: check_old_weights,
     Promise.LEAVING: check_leaving,
-    Promise.SAID_LEAVING: check_said_leaving,
+    Promise.ANNOUNCED_LEAVING: check_announced_leaving,
     Promise.LIMIT: check_limits,
     Promise.REST: check_rests,
     Promise.PLANNED_STOP: check_planned_stop,
@@ -39,6 +39,6 @@
 
 
 def check_all(record: Record) -> list[Violation]:
-    """Return all violations, in the order in which they came."""
+    """Run all checks; return their violations in order of time."""
     found = [violation for check in CHECKS.values() for violation in check(record)]
     return sorted(found, key=lambda violation: violation.at)
--- a/bench/soak/coverage.py
+++ b/bench/soak/coverage.py
@@ -6,11 +6,11 @@
 from dataclasses import dataclass
 from typing import Final
 
-from bench.soak.check_quiet import quiet_everywhere, undisturbed
+from bench.soak.check_disturbances import is_fault_free_everywhere, is_undisturbed
 from bench.soak.record import PlannedStop, Record
 
 # How long after its bound a promise is looked at.
-LOOK_SECONDS: Final = 1.0
+OBSERVATION_SECONDS: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -32,9 +32,11 @@
         v.at
         for v in record.versions
         if _covers(record, v.at, bounds.weights)
-        and quiet_everywhere(record, v.at - bounds.reached, v.at + bounds.weights + LOOK_SECONDS)
+        and is_fault_free_everywhere(
+            record, v.at - bounds.reached, v.at + bounds.weights + OBSERVATION_SECONDS
+        )
     ]
-    due = [(at + bounds.weights, at + bounds.weights + LOOK_SECONDS) for at in named]
+    due = [(at + bounds.weights, at + bounds.weights + OBSERVATION_SECONDS) for at in named]
     runs = sum(
         any(since < run.began_at <= until for since, until in due)
         for run in record.runs
@@ -42,18 +44,20 @@
     )
     drains = sum(
         _covers(record, d.at, bounds.leaving)
-        and record.is_quiet(
-            frozenset({d.replica_id}), d.at - bounds.reached, d.at + bounds.leaving + LOOK_SECONDS
+        and record.is_fault_free(
+            frozenset({d.replica_id}),
+            d.at - bounds.reached,
+            d.at + bounds.leaving + OBSERVATION_SECONDS,
         )
         for d in record.draining
     )
-    stops = [stop for stop in record.stops if _is_fair(record, stop)]
+    stops = [stop for stop in record.stops if _is_fault_free_stop(record, stop)]
     under_way = sum(_was_under_way(record, stop) for stop in stops)
     return Coverage(len(named), runs, _configurations(record), drains, len(stops), under_way)
 
 
 def _covers(record: Record, at: float, bound: float) -> bool:
-    return record.began_at <= at and at + bound + LOOK_SECONDS <= record.ended_at
+    return record.began_at <= at and at + bound + OBSERVATION_SECONDS <= record.ended_at
 
 
 def _configurations(record: Record) -> int:
@@ -61,20 +65,20 @@
     bounds = record.bounds
     return sum(
         _covers(record, c.at, bounds.configuration)
-        and undisturbed(
+        and is_undisturbed(
             record,
             frozenset({entry}),
             c.at - bounds.reached,
-            c.at + bounds.configuration + LOOK_SECONDS,
+            c.at + bounds.configuration + OBSERVATION_SECONDS,
         )
         for c in record.configurations
         for entry in entries
     )
 
 
-def _is_fair(record: Record, stop: PlannedStop) -> bool:
+def _is_fault_free_stop(record: Record, stop: PlannedStop) -> bool:
     until = record.ended_at if stop.ended_at is None else stop.ended_at
-    return record.is_quiet(frozenset({stop.entry}), stop.at - record.bounds.reached, until)
+    return record.is_fault_free(frozenset({stop.entry}), stop.at - record.bounds.reached, until)
 
 
 def _was_under_way(record: Record, stop: PlannedStop) -> int:
--- a/bench/soak/findings.py
+++ b/bench/soak/findings.py
@@ -1,10 +1,10 @@
-"""What is wrong beyond the promises on requests: bad requests, unasked-for runs, mixed loads."""
+"""Finds faults beyond the promises: accepted bad requests, unrequested runs, mixed weights."""
 
 import hashlib
 from collections.abc import Iterator
 from dataclasses import dataclass
 
-from bench.soak.badrequests import SMUGGLED, BadRequest
+from bench.soak.badrequests import SMUGGLED_SUFFIX, BadRequest
 from bench.soak.exchange import PREFIXES
 from bench.soak.record import Record
 from testing.platformreplica import FakeReplica, Run
@@ -12,7 +12,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Finding:
-    """One thing that is wrong, beside the violations of promises."""
+    """One fault that is not a violation of a promise."""
 
     kind: str
     at: float
@@ -21,9 +21,9 @@
 
 
 def find_bad_answers(sent: dict[str, BadRequest]) -> Iterator[Finding]:
-    """Find bad requests that were not refused as bad.
+    """Find bad requests that were not refused with a 4xx status.
 
-    An entry that knows no configuration yet answers 503, and a fault may leave no answer at all.
+    An entry without a configuration answers 503, and a fault may leave a request unanswered.
     """
     for bad in sent.values():
         if bad.status not in (0, 503) and not 400 <= bad.status < 500:
@@ -31,10 +31,10 @@
             yield Finding("bad request not refused", bad.sent_at, bad.id, detail)
 
 
-def find_unasked(
+def find_unrequested_runs(
     record: Record, sent: dict[str, BadRequest], replicas: list[FakeReplica]
 ) -> Iterator[Finding]:
-    """Find runs of bad requests, and runs that no caller asked for."""
+    """Find runs of bad requests, and runs that no caller requested."""
     for replica in replicas:
         for run in replica.runs:
             problem = _problem(record, sent, run)
@@ -46,7 +46,7 @@
 def find_mixed_loads(
     replicas: list[FakeReplica], versions: dict[int, list[bytes]], at: float
 ) -> Iterator[Finding]:
-    """Find loads of anything but the whole version ordered, by what lay there as it was taken."""
+    """Find loads whose staged chunks were not exactly those of the ordered version."""
     for replica in replicas:
         for version, digests in replica.loads:
             if not _is_whole(version, digests, versions):
@@ -56,7 +56,7 @@
 def find_answers_of_bad_loads(
     replicas: list[FakeReplica], versions: dict[int, list[bytes]]
 ) -> Iterator[Finding]:
-    """Find requests that ran on a load of anything but the whole version ordered."""
+    """Find requests that ran on a load that was not exactly the ordered version."""
     for replica in replicas:
         bad = {
             number
@@ -74,7 +74,7 @@
 
 
 def _problem(record: Record, sent: dict[str, BadRequest], run: Run) -> str:
-    if run.id.removesuffix(SMUGGLED) in sent:
+    if run.id.removesuffix(SMUGGLED_SUFFIX) in sent:
         return "a bad request ran"
     request = record.requests.get(run.id)
     if request is None:
--- a/bench/soak/main.py
+++ b/bench/soak/main.py
@@ -26,16 +26,16 @@
 import trio
 from docopt import DocoptExit, docopt
 
-from bench.soak.plan import LEAST_SECONDS, draw_plan
+from bench.soak.plan import MIN_SOAK_SECONDS, draw_plan
 from bench.soak.regressions import REGRESSIONS, read_regressions
-from bench.soak.report import to_line, write_story
+from bench.soak.report import to_line, write_details
 from bench.soak.runner import run_soak
 
-MOST_MINUTES: Final = 120.0
-LEAST_PROCESSES: Final = 20
-MOST_PROCESSES: Final = 60
-BROKEN: Final = 1
-BAD_ARGUMENTS: Final = 2
+MAX_MINUTES: Final = 120.0
+MIN_PROCESSES: Final = 20
+MAX_PROCESSES: Final = 60
+EXIT_BROKEN: Final = 1
+EXIT_BAD_ARGUMENTS: Final = 2
 
 
 class ArgumentError(Exception):
@@ -72,7 +72,7 @@
     return Arguments(
         _whole("SEED", found["SEED"], 0, 1 << 62),
         _minutes(found["--minutes"]),
-        _whole("--processes", processes, LEAST_PROCESSES, MOST_PROCESSES) if processes else 0,
+        _whole("--processes", processes, MIN_PROCESSES, MAX_PROCESSES) if processes else 0,
         bool(found["--regressions"]),
         Path(logs) if logs else None,
     )
@@ -93,9 +93,9 @@
         minutes = float(text)
     except ValueError:
         raise ArgumentError(f"--minutes: {text!r} is not a number") from None
-    least = LEAST_SECONDS / 60
-    if not least <= minutes <= MOST_MINUTES:
-        raise ArgumentError(f"--minutes: {minutes} is not between {least:.2f} and {MOST_MINUTES}")
+    least = MIN_SOAK_SECONDS / 60
+    if not least <= minutes <= MAX_MINUTES:
+        raise ArgumentError(f"--minutes: {minutes} is not between {least:.2f} and {MAX_MINUTES}")
     return minutes
 
 
@@ -106,7 +106,7 @@
     print(f"seed {seed}, logs in {directory}", flush=True)
     result = trio.run(run_soak, draw_plan(seed, minutes * 60, processes), directory)
     if not result.passed or logs is not None:
-        write_story(result, directory)
+        write_details(result, directory)
     else:
         shutil.rmtree(directory)
     print(json.dumps(to_line(result)), flush=True)
@@ -120,10 +120,10 @@
         known = read_regressions(REGRESSIONS) if arguments.regressions else []
     except (ArgumentError, ValueError) as error:
         print(error, file=sys.stderr)
-        return BAD_ARGUMENTS
+        return EXIT_BAD_ARGUMENTS
     passed = True
     for case in known:
         logs = arguments.logs / f"seed-{case.seed}" if arguments.logs else None
         passed = play(case.seed, case.minutes, case.processes, logs) and passed
     own = play(arguments.seed, arguments.minutes, arguments.processes, arguments.logs)
-    return 0 if own and passed else BROKEN
+    return 0 if own and passed else EXIT_BROKEN
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -21,36 +21,36 @@
 
 # A calm span leaves the time-bounded promises room to be checked, and processes that were killed
 # last in the storm before it time to start.
-CALM_SECONDS: Final = BOUNDS.weights + BOUNDS.reached + 5.0
+QUIET_PHASE_SECONDS: Final = BOUNDS.weights + BOUNDS.reached + 5.0
 RECOVERY_SECONDS: Final = BOUNDS.recovery + 6.0
-STORM_SECONDS: Final = (9.0, 16.0)
-FIRST_SECONDS: Final = 3.0
+FAULT_PHASE_SECONDS: Final = (9.0, 16.0)
+FIRST_PHASE_SECONDS: Final = 3.0
 # A soak shorter than this has no room for a storm, a calm span and the recovery.
-LEAST_SECONDS: Final = FIRST_SECONDS + STORM_SECONDS[0] + RECOVERY_SECONDS
+MIN_SOAK_SECONDS: Final = FIRST_PHASE_SECONDS + FAULT_PHASE_SECONDS[0] + RECOVERY_SECONDS
 ACTIONS_PER_SECOND: Final = 0.9  # of a storm
-REPLICA_SECONDS: Final = (0.02, 0.25)  # service time, or time between events
+SERVICE_SECONDS: Final = (0.02, 0.25)  # service time, or time between events
 SLOTS: Final = (8, 16)
 SEAT_KINDS: Final = frozenset(
     {
         ActionKind.REPLICA_CRASH,
         ActionKind.DRAIN,
         ActionKind.ADD_REPLICA,
-        ActionKind.REPLICA_REBORN,
+        ActionKind.REPLICA_RESTART,
         ActionKind.REPLICA_LEAVES,
     }
 )
 # Orders of a daemon are taken up to so much late, as users' replicas have shown.
-LATE_SECONDS: Final = (0.3, 12.0)
-LATE_SHARE: Final = 0.6  # of the namings of a storm have late orders after them
-REBORN_SHARE: Final = 0.5  # of the storms have a replica that starts again under its id
+ORDER_DELAY_SECONDS: Final = (0.3, 12.0)
+LATE_ORDERS_SHARE: Final = 0.6  # of the namings of a storm have late orders after them
+REPLICA_RESTART_SHARE: Final = 0.5  # of the storms have a replica that starts again under its id
 CLOCK_STEPS_MS: Final = (0, -2000)  # of its clock, as it starts again
 # The parts of storms and of calm spans in which a replica asks for less in its answers.
 BACKPRESSURE_SHARE: Final = 0.6
 BACKPRESSURE_SECONDS: Final = 6.0
-LIMITS: Final = (0.2, 0.5, 1.0, 8.0)  # requests a second
+LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # requests a second
 REST_SECONDS: Final = (0.8, 2.5)
 # A seat is left alone so long before and after, so that one thing happens to it at a time.
-REBORN_ROOM_SECONDS: Final = 6.0
+RESTART_MARGIN_SECONDS: Final = 6.0
 
 
 @dataclass(frozen=True, slots=True)
@@ -63,7 +63,7 @@
     seats: tuple[Seat, ...]
     requests_per_second: float
     actions: tuple[Action, ...]  # in the order of their moments
-    last_storm_ends_at: float
+    last_fault_phase_ends_at: float
 
 
 def draw_plan(seed: int, seconds: float, processes: int = 0, sizes: Sizes | None = None) -> Plan:
@@ -72,21 +72,21 @@
     drawn = draw_sizes(generator, processes)
     sizes = sizes or drawn
     seats = tuple(
-        Seat(name, generator.uniform(*REPLICA_SECONDS), generator.randint(*SLOTS))
+        Seat(name, generator.uniform(*SERVICE_SECONDS), generator.randint(*SLOTS))
         for name in [*model_names(sizes), *plain_names(sizes)]
     )
     rate = generator.uniform(15.0, 35.0)
-    drawer = _Drawer(generator, sizes)
-    last_storm_ends_at = drawer.draw_spans(seconds)
+    builder = _PlanBuilder(generator, sizes)
+    last_fault_phase_ends_at = builder.draw_phases(seconds)
     # Drawn apart, so that plans of older seeds stay as they were but for these.
-    drawer.draw_late_orders(random.Random(f"{seed} late orders"))
-    drawer.draw_lives(random.Random(f"{seed} lives"))
-    drawer.draw_backpressure(random.Random(f"{seed} backpressure"))
-    actions = tuple(sorted(drawer.actions, key=lambda action: action.at))
-    return Plan(seed, seconds, sizes, seats, rate, actions, last_storm_ends_at)
+    builder.draw_late_orders(random.Random(f"{seed} late orders"))
+    builder.draw_restarts(random.Random(f"{seed} lives"))
+    builder.draw_backpressure(random.Random(f"{seed} backpressure"))
+    actions = tuple(sorted(builder.actions, key=lambda action: action.at))
+    return Plan(seed, seconds, sizes, seats, rate, actions, last_fault_phase_ends_at)
 
 
-class _Drawer:
+class _PlanBuilder:
     """Draws the actions, span by span."""
 
     def __init__(self, generator: random.Random, sizes: Sizes) -> None:
@@ -98,8 +98,8 @@
         self._busy_until: dict[str, float] = {}  # by process or seat
         self._added_entries = 0
         self._added_models = 0
-        self._storms: list[tuple[float, float]] = []
-        everyday: list[tuple[float, Callable[[float, float], None]]] = [
+        self._fault_phases: list[tuple[float, float]] = []
+        weighted_draws: list[tuple[float, Callable[[float, float], None]]] = [
             (4, self._draw_link),
             (2, self._draw_kill),
             (2, self._draw_pause),
@@ -115,86 +115,88 @@
             (1, self._draw_drain),
             (0.5, self._draw_addition),
         ]
-        self._weights = [weight for weight, _ in everyday]
-        self._draws = [draw for _, draw in everyday]
+        self._weights = [weight for weight, _ in weighted_draws]
+        self._draws = [draw for _, draw in weighted_draws]
 
-    def draw_spans(self, seconds: float) -> float:
+    def draw_phases(self, seconds: float) -> float:
         """Draw storms with calm spans between; return when the last storm ends."""
         last = seconds - RECOVERY_SECONDS
-        at = FIRST_SECONDS
+        at = FIRST_PHASE_SECONDS
         while True:
-            until = min(at + self._generator.uniform(*STORM_SECONDS), last)
-            self._draw_storm(at, until)
-            at = until + CALM_SECONDS
-            if at + STORM_SECONDS[0] > last:
+            until = min(at + self._generator.uniform(*FAULT_PHASE_SECONDS), last)
+            self._draw_fault_phase(at, until)
+            at = until + QUIET_PHASE_SECONDS
+            if at + FAULT_PHASE_SECONDS[0] > last:
                 break
-            self._draw_calm(until, at)
-        self._draw_calm(until, seconds, last=True)
+            self._draw_quiet_phase(until, at)
+        self._draw_quiet_phase(until, seconds, last=True)
         return until
 
     def draw_late_orders(self, generator: random.Random) -> None:
         """Draw replicas that take orders late while versions are named in storms."""
-        for since, until in self._storms:
+        for since, until in self._fault_phases:
             named = [a for a in self.actions if a.kind is ActionKind.NAME_VERSIONS]
             for naming in [a for a in named if since <= a.at < until]:
-                if generator.random() < LATE_SHARE:
-                    seconds = min(generator.uniform(*LATE_SECONDS), max(0.1, until - naming.at))
+                if generator.random() < LATE_ORDERS_SHARE:
+                    seconds = min(
+                        generator.uniform(*ORDER_DELAY_SECONDS), max(0.1, until - naming.at)
+                    )
                     seat, count = generator.choice(self._models), generator.randint(1, 3)
                     self._add(
                         naming.at, ActionKind.ORDERS_LATE, seat, seconds=seconds, amount=count
                     )
 
-    def draw_lives(self, generator: random.Random) -> None:
+    def draw_restarts(self, generator: random.Random) -> None:
         """Draw replicas that start again under the id that they had."""
-        for since, until in self._storms:
-            if generator.random() >= REBORN_SHARE:
+        for since, until in self._fault_phases:
+            if generator.random() >= REPLICA_RESTART_SHARE:
                 continue
             at = generator.uniform(since, until - 1.0)
             seat, step = generator.choice(self._models), generator.choice(CLOCK_STEPS_MS)
-            if not self._is_struck(seat, at):
-                self._add(at, ActionKind.REPLICA_REBORN, seat, amount=step)
+            if not self._is_restarted_near(seat, at):
+                self._add(at, ActionKind.REPLICA_RESTART, seat, amount=step)
 
     def draw_backpressure(self, generator: random.Random) -> None:
         """Draw replicas that ask for less in their answers, in storms and after them."""
-        for since, until in self._storms:
+        for since, until in self._fault_phases:
             for at in (generator.uniform(since, until - 1.0), until + BOUNDS.reached + 0.5):
                 kind = generator.choice(sorted(BACKPRESSURE_KINDS, key=lambda kind: kind.value))
                 seat = generator.choice([*self._models, *self._plain])
-                amount = generator.choice(LIMITS)
+                amount = generator.choice(LIMITS_PER_SECOND)
                 if kind is ActionKind.REPLICA_REST:
                     amount = generator.uniform(*REST_SECONDS)
                 drawn = generator.random() < BACKPRESSURE_SHARE
-                if drawn and not self._is_struck_within(seat, at, at + BACKPRESSURE_SECONDS):
+                if drawn and not self._is_restarted_within(seat, at, at + BACKPRESSURE_SECONDS):
                     self._add(at, kind, seat, seconds=BACKPRESSURE_SECONDS, amount=amount)
 
-    def _is_struck_within(self, seat: str, since: float, until: float) -> bool:
+    def _is_restarted_within(self, seat: str, since: float, until: float) -> bool:
         """Tell whether something ends or starts a seat's replica between two moments."""
         return any(
             seat in action.targets
             and action.kind in SEAT_KINDS
-            and action.at < until + REBORN_ROOM_SECONDS
+            and action.at < until + RESTART_MARGIN_SECONDS
             and since < action.at + action.seconds + 1.0
             for action in self.actions
         )
 
-    def _is_struck(self, seat: str, at: float) -> bool:
+    def _is_restarted_near(self, seat: str, at: float) -> bool:
         """Tell whether something else ends or starts a seat's replica about then."""
         return any(
             seat in action.targets
             and action.kind in SEAT_KINDS
-            and action.at - REBORN_ROOM_SECONDS < at < action.at + action.seconds + 1.0
+            and action.at - RESTART_MARGIN_SECONDS < at < action.at + action.seconds + 1.0
             for action in self.actions
         )
 
-    def _draw_storm(self, since: float, until: float) -> None:
-        self._storms.append((since, until))
+    def _draw_fault_phase(self, since: float, until: float) -> None:
+        self._fault_phases.append((since, until))
         count = max(3, round((until - since) * ACTIONS_PER_SECOND))
         moments = sorted(self._generator.uniform(since, until - 1.0) for _ in range(count))
         for at in moments:
             (draw,) = self._generator.choices(self._draws, self._weights)
             draw(at, until)
 
-    def _draw_calm(self, since: float, until: float, *, last: bool = False) -> None:
+    def _draw_quiet_phase(self, since: float, until: float, *, last: bool = False) -> None:
         """Draw operator's work whose promises are bounded in time."""
         settled = since + BOUNDS.reached + 1.0
         for moment in (0.0, 3.0):
@@ -206,7 +208,7 @@
         if not last and self._generator.random() < 0.6:
             at = settled + self._generator.uniform(0, 2)
             name = self._generator.choice(self._entries)
-            if self._take(name, at, 6.0):
+            if self._reserve(name, at, 6.0):
                 self._add(at, ActionKind.STOP, name)
 
     # One action each. `until` is the end of the span.
@@ -252,12 +254,12 @@
             self._add(at, kind, name, seconds=seconds)
             return
         # A process that is being started again is not killed before that.
-        if self._take(name, at, seconds + 6.0):
+        if self._reserve(name, at, seconds + 6.0):
             self._add(at, kind, name, seconds=seconds)
 
     def _draw_crash(self, at: float, until: float) -> None:
         seat = self._generator.choice([*self._models, *self._plain])
-        if self._take(seat, at, 4.0):
+        if self._reserve(seat, at, 4.0):
             seconds = self._length(at, until, 0.3, 2.0)
             self._add(at, ActionKind.REPLICA_CRASH, seat, seconds=seconds)
 
@@ -305,7 +307,7 @@
     def _draw_drain(self, at: float, until: float) -> None:
         seat = self._generator.choice([*self._models, *self._plain])
         serves_on = BOUNDS.leaving + self._generator.uniform(0.5, 2.0)
-        if self._take(seat, at, serves_on + 2.0):
+        if self._reserve(seat, at, serves_on + 2.0):
             self._add(at, ActionKind.DRAIN, seat, seconds=serves_on)
 
     def _draw_addition(self, at: float, until: float) -> None:
@@ -322,7 +324,7 @@
     def _processes(self) -> list[str]:
         return [*self._entries, *map(daemon_of, self._models)]
 
-    def _take(self, name: str, at: float, seconds: float) -> bool:
+    def _reserve(self, name: str, at: float, seconds: float) -> bool:
         """Reserve a process or seat, unless something else still has it."""
         if self._busy_until.get(name, 0.0) > at:
             return False
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -37,7 +37,7 @@
         """Kill a process, and start it again after a while."""
         if not self._claim(name):
             return
-        disturbance = self.site.disturb("kill", self.site.machines_at(name))
+        disturbance = self.site.begin_disturbance("kill", self.site.machines_at(name))
         self.site.machines.signal(name, signal.SIGKILL)
         await self._wait_exit(name)
         await self._start_again(name, away_seconds)
@@ -50,7 +50,7 @@
         if name.startswith("entry"):
             await self._stop_entry(name, away_seconds)
         else:
-            disturbance = self.site.disturb("daemon stop", self.site.machines_at(name))
+            disturbance = self.site.begin_disturbance("daemon stop", self.site.machines_at(name))
             self.site.machines.signal(name, signal.SIGTERM)
             await self._wait_stopped(name)
             await self._start_again(name, away_seconds)
@@ -70,7 +70,7 @@
         process = self.site.machines.machines[name].process
         if process is None or process.poll() is not None:
             return
-        disturbance = self.site.disturb("pause", self.site.machines_at(name))
+        disturbance = self.site.begin_disturbance("pause", self.site.machines_at(name))
         process.send_signal(signal.SIGSTOP)
         await trio.sleep(seconds)
         if process.poll() is None:
@@ -98,12 +98,12 @@
                     if name in self._ending or process is None or process.poll() is None:
                         continue
                     self._ending.add(name)
-                    self._find(name, f"ended by itself with code {process.returncode}")
-                    nursery.start_soon(self._revive, name)
+                    self._add_finding(name, f"ended by itself with code {process.returncode}")
+                    nursery.start_soon(self._restart, name)
                 await trio.sleep(POLL_SECONDS)
 
-    async def _revive(self, name: str) -> None:
-        disturbance = self.site.disturb("own end", self.site.machines_at(name))
+    async def _restart(self, name: str) -> None:
+        disturbance = self.site.begin_disturbance("own end", self.site.machines_at(name))
         self.site.note_exit(name)
         await self._start_again(name, 0.0)
         disturbance.ended_at = trio.current_time()
@@ -119,7 +119,7 @@
         await trio.sleep(away_seconds)
         await self.site.start_process(name)
         self._ending.discard(name)
-        await self.site.wait_up(name)
+        await self.site.wait_until_up(name)
 
     async def _wait_stopped(self, name: str) -> None:
         with trio.move_on_after(STOP_LIMIT_SECONDS) as limit:
@@ -127,11 +127,11 @@
         process = self.site.machines.machines[name].process
         assert process is not None
         if limit.cancelled_caught:
-            self._find(name, f"still runs {STOP_LIMIT_SECONDS} s after its stop signal")
+            self._add_finding(name, f"still runs {STOP_LIMIT_SECONDS} s after its stop signal")
             process.kill()
             await self._wait_exit(name)
         elif process.returncode:
-            self._find(name, f"ended a planned stop with code {process.returncode}")
+            self._add_finding(name, f"ended a planned stop with code {process.returncode}")
 
     async def _wait_exit(self, name: str) -> None:
         process = self.site.machines.machines[name].process
@@ -140,6 +140,6 @@
             await trio.sleep(POLL_SECONDS)
         self.site.note_exit(name)
 
-    def _find(self, name: str, detail: str) -> None:
+    def _add_finding(self, name: str, detail: str) -> None:
         self.findings.append(ProcessFinding(name, trio.current_time(), detail))
-        self.site.tell(f"FINDING {name} {detail}")
+        self.site.print_progress(f"FINDING {name} {detail}")
--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -18,8 +18,10 @@
 from testing.rawhttp import reset
 
 PIECE_BYTES: Final = 64 * 1024
-NARROW_SHARE: Final = 0.1  # of a second: what a narrow link takes at once
-LOOK_SECONDS: Final = 0.02  # how often a held connection looks whether its link is free again
+NARROW_INTERVAL_SECONDS: Final = 0.1  # of a second: what a narrow link takes at once
+BLOCK_POLL_SECONDS: Final = (
+    0.02  # how often a held connection looks whether its link is free again
+)
 
 
 class LinkKind(Enum):
@@ -40,7 +42,7 @@
     second: frozenset[str] = frozenset()
     amount: float = 0.0  # seconds of delay, or bytes a second
 
-    def strikes(self, sender: str, receiver: str) -> bool:
+    def affects(self, sender: str, receiver: str) -> bool:
         """Tell whether bytes from a sender to a receiver are concerned."""
         if sender == receiver:  # links within a machine have no faults
             return False
@@ -60,7 +62,7 @@
     refused: set[tuple[str, int]] = field(default_factory=set)
 
     @contextmanager
-    def during(self, fault: LinkFault) -> Iterator[None]:
+    def active(self, fault: LinkFault) -> Iterator[None]:
         """Keep a fault on for a block."""
         self.faults.append(fault)
         try:
@@ -71,21 +73,21 @@
     def reset(self, first: frozenset[str], second: frozenset[str]) -> int:
         """Reset all open connections between two sides; return how many there were."""
         probe = LinkFault(LinkKind.CUT, first, second)
-        struck = [c for c in self.connections if probe.strikes(c.source, c.target)]
-        for connection in struck:
+        affected = [c for c in self.connections if probe.affects(c.source, c.target)]
+        for connection in affected:
             connection.broken = True
             connection.scope.cancel()
-        return len(struck)
+        return len(affected)
 
-    def holds(self, sender: str, receiver: str) -> bool:
+    def is_blocked(self, sender: str, receiver: str) -> bool:
         """Tell whether nothing passes from a sender to a receiver."""
         kinds = (LinkKind.CUT, LinkKind.SILENCE)
-        return any(f.kind in kinds and f.strikes(sender, receiver) for f in self.faults)
+        return any(f.kind in kinds and f.affects(sender, receiver) for f in self.faults)
 
     def amount(self, kind: LinkKind, sender: str, receiver: str) -> float:
         """Return the worst delay, or the least rate, of a link; 0 if there is none."""
         found = [
-            f.amount for f in self.faults if f.kind is kind and f.strikes(sender, receiver)
+            f.amount for f in self.faults if f.kind is kind and f.affects(sender, receiver)
         ] or [0.0]
         return min(found) if kind is LinkKind.NARROW else max(found)
 
@@ -119,7 +121,7 @@
         listeners = await trio.open_tcp_listeners(self.public.port, host=self.public.ip)
         nursery.start_soon(self._run, listeners, scope, nursery)
 
-    def shut(self) -> None:
+    def stop_accepting(self) -> None:
         """Take no more connections; those that are open go on."""
         if self._scope is not None:
             self._scope.cancel()
@@ -148,7 +150,7 @@
         target: trio.SocketStream | None = None
         try:
             with connection.scope:
-                await self._wait_free(source, self.public.ip)
+                await self._wait_until_unblocked(source, self.public.ip)
                 target = await self._dial(source)
                 if target is None:
                     self._links.refused.add((source, port))
@@ -187,37 +189,37 @@
     ) -> None:
         try:
             while True:
-                await self._wait_free(sender, receiver)
+                await self._wait_until_unblocked(sender, receiver)
                 rate = self._links.amount(LinkKind.NARROW, sender, receiver)
-                size = max(1, int(rate * NARROW_SHARE)) if rate else PIECE_BYTES
+                size = max(1, int(rate * NARROW_INTERVAL_SECONDS)) if rate else PIECE_BYTES
                 data = await reader.receive_some(size)
-                await self._hold_up(reader, sender, receiver, len(data))
+                await self._delay(reader, sender, receiver, len(data))
                 if not data:
                     await writer.send_eof()
                     return
                 await writer.send_all(data)
         except (trio.BrokenResourceError, trio.ClosedResourceError):
-            await self._wait_free(sender, receiver)
+            await self._wait_until_unblocked(sender, receiver)
             connection.broken = True
             connection.scope.cancel()
 
-    async def _hold_up(
+    async def _delay(
         self, reader: trio.SocketStream, sender: str, receiver: str, size: int
     ) -> None:
         """Let the faults of the link hold a piece up; raise if its sender reset meanwhile."""
         delay = self._links.amount(LinkKind.DELAY, sender, receiver)
         rate = self._links.amount(LinkKind.NARROW, sender, receiver)
         seconds = delay + (size / rate if rate else 0.0)
-        if not seconds and not self._links.holds(sender, receiver):
+        if not seconds and not self._links.is_blocked(sender, receiver):
             return
         await trio.sleep(seconds)
-        await self._wait_free(sender, receiver)
+        await self._wait_until_unblocked(sender, receiver)
         if _was_reset(reader.socket):
             raise trio.BrokenResourceError
 
-    async def _wait_free(self, sender: str, receiver: str) -> None:
-        while self._links.holds(sender, receiver):
-            await trio.sleep(LOOK_SECONDS)
+    async def _wait_until_unblocked(self, sender: str, receiver: str) -> None:
+        while self._links.is_blocked(sender, receiver):
+            await trio.sleep(BLOCK_POLL_SECONDS)
 
 
 def _was_reset(sock: trio.socket.SocketType) -> bool:
--- a/bench/soak/record.py
+++ b/bench/soak/record.py
@@ -1,11 +1,11 @@
-"""What a soak saw from outside the system: what callers, replicas and the operator know.
+"""The record of a soak: what callers, replicas and the operator observed from outside.
 
-All moments are on trio's clock of the soak. The runner fills a record, the checkers read it.
+All times are in seconds on the soak's trio clock. The runner fills a record, the checks read it.
 
-To find streams that end early or mix weights, the checkers need `CallerRequest.event_count` and
-`event_versions`; to excuse an entry that has just started again, `PlannedStop.restarted_at`. A
-planned stop is not a `Disturbance` as well: whatever is one excuses the requests cut by the stop.
-Probes that overlap need `RouteProbe.answered_at`: one sent later may be answered earlier.
+`CallerRequest.event_count` and `event_versions` let the checks find streams that end early or mix
+weights; `PlannedStop.restarted_at` excuses an entry that has just restarted. A planned stop is not
+also a `Disturbance`, because a disturbance would excuse the requests that the stop cuts off.
+`RouteProbe.answered_at` is needed for overlapping probes: one sent later may be answered earlier.
 """
 
 from dataclasses import dataclass, field
@@ -13,32 +13,34 @@
 
 
 class RequestKind(Enum):
-    """What the route of a request allows."""
+    """What the route of a request allows in terms of runs."""
 
     REPEATABLE = "repeatable"  # may run more than once
     ONCE = "once"  # runs at most once
-    STREAM = "stream"  # events; may go on at another replica
+    STREAM = "stream"  # events; may be resumed at another replica
     STRICT_STREAM = "strict stream"  # events; runs at most once
 
 
 @dataclass(slots=True)
 class CallerRequest:
-    """One request of a caller, from its sending to what came back."""
+    """One request of a caller and its answer."""
 
     id: str
     kind: RequestKind
-    entry: str  # name of the machine that it was sent to
+    entry: str  # name of the machine that the request was sent to
     sent_at: float
     written: bool = False  # the whole request was written
-    ended_at: float | None = None  # None while it is under way
+    ended_at: float | None = None  # None while it is in flight
     status: int = 0  # 0: the connection ended without the head of an answer
-    sealed: bool = False  # the answer bears a replica's signature
-    whole: bool = False  # the answer ended as it should
+    sealed: bool = False  # the answer has a replica's seal
+    whole: bool = False  # the answer is complete
     own: bool = False  # every byte of the answer belongs to this request
-    events: list[int] = field(default_factory=list)  # numbers of a stream's events, as they came
-    # Versions of the weights that the events name, as they came; empty if they name none.
+    events: list[int] = field(
+        default_factory=list
+    )  # event numbers of a stream, in order of arrival
+    # Versions of the weights named by the events, in order of arrival; empty if none is named.
     event_versions: list[int] = field(default_factory=list)
-    event_count: int | None = None  # how many events a whole answer has, None if not known
+    event_count: int | None = None  # events in a complete answer, None if unknown
     caller_left: bool = False  # the caller closed the connection before the end
     deadline_seconds: float = 0.0
 
@@ -50,12 +52,12 @@
     request_id: str
     replica_id: str
     at: float
-    rest_seconds: float = 0.0  # it was turned away, and its entry asked for so much rest
+    rest_seconds: float = 0.0  # refused with a request to pause for so long
 
 
 @dataclass(slots=True)
 class ReplicaLimit:
-    """A limit that a replica names in its answers."""
+    """A rate limit that a replica announces in its answers."""
 
     replica_id: str
     per_second: float
@@ -65,7 +67,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaLeaves:
-    """A replica that says in its answers that it leaves."""
+    """A replica that announces in its answers that it leaves."""
 
     replica_id: str
     at: float
@@ -73,18 +75,18 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaRun:
-    """A request that a replica began to work on."""
+    """A request that a replica began to execute."""
 
     request_id: str
     replica_id: str
     service: str
-    version: int  # of the weights, 0 for a service without any
+    version: int  # of the weights, 0 for a service without weights
     began_at: float
 
 
 @dataclass(frozen=True, slots=True)
 class VersionNamed:
-    """New weights named by the operator."""
+    """The naming of a new version of the weights by the operator."""
 
     version: int
     at: float
@@ -92,7 +94,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ConfigurationPublished:
-    """A configuration that the store has taken."""
+    """A configuration that the store has accepted."""
 
     version: int
     at: float
@@ -100,7 +102,7 @@
 
 @dataclass(frozen=True, slots=True)
 class ReplicaDrains:
-    """A replica that the store shows as leaving."""
+    """A replica that the store lists as leaving."""
 
     replica_id: str
     at: float
@@ -108,14 +110,14 @@
 
 @dataclass(frozen=True, slots=True)
 class RouteProbe:
-    """A request to the route that only one configuration and those after it have."""
+    """A request to a route that exists only from one configuration on."""
 
     entry: str
-    life: int  # counts the starts of that entry's process
+    life: int  # the number of starts of the entry's process
     configuration: int  # the first version that has the route
     sent_at: float
     found: bool | None  # None if there was no answer
-    # None if not known: probes are then taken to be answered at once, in the order of sending.
+    # None if unknown: the answer is then taken to come at the time of sending.
     answered_at: float | None = None
 
 
@@ -126,15 +128,15 @@
     entry: str
     at: float
     ended_at: float | None = None
-    restarted_at: float | None = None  # when the entry's next process was ready
+    restarted_at: float | None = None  # when the entry's next process became ready
 
 
 @dataclass(slots=True)
 class Disturbance:
-    """A fault, from its beginning to its end."""
+    """An injected or observed fault and its duration."""
 
     kind: str
-    # Names of machines and ids of replicas; empty if it concerns the platform, so everybody.
+    # Machine names and replica ids; empty for a fault of the platform, which affects everybody.
     machines: frozenset[str]
     began_at: float
     ended_at: float = float("inf")
@@ -142,23 +144,23 @@
 
 @dataclass(frozen=True, slots=True)
 class Bounds:
-    """What the system promises, in seconds where nothing else is said."""
+    """The limits within which promises must hold, in seconds unless said otherwise."""
 
     weights: float  # from the naming of new weights to the last start on older ones
-    leaving: float  # from the news that a replica leaves to the last request sent there
-    configuration: float  # from a publication to its effect at every entry
-    reached: float  # how long a process must be undisturbed for these to count
+    leaving: float  # from the announcement that a replica leaves to the last request to it
+    configuration: float  # from a publication until it is in force at every entry
+    reached: float  # undisturbed time of a process from which these apply
     retry_ratio: float
     retry_slack: float
     retry_window: float
     recovery: float  # from the end of the last fault to ordinary service
-    loss_slack: float  # a request whose connection ends so soon may have crossed its close
-    told: float = 0.5  # from an answer that asks for less to the moment from which it counts
+    loss_slack: float  # a request lost so soon may have crossed its connection's close
+    told: float = 0.5  # from an answer that asks for less load until that applies
 
 
 @dataclass(slots=True)
 class Record:
-    """Everything that one soak saw."""
+    """All observations of one soak."""
 
     bounds: Bounds
     began_at: float
@@ -173,11 +175,11 @@
     probes: list[RouteProbe] = field(default_factory=list)
     stops: list[PlannedStop] = field(default_factory=list)
     disturbances: list[Disturbance] = field(default_factory=list)
-    last_fault_ended_at: float | None = None  # None: the soak did not wait for recovery
+    last_fault_ended_at: float | None = None  # None: recovery was not awaited
     ended_at: float = 0.0
 
-    def is_quiet(self, machines: frozenset[str], since: float, until: float) -> bool:
-        """Tell whether no fault concerned the platform or some machines between two moments."""
+    def is_fault_free(self, machines: frozenset[str], since: float, until: float) -> bool:
+        """Return whether no fault affected the platform or the machines between two times."""
         return not any(
             fault.began_at <= until
             and fault.ended_at >= since
--- a/bench/soak/report.py
+++ b/bench/soak/report.py
@@ -9,7 +9,7 @@
 from bench.soak.actors import describe
 from bench.soak.runner import SoakResult
 
-FIRST_VIOLATIONS: Final = 10  # how many are told in detail
+MAX_DETAILED: Final = 10  # how many are told in detail
 
 
 def to_line(result: SoakResult) -> dict[str, Any]:
@@ -40,16 +40,16 @@
         "findings": len(result.findings),
         "first": [
             f"{v.at - began_at:.3f} {v.promise.value}: {v.subject}: {v.detail}"
-            for v in result.violations[:FIRST_VIOLATIONS]
+            for v in result.violations[:MAX_DETAILED]
         ]
         + [
             f"{f.at - began_at:.3f} {f.kind}: {f.subject}: {f.detail}"
-            for f in result.findings[:FIRST_VIOLATIONS]
+            for f in result.findings[:MAX_DETAILED]
         ],
     }
 
 
-def write_story(result: SoakResult, directory: Path) -> None:
+def write_details(result: SoakResult, directory: Path) -> None:
     """Write the plan, all violations and the whole record beside the logs of the processes.
 
     Moments in the record are on trio's clock, those elsewhere count from the begin of the soak.
--- a/bench/soak/runner.py
+++ b/bench/soak/runner.py
@@ -20,13 +20,13 @@
     find_answers_of_bad_loads,
     find_bad_answers,
     find_mixed_loads,
-    find_unasked,
+    find_unrequested_runs,
 )
 from bench.soak.plan import RECOVERY_SECONDS, Plan
 from bench.soak.processes import Processes
 from bench.soak.record import Arrival, Record, ReplicaRun
 from bench.soak.site import PROBE_SERVICE, Site, running_site
-from bench.soak.watchers import Clock, Prober, balance
+from bench.soak.watchers import Clock, Prober, poll_readiness
 
 PROGRESS_SECONDS: Final = 10.0
 
@@ -66,12 +66,12 @@
         async with trio.open_nursery() as nursery:
             for watch in (processes.watch, clock.run, Prober(site).run):
                 nursery.start_soon(watch)
-            nursery.start_soon(balance, site)
-            nursery.start_soon(_tell_progress, site)
+            nursery.start_soon(poll_readiness, site)
+            nursery.start_soon(_report_progress, site)
             await _play(site, actors, callers)
             nursery.cancel_scope.cancel()
         site.record.ended_at = trio.current_time()
-        return _judge(site, processes, bad, clock)
+        return _evaluate(site, processes, bad, clock)
 
 
 async def _play(site: Site, actors: Actors, callers: Callers) -> None:
@@ -88,17 +88,19 @@
         callers.stopped = True
 
 
-async def _tell_progress(site: Site) -> None:
+async def _report_progress(site: Site) -> None:
     while True:
         await trio.sleep(PROGRESS_SECONDS)
         requests = site.record.requests.values()
         served = sum(request.whole and request.status == 200 for request in requests)
-        site.tell(f"{len(requests)} requests, {served} served, {len(site.record.probes)} probes")
+        site.print_progress(
+            f"{len(requests)} requests, {served} served, {len(site.record.probes)} probes"
+        )
 
 
-def _judge(site: Site, processes: Processes, bad: BadRequests, clock: Clock) -> SoakResult:
+def _evaluate(site: Site, processes: Processes, bad: BadRequests, clock: Clock) -> SoakResult:
     record = site.record
-    _harvest(site)
+    _collect_observations(site)
     violations = check_all(record)
     replicas = [
         listed.replica
@@ -109,7 +111,7 @@
     versions = site.machines.origin.versions
     mixed = find_mixed_loads(replicas, versions, record.ended_at)
     of_bad_loads = find_answers_of_bad_loads(replicas, versions)
-    unasked = find_unasked(record, bad.sent, replicas)
+    unasked = find_unrequested_runs(record, bad.sent, replicas)
     drawn = (fault.value for action in site.plan.actions for fault in action.faults)
     return SoakResult(
         site.plan,
@@ -121,14 +123,14 @@
         site.faults,
         Counter(drawn),
         len(site.machines.machines),
-        site.lives.total(),
+        site.start_counts.total(),
         Counter(f"{b.form.value} {b.status}" for b in bad.sent.values()),
         clock.latest,
         clock.times_late,
     )
 
 
-def _harvest(site: Site) -> None:
+def _collect_observations(site: Site) -> None:
     """Take what the replicas saw into the record."""
     record = site.record
     for listed in site.machines.replicas.values():
--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -47,9 +47,9 @@
 PROBE_SLOTS: Final = 64
 ENTRY_PORTS: Final = (CALLERS, READINESS, PEERS, SWARM)
 DAEMON_PORTS: Final = (PEERS, SWARM)
-LISTING_SECONDS: Final = 0.03  # how often a replica looks whether its entry has changed
+LISTING_INTERVAL_SECONDS: Final = 0.03  # how often a replica looks whether its entry has changed
 STREAM_EVENTS: Final = 4
-ROUTE_MILLISECONDS: Final = 4000
+ROUTE_TIMEOUT_MS: Final = 4000
 
 
 def probe_prefix(version: int) -> str:
@@ -87,7 +87,7 @@
     record: Record
     links: LinkFaults = field(default_factory=LinkFaults)
     seats: dict[str, SeatState] = field(default_factory=dict)
-    lives: Counter[str] = field(default_factory=Counter)  # starts, by process
+    start_counts: Counter[str] = field(default_factory=Counter)  # starts, by process
     ready: set[str] = field(default_factory=set)  # entries that the platform sends callers to
     faults: Counter[str] = field(default_factory=Counter)  # by kind
     proxies: dict[str, list[Proxy]] = field(default_factory=dict)  # by process or seat
@@ -95,12 +95,12 @@
 
     # What is seen from outside.
 
-    def tell(self, text: str) -> None:
+    def print_progress(self, text: str) -> None:
         """Write a line of progress."""
         since = trio.current_time() - self.record.began_at
         print(f"{since:7.2f} {text}", file=sys.stderr, flush=True)
 
-    def disturb(self, kind: str, machines: frozenset[str]) -> Disturbance:
+    def begin_disturbance(self, kind: str, machines: frozenset[str]) -> Disturbance:
         """Note that a fault begins."""
         found = Disturbance(kind, machines, trio.current_time())
         self.record.disturbances.append(found)
@@ -167,7 +167,7 @@
         """End an incarnation; its entry in the list stays."""
         if seat.listed is None:
             return
-        self._shut_proxies(seat.seat.name)
+        self._stop_proxies(seat.seat.name)
         self.machines.crash_replica(seat.listed)
         seat.listed.replica.kept_orders.clear()
 
@@ -202,7 +202,7 @@
     async def start_process(self, name: str) -> None:
         """Start a process and open what stands before it."""
         machine = self.machines.machines[name]
-        self.lives[name] += 1
+        self.start_counts[name] += 1
         self.machines.start(name)
         ports = ENTRY_PORTS if machine.role == "entry" else DAEMON_PORTS
         await self._open_proxies(name, machine.ip, ports)
@@ -210,7 +210,7 @@
     def note_exit(self, name: str) -> None:
         """Shut what stands before a process that has ended."""
         self.ready.discard(name)
-        self._shut_proxies(name)
+        self._stop_proxies(name)
 
     async def is_up(self, name: str) -> bool:
         """Tell whether an entry is ready, or a daemon answers."""
@@ -218,7 +218,7 @@
             return await self.machines.ready(name)
         return bool(await self.machines.state(name))
 
-    async def wait_up(self, name: str) -> None:
+    async def wait_until_up(self, name: str) -> None:
         """Wait until a process is up."""
         while not await self.is_up(name):
             await trio.sleep(0.05)
@@ -247,9 +247,9 @@
         for proxy in self.proxies[owner]:
             await proxy.open(self.nursery)
 
-    def _shut_proxies(self, owner: str) -> None:
+    def _stop_proxies(self, owner: str) -> None:
         for proxy in self.proxies.get(owner, []):
-            proxy.shut()
+            proxy.stop_accepting()
 
 
 def _probe_route(version: int) -> dict[str, Any]:
@@ -258,7 +258,7 @@
         "host": HOST,
         "path_prefix": probe_prefix(version),
         "kind": names.KIND_REPEATABLE,
-        "timeout_ms": ROUTE_MILLISECONDS,
+        "timeout_ms": ROUTE_TIMEOUT_MS,
         names.AIM_MS: 500,
         "max_attempts": 2,
         "priority": 0,
@@ -272,25 +272,25 @@
     async with running_machines(directory, interposed=True) as machines:
         machines.weights_ms = BOUNDS.weights * 1000
         machines.stop_seconds = STOP_SECONDS
-        machines.listing_seconds = LISTING_SECONDS
+        machines.listing_seconds = LISTING_INTERVAL_SECONDS
         record = Record(BOUNDS, trio.current_time())
         site = Site(plan, machines, machines.nursery, record)
         await site.open_platform_proxies()
         machines.configuration["services"].append({"name": PROBE_SERVICE, "max_conns": 200})
         site.publish()
         site.name_version()
-        await _fill(site)
+        await _add_initial_machines(site)
         for name in list(machines.machines):
             await site.start_process(name)
         for name in machines.machines:
-            await site.wait_up(name)
+            await site.wait_until_up(name)
         site.ready.update(entry_names(plan.sizes))
         record.began_at = trio.current_time()
-        site.tell(f"{len(machines.machines)} processes are up")
+        site.print_progress(f"{len(machines.machines)} processes are up")
         yield site
 
 
-async def _fill(site: Site) -> None:
+async def _add_initial_machines(site: Site) -> None:
     """Add the machines that are there from the start."""
     sizes = site.plan.sizes
     zones = [f"z{index}" for index in range(sizes.zones)]
--- a/bench/soak/sizes.py
+++ b/bench/soak/sizes.py
@@ -1,4 +1,4 @@
-"""How large the system of a soak is, and what its parts are called."""
+"""The size of a soak's system and the names of its parts."""
 
 import random
 from dataclasses import dataclass
@@ -6,7 +6,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sizes:
-    """How much of everything there is at the start."""
+    """The number of parts of each kind at the start."""
 
     entries: int
     models: int  # replicas with weights, each with a daemon beside it
@@ -16,7 +16,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Seat:
-    """A place of replicas: incarnations follow one another on one machine."""
+    """A machine on which successive incarnations of a replica run, one at a time."""
 
     name: str
     service_seconds: float
@@ -48,7 +48,7 @@
 
 
 def draw_sizes(generator: random.Random, processes: int = 0) -> Sizes:
-    """Draw the sizes; with `processes` there are that many entries and daemons together."""
+    """Draw the sizes; `processes`, if not 0, fixes the total of entries and daemons."""
     zones = generator.randint(2, 3)
     plain = generator.randint(2, 3)
     if processes:
--- a/bench/soak/watchers.py
+++ b/bench/soak/watchers.py
@@ -14,28 +14,28 @@
 from bench.soak.site import Site, probe_prefix
 from testing.machinelayout import CALLERS, HOST, KEY
 
-READINESS_SECONDS: Final = 1.0  # how often the platform asks whether an entry is ready
-MISSES: Final = 2  # after so many in a row an entry gets no more callers
-PROBE_SECONDS: Final = 0.4
+READINESS_INTERVAL_SECONDS: Final = 1.0  # how often the platform asks whether an entry is ready
+MAX_MISSES: Final = 2  # after so many in a row an entry gets no more callers
+PROBE_INTERVAL_SECONDS: Final = 0.4
 NEWEST_ROUTES: Final = 3  # how many of the newest configurations are probed
-PROBE_LIMIT_SECONDS: Final = 6.0  # longer than the time limit of the probed routes
+PROBE_TIMEOUT_SECONDS: Final = 6.0  # longer than the time limit of the probed routes
 MAX_ANSWER_BYTES: Final = 1 << 16
-LATE_EVERY_SECONDS: Final = 0.02
+CLOCK_INTERVAL_SECONDS: Final = 0.02
 # A soak that is later than this has seen things too late itself; it notes that as a disturbance of
 # everybody and reports it. Half of the least bound in time.
-LATE_SECONDS: Final = 1.0
+MAX_LATENESS_SECONDS: Final = 1.0
 # Answers that tell nothing of the configuration: the entry did not take the request.
-NO_WORD: Final = frozenset({408, 421, 429, 503})
+INCONCLUSIVE_STATUSES: Final = frozenset({408, 421, 429, 503})
 
 
-async def balance(site: Site) -> None:
+async def poll_readiness(site: Site) -> None:
     """Ask entries whether they are ready, as the platform does."""
     misses: Counter[str] = Counter()
     while True:
         for name, machine in list(site.machines.machines.items()):
             if machine.role == "entry":
                 site.nursery.start_soon(_ask_ready, site, name, misses)
-        await trio.sleep(READINESS_SECONDS)
+        await trio.sleep(READINESS_INTERVAL_SECONDS)
 
 
 async def _ask_ready(site: Site, name: str, misses: Counter[str]) -> None:
@@ -44,7 +44,7 @@
         site.ready.add(name)
         return
     misses[name] += 1
-    if misses[name] >= MISSES:
+    if misses[name] >= MAX_MISSES:
         site.ready.discard(name)
 
 
@@ -62,10 +62,10 @@
             for entry in self.site.running_entries():
                 for version in range(newest, max(1, newest - NEWEST_ROUTES), -1):
                     self.site.nursery.start_soon(self._probe, entry, version)
-            await trio.sleep(PROBE_SECONDS)
+            await trio.sleep(PROBE_INTERVAL_SECONDS)
 
     async def _probe(self, entry: str, version: int) -> None:
-        life, sent_at = self.site.lives[entry], trio.current_time()
+        life, sent_at = self.site.start_counts[entry], trio.current_time()
         private = self.site.machines.private(Address(self.site.ip_of(entry), CALLERS))
         self._asked += 1
         request_id = f"p{self._asked:06d}"
@@ -81,10 +81,10 @@
             f"{probe_prefix(version)}{request_id}",
             headers=headers,
             body=b"probe",
-            seconds=PROBE_LIMIT_SECONDS,
+            seconds=PROBE_TIMEOUT_SECONDS,
             max_bytes=MAX_ANSWER_BYTES,
         )
-        if self.site.lives[entry] != life:
+        if self.site.start_counts[entry] != life:
             return  # another process may have answered
         found = None if isinstance(outcome, Failure) else _is_found(outcome.value.status)
         answered_at = trio.current_time()
@@ -93,7 +93,7 @@
 
 
 def _is_found(status: int) -> bool | None:
-    return None if status in NO_WORD else status != 404
+    return None if status in INCONCLUSIVE_STATUSES else status != 404
 
 
 @dataclass
@@ -107,13 +107,13 @@
     async def run(self) -> None:
         """Watch until cancelled."""
         while True:
-            due = trio.current_time() + LATE_EVERY_SECONDS
+            due = trio.current_time() + CLOCK_INTERVAL_SECONDS
             await trio.sleep_until(due)
             late = trio.current_time() - due
             self.latest = max(self.latest, late)
-            if late > LATE_SECONDS:
+            if late > MAX_LATENESS_SECONDS:
                 self.times_late += 1
-                disturbance = self.site.disturb("soak late", frozenset())
+                disturbance = self.site.begin_disturbance("soak late", frozenset())
                 disturbance.began_at = due
                 disturbance.ended_at = trio.current_time()
-                self.site.tell(f"the soak was {late:.2f} s late")
+                self.site.print_progress(f"the soak was {late:.2f} s late")
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -24,7 +24,7 @@
     find_answers_of_bad_loads,
     find_bad_answers,
     find_mixed_loads,
-    find_unasked,
+    find_unrequested_runs,
 )
 from bench.soak.plan import draw_plan
 from bench.soak.proxies import LinkFault, LinkFaults, LinkKind, Proxy
@@ -38,7 +38,7 @@
     RouteProbe,
     VersionNamed,
 )
-from bench.soak.report import to_line, write_story
+from bench.soak.report import to_line, write_details
 from bench.soak.runner import run_soak
 from bench.soak.sizes import Sizes
 from testing.platformreplica import FakeReplica, Run
@@ -54,7 +54,7 @@
 async def test_a_short_soak_breaks_no_promise(tmp_path: Path) -> None:
     print(f"soak seed {SEED}, logs in {tmp_path}")
     result = await run_soak(draw_plan(SEED, SECONDS, sizes=SIZES), tmp_path)
-    write_story(result, tmp_path)
+    write_details(result, tmp_path)
     line = to_line(result)
     print(line)
     assert not result.violations and not result.findings, line["first"]
@@ -124,7 +124,7 @@
     return LinkFault(kind, frozenset({first}), frozenset({second}), amount)
 
 
-async def hears_nothing(stream: trio.SocketStream) -> bool:
+async def receives_nothing(stream: trio.SocketStream) -> bool:
     with trio.move_on_after(0.3) as scope:
         await stream.receive_some()
     return scope.cancelled_caught
@@ -142,9 +142,9 @@
 
 async def test_a_cut_holds_everything_and_lets_it_through_afterwards() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
-        with echo.links.during(fault(echo, LinkKind.CUT)):
+        with echo.links.active(fault(echo, LinkKind.CUT)):
             await stream.send_all(b"held")
-            assert await hears_nothing(stream)
+            assert await receives_nothing(stream)
             assert echo.got == b""
         assert await stream.receive_some() == b"held"
 
@@ -153,9 +153,9 @@
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
-        with echo.links.during(fault(echo, LinkKind.CUT)):
+        with echo.links.active(fault(echo, LinkKind.CUT)):
             await stream.send_all(b"b")
-            assert await hears_nothing(stream)
+            assert await receives_nothing(stream)
             assert echo.got == b"a"
         assert await stream.receive_some() == b"b"
 
@@ -164,9 +164,9 @@
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
-        with echo.links.during(fault(echo, LinkKind.SILENCE, back=True)):
+        with echo.links.active(fault(echo, LinkKind.SILENCE, back=True)):
             await stream.send_all(b"b")
-            assert await hears_nothing(stream)
+            assert await receives_nothing(stream)
             assert echo.got == b"ab"
         assert await stream.receive_some() == b"b"
 
@@ -176,7 +176,7 @@
         stream = await echo.connect()
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
-        with echo.links.during(fault(echo, LinkKind.CUT)):
+        with echo.links.active(fault(echo, LinkKind.CUT)):
             await stream.send_all(b"lost")
             await trio.sleep(0.1)
             stream.setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
@@ -192,7 +192,7 @@
     async with proxied_echo() as echo, await echo.connect() as stream:
         for kind, amount in ((LinkKind.DELAY, 0.2), (LinkKind.NARROW, 1000.0)):
             began_at = trio.current_time()
-            with echo.links.during(fault(echo, kind, amount)):
+            with echo.links.active(fault(echo, kind, amount)):
                 await stream.send_all(b"x" * 100)
                 got = b""
                 while len(got) < 100:
@@ -214,19 +214,23 @@
 
 async def test_faults_leave_other_links_and_those_within_a_machine_alone() -> None:
     links = LinkFaults()
-    with links.during(LinkFault(LinkKind.CUT, frozenset({"a"}), frozenset({"b"}))):
-        assert links.holds("a", "b") and links.holds("b", "a")
-        assert not links.holds("a", "c") and not links.holds("c", "b")
-    with links.during(LinkFault(LinkKind.SILENCE, frozenset({"a"}))):
-        assert links.holds("a", "c") and not links.holds("c", "a") and not links.holds("a", "a")
-    assert not links.holds("a", "c")
+    with links.active(LinkFault(LinkKind.CUT, frozenset({"a"}), frozenset({"b"}))):
+        assert links.is_blocked("a", "b") and links.is_blocked("b", "a")
+        assert not links.is_blocked("a", "c") and not links.is_blocked("c", "b")
+    with links.active(LinkFault(LinkKind.SILENCE, frozenset({"a"}))):
+        assert (
+            links.is_blocked("a", "c")
+            and not links.is_blocked("c", "a")
+            and not links.is_blocked("a", "a")
+        )
+    assert not links.is_blocked("a", "c")
 
 
 async def test_a_proxy_that_is_shut_refuses_and_one_without_a_target_says_who_was_not_heard() -> (
     None
 ):
     async with proxied_echo() as echo:
-        echo.proxy.shut()
+        echo.proxy.stop_accepting()
         await trio.sleep(0.05)
         with pytest.raises(OSError):
             await echo.connect()
@@ -283,7 +287,7 @@
     record.requests["r-1"] = CallerRequest("r-1", RequestKind.ONCE, "entry0", 0.0)
     sent = {"bad-1": BadRequest("bad-1", BadForm.TWO_LENGTHS, 0.0)}
     good = replica_with_run("r-1", "/once/r-1", b"r-1 xxx")
-    assert not list(find_unasked(record, sent, [good]))
+    assert not list(find_unrequested_runs(record, sent, [good]))
     wrong = [
         replica_with_run("r-1", "/again/r-1", b"r-1 xxx"),
         replica_with_run("r-1", "/once/r-1", b"other"),
@@ -291,7 +295,7 @@
         replica_with_run("bad-1", "/once/bad-1", b""),
         replica_with_run("bad-1-smuggled", "/once/bad-1-smuggled", b""),
     ]
-    assert len(list(find_unasked(record, sent, wrong))) == len(wrong)
+    assert len(list(find_unrequested_runs(record, sent, wrong))) == len(wrong)
 
 
 async def test_a_load_of_two_versions_is_found() -> None:
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -9,12 +9,12 @@
 
 from bench.soak.check_answers import (
     check_at_most_once,
-    check_not_run_true,
+    check_complete_answers,
     check_one_version,
-    check_whole_own,
+    check_refused_not_run,
 )
-from bench.soak.check_backpressure import check_limits, check_rests, check_said_leaving
-from bench.soak.check_news import check_configuration, check_leaving, check_old_weights
+from bench.soak.check_backpressure import check_announced_leaving, check_limits, check_rests
+from bench.soak.check_propagation import check_configuration, check_leaving, check_old_weights
 from bench.soak.check_service import check_planned_stop, check_recovery, check_retry_bound
 from bench.soak.check_summary import Outcome, OutcomeCount, PromiseCount, outcome_of, summarize
 from bench.soak.checks import CHECKS, Promise, Violation, check_all
@@ -115,30 +115,32 @@
 
 @pytest.mark.parametrize("kind", RequestKind)
 def test_a_whole_and_own_answer_is_innocent(kind: RequestKind) -> None:
-    assert check_whole_own(record_of(served(kind))) == []
+    assert check_complete_answers(record_of(served(kind))) == []
 
 
 @pytest.mark.parametrize("kind", RequestKind)
 def test_a_whole_answer_of_another_request_is_found(kind: RequestKind) -> None:
-    found = check_whole_own(record_of(replace(served(kind), own=False)))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.WHOLE_OWN, 101.0, "r")]
+    found = check_complete_answers(record_of(replace(served(kind), own=False)))
+    assert [(v.promise, v.at, v.subject) for v in found] == [
+        (Promise.COMPLETE_ANSWERS, 101.0, "r")
+    ]
 
 
 @pytest.mark.parametrize("status", [200, 299])
 @pytest.mark.parametrize("whole", [True, False])
 def test_a_success_without_a_seal_is_found(status: int, whole: bool) -> None:
     request = replace(served(), status=status, sealed=False, whole=whole)
-    assert len(check_whole_own(record_of(request))) == 1
+    assert len(check_complete_answers(record_of(request))) == 1
 
 
 @pytest.mark.parametrize("status", [0, 199, 300, 500, 503])
 def test_what_is_no_success_needs_neither_seal_nor_content(status: int) -> None:
     request = replace(served(), status=status, sealed=False, own=False)
-    assert check_whole_own(record_of(request)) == []
+    assert check_complete_answers(record_of(request)) == []
 
 
 def test_an_answer_that_was_cut_is_no_whole_one() -> None:
-    assert check_whole_own(record_of(replace(served(), whole=False, own=False))) == []
+    assert check_complete_answers(record_of(replace(served(), whole=False, own=False))) == []
 
 
 @pytest.mark.parametrize("kind", STREAMS)
@@ -148,24 +150,24 @@
     kind: RequestKind, whole: bool, events: list[int]
 ) -> None:
     request = replace(served(kind), events=events, event_count=None, whole=whole)
-    assert len(check_whole_own(record_of(request))) == 1
+    assert len(check_complete_answers(record_of(request))) == 1
 
 
 @pytest.mark.parametrize("events", [[], [0], [0, 1], [0, 1, 2]])
 def test_the_beginning_of_a_stream_that_was_cut_is_innocent(events: list[int]) -> None:
     request = replace(served(RequestKind.STREAM), events=events, whole=False)
-    assert check_whole_own(record_of(request)) == []
+    assert check_complete_answers(record_of(request)) == []
 
 
 @pytest.mark.parametrize("events", [[0, 1], [0, 1, 2, 3]])
 def test_a_whole_stream_with_too_few_or_too_many_events_is_found(events: list[int]) -> None:
     request = replace(served(RequestKind.STREAM), events=events)
-    assert len(check_whole_own(record_of(request))) == 1
+    assert len(check_complete_answers(record_of(request))) == 1
 
 
 def test_a_whole_stream_without_events_is_found_though_nobody_knows_their_number() -> None:
     request = replace(served(RequestKind.STREAM), events=[], event_count=None)
-    assert len(check_whole_own(record_of(request))) == 1
+    assert len(check_complete_answers(record_of(request))) == 1
 
 
 # At most one run, and none after a refusal.
@@ -206,30 +208,30 @@
 def test_a_run_before_or_after_a_refusal_is_found(
     kind: RequestKind, status: int, at: float
 ) -> None:
-    found = check_not_run_true(record_with_runs(refused(kind, status), run(at=at)))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.NOT_RUN_TRUE, at, "r")]
+    found = check_refused_not_run(record_with_runs(refused(kind, status), run(at=at)))
+    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.REFUSED_NOT_RUN, at, "r")]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 def test_a_refusal_without_a_run_is_innocent(status: int) -> None:
     record = record_of(refused(RequestKind.ONCE, status), served(request_id="s"))
     record.runs.append(ReplicaRun("s", "i-1", "model", 1, 100.0))
-    assert check_not_run_true(record) == []
+    assert check_refused_not_run(record) == []
 
 
 @pytest.mark.parametrize("kind", REPEATABLE)
 def test_a_run_of_what_may_be_repeated_is_innocent_beside_a_refusal(kind: RequestKind) -> None:
-    assert check_not_run_true(record_with_runs(refused(kind, 503), run())) == []
+    assert check_refused_not_run(record_with_runs(refused(kind, 503), run())) == []
 
 
 @pytest.mark.parametrize("status", [0, 200, 500, 502, 504])
 def test_other_statuses_do_not_say_that_nothing_ran(status: int) -> None:
-    assert check_not_run_true(record_with_runs(refused(RequestKind.ONCE, status), run())) == []
+    assert check_refused_not_run(record_with_runs(refused(RequestKind.ONCE, status), run())) == []
 
 
 def test_a_replica_may_answer_with_such_a_status_after_its_run() -> None:
     request = replace(refused(RequestKind.ONCE, 503), sealed=True)
-    assert check_not_run_true(record_with_runs(request, run())) == []
+    assert check_refused_not_run(record_with_runs(request, run())) == []
 
 
 # One version in an answer.
@@ -451,10 +453,10 @@
 
 
 def test_a_request_sent_late_to_a_replica_that_says_that_it_leaves_is_found() -> None:
-    assert check_said_leaving(record_of_said_leaving(103.0 + SHORTLY)) == []
-    found = check_said_leaving(record_of_said_leaving(103.0 + 2 * SHORTLY))
+    assert check_announced_leaving(record_of_said_leaving(103.0 + SHORTLY)) == []
+    found = check_announced_leaving(record_of_said_leaving(103.0 + 2 * SHORTLY))
     assert [(v.promise, v.at, v.subject) for v in found] == [
-        (Promise.SAID_LEAVING, 103.0 + 2 * SHORTLY, "i-1")
+        (Promise.ANNOUNCED_LEAVING, 103.0 + 2 * SHORTLY, "i-1")
     ]
 
 
@@ -463,7 +465,7 @@
     [
         (check_limits, record_of_limit(12)),
         (check_rests, record_of_rest(3)),
-        (check_said_leaving, record_of_said_leaving(110.0)),
+        (check_announced_leaving, record_of_said_leaving(110.0)),
     ],
 )
 @pytest.mark.parametrize("machine", ["entry", "i-1"])
@@ -885,13 +887,13 @@
     two_runs = record_with_runs(served(), run(), run(at=101.0))
     two_versions = record_with_runs(served(RequestKind.STREAM), run(), run(2, 100.5, "i-2"))
     return {
-        Promise.WHOLE_OWN: record_of(replace(served(), own=False)),
+        Promise.COMPLETE_ANSWERS: record_of(replace(served(), own=False)),
         Promise.AT_MOST_ONCE: two_runs,
-        Promise.NOT_RUN_TRUE: record_with_runs(refused(RequestKind.ONCE, 503), run()),
+        Promise.REFUSED_NOT_RUN: record_with_runs(refused(RequestKind.ONCE, 503), run()),
         Promise.ONE_VERSION: two_versions,
         Promise.OLD_WEIGHTS: record_of_naming(run(1, 110.0)),
         Promise.LEAVING: record_of_leaving(110.0),
-        Promise.SAID_LEAVING: record_of_said_leaving(110.0),
+        Promise.ANNOUNCED_LEAVING: record_of_said_leaving(110.0),
         Promise.LIMIT: record_of_limit(12),
         Promise.REST: record_of_rest(3),
         Promise.PLANNED_STOP: record_of_stop(lost()),
@@ -918,7 +920,7 @@
 def test_violations_are_told_in_the_order_in_which_they_came() -> None:
     record = record_of_leaving(110.0)
     record.requests["r"].own = False
-    assert [v.promise for v in check_all(record)] == [Promise.WHOLE_OWN, Promise.LEAVING]
+    assert [v.promise for v in check_all(record)] == [Promise.COMPLETE_ANSWERS, Promise.LEAVING]
 
 
 # Summary.
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -5,7 +5,13 @@
 from bench.soak.actions import OPERATOR_KINDS, Action, ActionKind
 from bench.soak.bounds import BOUNDS
 from bench.soak.main import ArgumentError, parse_arguments
-from bench.soak.plan import CALM_SECONDS, LEAST_SECONDS, RECOVERY_SECONDS, Plan, draw_plan
+from bench.soak.plan import (
+    MIN_SOAK_SECONDS,
+    QUIET_PHASE_SECONDS,
+    RECOVERY_SECONDS,
+    Plan,
+    draw_plan,
+)
 from bench.soak.regressions import REGRESSIONS, read_regressions
 from bench.soak.sizes import Sizes, daemon_of, entry_names, model_names, plain_names
 
@@ -17,7 +23,7 @@
     return [action for action in plan.actions if action.kind not in OPERATOR_KINDS]
 
 
-def calm_spans(plan: Plan) -> list[tuple[float, float]]:
+def quiet_phases(plan: Plan) -> list[tuple[float, float]]:
     """Return the spans without faults that are long enough for the bounded promises."""
     spans, free_since = [], 0.0
     for action in sorted(faults(plan), key=lambda action: action.at):
@@ -28,7 +34,7 @@
     return spans
 
 
-@pytest.mark.parametrize("seconds", [LEAST_SECONDS, 60.0, 120.0])
+@pytest.mark.parametrize("seconds", [MIN_SOAK_SECONDS, 60.0, 120.0])
 def test_the_same_seed_and_length_give_the_same_plan(seconds: float) -> None:
     for seed in SEEDS:
         assert draw_plan(seed, seconds) == draw_plan(seed, seconds)
@@ -59,16 +65,16 @@
 def test_every_fault_ends_before_the_calm_span_after_it() -> None:
     for seed in SEEDS:
         plan = draw_plan(seed, 120.0)
-        assert plan.last_storm_ends_at <= plan.seconds - RECOVERY_SECONDS
+        assert plan.last_fault_phase_ends_at <= plan.seconds - RECOVERY_SECONDS
         for action in faults(plan):
             assert action.at >= 0
-            assert action.at + action.seconds <= plan.last_storm_ends_at + 1e-9, action
+            assert action.at + action.seconds <= plan.last_fault_phase_ends_at + 1e-9, action
 
 
 def test_calm_spans_come_often_and_hold_operators_work() -> None:
     for seed in SEEDS:
         plan = draw_plan(seed, 120.0)
-        spans = calm_spans(plan)
+        spans = quiet_phases(plan)
         assert len(spans) >= 3, (seed, spans)
         settled = [
             action.kind
@@ -117,7 +123,7 @@
 
 
 def test_calm_spans_leave_room_for_the_bounds() -> None:
-    assert BOUNDS.weights + BOUNDS.reached < CALM_SECONDS
+    assert BOUNDS.weights + BOUNDS.reached < QUIET_PHASE_SECONDS
     assert BOUNDS.recovery < RECOVERY_SECONDS
 
 
