--- a/bench/soak/actors.py
+++ b/bench/soak/actors.py
@@ -1,4 +1,4 @@
-"""Plays the actions of a plan on a site."""
+"""Performs the actions of a plan on a running system."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -15,10 +15,10 @@
 from testing.platformstore import Mood
 
 RESET_INTERVAL_SECONDS: Final = 0.5
-# The store removes the entry of a replica that has crashed after three heartbeats of silence.
+# The store removes the listing of a crashed replica after three missed heartbeats.
 LISTING_EXPIRY_SECONDS: Final = 3.6
 RESTART_SECONDS: Final = 0.3  # between the end of a drained replica and its next incarnation
-MAX_FAULTY_REQUEST_SECONDS: Final = 10.0  # longer than any caller waits
+MAX_FAULTY_REQUEST_SECONDS: Final = 10.0  # longer than any caller's timeout
 LINK_KINDS: Final = {
     ActionKind.LINK_DELAY: LinkKind.DELAY,
     ActionKind.LINK_CUT: LinkKind.CUT,
@@ -28,7 +28,7 @@
 
 
 class Actors:
-    """Does what a plan says, each action in a task of its own."""
+    """Performs the actions of a plan, each in its own task."""
 
     def __init__(self, site: Site, processes: Processes) -> None:
         self.last_fault_ended_at = site.record.began_at
@@ -64,7 +64,7 @@
         self._plays = {**plays, **dict.fromkeys(LINK_KINDS, self._fault_links)}
 
     async def play(self, actions: tuple[Action, ...]) -> None:
-        """Play all actions at their moments; return when the last one is over."""
+        """Perform all actions at their times; return when the last one has ended."""
         async with trio.open_nursery() as nursery:
             for action in actions:
                 await trio.sleep_until(self._site.record.began_at + action.at)
@@ -88,7 +88,7 @@
             LinkFault(LINK_KINDS[action.kind], first, second, action.amount)
         ):
             await trio.sleep(action.seconds)
-        # What was held up is still on its way.
+        # Bytes that were held back are still in transit.
         await trio.sleep(action.amount if action.kind is ActionKind.LINK_DELAY else 0.1)
         disturbance.ended_at = trio.current_time()
 
@@ -125,7 +125,8 @@
     async def _reload(self, action: Action) -> None:
         self._processes.reload(action.targets[0], action.amount)
 
-    # Replicas. Their own faults excuse nothing at the entries, so they are no disturbances.
+    # Replicas. Faulty answers of a replica excuse no broken promise at an entry, so they are not
+    # recorded as disturbances.
 
     async def _crash_replica(self, action: Action) -> None:
         seat = self._seat(action)
@@ -221,11 +222,11 @@
         await self._replace_later(seat, action.seconds)
 
     async def _replace_later(self, seat: SeatState, seconds: float) -> None:
-        """End a replica that leaves after some seconds, and start the next incarnation."""
+        """End a leaving replica after some seconds, and start its next incarnation."""
         gone = seat.listed
         await trio.sleep(seconds)
         if gone is None or seat.listed is not gone:
-            return  # it crashed meanwhile
+            return  # the replica crashed meanwhile
         self._site.end_replica(seat)
         self._site.unlist_replica(seat)
         await trio.sleep(RESTART_SECONDS)
@@ -298,7 +299,7 @@
 
 
 def describe(action: Action) -> str:
-    """Return an action as a line of progress."""
+    """Return an action as one line of text."""
     parts = [action.kind.value, *action.targets]
     parts += [f"{action.seconds:.2f} s"] if action.seconds else []
     parts += [f"amount {action.amount:.3g}"] if action.amount else []
--- a/bench/soak/badrequests.py
+++ b/bench/soak/badrequests.py
@@ -1,4 +1,4 @@
-"""Callers that send what no proper caller sends: refused with a 4xx, and never run."""
+"""Sends malformed or invalid requests, which must be refused with a 4xx and never run."""
 
 import random
 from dataclasses import dataclass, field
@@ -11,7 +11,7 @@
 
 from testing.machinelayout import HOST, KEY
 
-ANSWER_SECONDS: Final = 6.0  # longer than the entry waits for a header
+ANSWER_SECONDS: Final = 6.0  # longer than the header timeout of an entry
 SMUGGLED_SUFFIX: Final = "-smuggled"
 
 
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class BadRequest:
-    """One bad request and its answer."""
+    """One bad request and the status of its answer."""
 
     id: str
     form: BadForm
@@ -40,13 +40,13 @@
 
 @dataclass
 class BadRequests:
-    """Sends bad requests and keeps what came back."""
+    """Sends random bad requests and keeps their answers."""
 
     generator: random.Random
     sent: dict[str, BadRequest] = field(default_factory=dict)
 
     async def send(self, address: Address) -> None:
-        """Send one bad request."""
+        """Send one bad request of a random form to an entry."""
         form = self.generator.choice(list(BadForm))
         bad = BadRequest(f"bad-{len(self.sent):05d}", form, trio.current_time())
         self.sent[bad.id] = bad
@@ -61,7 +61,7 @@
 
 
 def compose(form: BadForm, request_id: str) -> bytes:
-    """Return the bytes of a bad request; all hide another one where a careless reader finds it."""
+    """Return the bytes of a bad request; most carry a second one for a lax parser to find."""
     hidden = _head(f"{request_id}{SMUGGLED_SUFFIX}") + "Content-Length: 0\r\n\r\n"
     match form:
         case BadForm.NOT_HTTP:
@@ -88,7 +88,7 @@
 
 
 def read_status(data: bytes) -> int:
-    """Return the status of an answer, 0 if there is none.
+    """Parse the status of an answer; return 0 if there is none.
 
     >>> read_status(b"HTTP/1.1 431 Too long")
     431
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -1,4 +1,4 @@
-"""Callers at a steady rate, whatever the answers: open-loop traffic of all kinds."""
+"""Generates open-loop traffic of all kinds: the rate does not depend on the answers."""
 
 import random
 from dataclasses import dataclass, field
@@ -19,7 +19,7 @@
     RequestKind.STREAM: 3,
     RequestKind.STRICT_STREAM: 2,
 }
-NEW_CONNECTION_SHARE: Final = 0.4  # requests on a connection of their own
+NEW_CONNECTION_SHARE: Final = 0.4  # requests on a new connection
 LEAVING_SHARE: Final = 0.06
 REPEATING_SHARE: Final = 0.15
 BAD_SHARE: Final = 0.03
@@ -27,22 +27,22 @@
 MAX_FILLER_BYTES: Final = 4000
 DEADLINE_SECONDS: Final = (1.5, 7.0)
 LEAVING_SECONDS: Final = (0.0, 0.6)
-# A caller gives up so long after its deadline, when it must have had an answer.
+# A caller gives up this long after its deadline, by when it must have been answered.
 ANSWER_GRACE_SECONDS: Final = 3.0
-MAX_KEPT_CONNECTIONS: Final = 12  # for one entry
-CONNECT_TIMEOUT_SECONDS: Final = 1.0  # what the platform's pages give a new connection
+MAX_KEPT_CONNECTIONS: Final = 12  # per entry
+CONNECT_TIMEOUT_SECONDS: Final = 1.0  # the time that the platform's pages allow
 
 
 @dataclass(frozen=True, slots=True)
 class CallerLink:
-    """A caller's connection, and its own end of it as the proxy knows it."""
+    """A caller's connection and its local address, by which the proxy identifies it."""
 
     connection: HttpConnection
     own_end: tuple[str, int]
 
 
 async def dial(address: Address) -> CallerLink | None:
-    """Connect as a caller; return None if that fails."""
+    """Connect to an entry as a caller; return None on failure."""
     stream = None
     with trio.move_on_after(CONNECT_TIMEOUT_SECONDS):
         try:
@@ -59,7 +59,7 @@
 
 @dataclass
 class Callers:
-    """All callers of a soak."""
+    """Sends the requests of all callers and records their answers."""
 
     site: Site
     generator: random.Random
@@ -69,7 +69,7 @@
     _count: int = 0
 
     async def run(self) -> None:
-        """Send requests until told to stop; return when the last one has ended."""
+        """Send requests until `stopped` is set; return when the last one has ended."""
         rate = self.site.plan.requests_per_second
         async with trio.open_nursery() as nursery:
             while not self.stopped:
@@ -107,7 +107,7 @@
         self.site.record.requests[draft.id] = request
         await self._exchange(draft, request, link)
         request.ended_at = trio.current_time()
-        # Nobody has read what went to a connection that the entry never took.
+        # Nothing was read from a connection that the entry never accepted.
         if link.own_end in self.site.links.refused:
             request.written = False
         await self._return_connection(entry, link, draft, request)
@@ -138,7 +138,7 @@
         )
 
     async def _connect(self, draft: Draft) -> tuple[str, CallerLink] | None:
-        """Return a kept connection to any entry that has one, or a new one to a ready entry."""
+        """Return an idle kept connection to any entry, or a new one to a ready entry."""
         if not draft.fresh:
             entry = self._pick([name for name, kept in self.kept.items() if kept])
             while entry is not None and self.kept[entry]:
--- a/bench/soak/check_propagation.py
+++ b/bench/soak/check_propagation.py
@@ -80,7 +80,7 @@
             continue
         if probe.sent_at <= published_at + record.bounds.configuration:
             continue
-        if not _is_in_touch(record, probe):
+        if not _is_entry_undisturbed(record, probe):
             continue
         outcome = "no answer" if probe.found is None else "not found"
         detail = (
@@ -95,7 +95,7 @@
     return min((c.at for c in record.configurations if c.version >= configuration), default=None)
 
 
-def _is_in_touch(record: Record, probe: RouteProbe) -> bool:
+def _is_entry_undisturbed(record: Record, probe: RouteProbe) -> bool:
     bounds = record.bounds
     # The time for which an entry must have been undisturbed and the time since the publication run
     # concurrently: a call that a silent store delays may last no longer than either.
--- a/bench/soak/coverage.py
+++ b/bench/soak/coverage.py
@@ -1,6 +1,6 @@
-"""How much a soak could judge: news and stops that no fault excused.
+"""Counts what a soak could judge: updates and planned stops that no fault excused.
 
-A promise with a time bound that was never due shows nothing by being unbroken.
+A time-bounded promise that never came due is not shown to hold by having no violations.
 """
 
 from dataclasses import dataclass
@@ -9,24 +9,24 @@
 from bench.soak.check_disturbances import is_fault_free_everywhere, is_undisturbed
 from bench.soak.record import PlannedStop, Record
 
-# How long after its bound a promise is looked at.
+# How long a promise is observed after its bound has passed.
 OBSERVATION_SECONDS: Final = 1.0
 
 
 @dataclass(frozen=True, slots=True)
 class Coverage:
-    """Counts of what was judged without an excuse."""
+    """Counts of what was judged without a fault that excuses it."""
 
-    versions: int  # named while no fault was on anywhere, until after their bound
+    versions: int  # named, with no fault anywhere until after their bound
     old_starts: int  # runs after the bound of such a version
-    configurations: int  # pairs of a publication and an entry that was in touch
-    drains: int  # replicas shown as leaving that no fault concerned
-    stops: int  # planned stops of entries in touch
-    stopped_requests: int  # requests under way when such a stop began
+    configurations: int  # pairs of a publication and an undisturbed entry
+    drains: int  # replicas listed as leaving that no fault affected
+    stops: int  # planned stops of entries that no fault affected
+    stopped_requests: int  # requests in flight when such a stop began
 
 
 def measure_coverage(record: Record) -> Coverage:
-    """Count what a record allows to be judged."""
+    """Count the judged events of a record."""
     bounds = record.bounds
     named = [
         v.at
--- a/bench/soak/exchange.py
+++ b/bench/soak/exchange.py
@@ -1,4 +1,4 @@
-"""One request of a caller: sent, answered, and judged by its caller."""
+"""Sends one request of a caller and records its answer."""
 
 from dataclasses import dataclass
 from typing import Final
@@ -19,34 +19,34 @@
     RequestKind.STRICT_STREAM: "/strict/",
 }
 STREAM_KINDS: Final = frozenset({RequestKind.STREAM, RequestKind.STRICT_STREAM})
-OWN_ERROR: Final = b'{"error":"own"}'  # the body of a replica's own failure
+OWN_ERROR: Final = b'{"error":"own"}'  # the body of an error answer of a replica
 
 
 @dataclass(frozen=True, slots=True)
 class Draft:
-    """A request that is to be sent."""
+    """A request before it is sent, and how its caller behaves."""
 
     id: str
     kind: RequestKind
-    filler: int  # bytes that the body has beside the id
+    filler: int  # bytes of the body besides the id
     deadline_seconds: float
-    leaves_after: float | None  # seconds after the sending; None for a caller that stays
+    leaves_after: float | None  # seconds after sending; None: the caller waits
     leaves_by_reset: bool
-    repeats: bool  # sends another at once if it got no success
-    fresh: bool  # on a connection of its own
+    repeats: bool  # the caller sends another at once if this one fails
+    fresh: bool  # on a new connection
 
     @property
     def body(self) -> bytes:
-        """The body, which no other request has."""
+        """The body, which is unique to this request."""
         return self.id.encode() + b" " + b"x" * self.filler
 
     @property
     def path(self) -> str:
-        """The target."""
+        """The request target."""
         return f"{PREFIXES[self.kind]}{self.id}"
 
     def headers(self) -> Headers:
-        """Return the headers."""
+        """Return the headers; requests for streams name their model."""
         found = [
             ("host", HOST),
             (names.REQUEST_ID, self.id),
@@ -56,7 +56,7 @@
         return [*found, (names.MODEL, MODEL)] if self.kind in STREAM_KINDS else found
 
     def to_record(self, entry: str) -> CallerRequest:
-        """Return the request as the record has it, on its sending."""
+        """Return the record of this request, sent now to an entry."""
         return CallerRequest(
             self.id,
             self.kind,
@@ -68,7 +68,7 @@
 
 
 async def exchange(connection: HttpConnection, draft: Draft, request: CallerRequest) -> None:
-    """Send a request and read its answer into the record; its end is the caller's to note."""
+    """Send a request and record its answer; the caller sets `ended_at`."""
     body = bytearray()
     answer: Answer | None = None
     try:
@@ -88,7 +88,7 @@
 
 
 def judge(draft: Draft, answer: Answer, body: bytes, request: CallerRequest) -> None:
-    """Note whether an answer is the request's own, and the events of a stream."""
+    """Record whether an answer belongs to the request, and the events of a stream."""
     named = answer.header(names.REQUEST_ID)
     is_named = named in (None, draft.id)
     if not 200 <= answer.status < 300:
@@ -103,7 +103,7 @@
 
 
 def _read_events(draft: Draft, body: bytes, request: CallerRequest) -> bool:
-    """Note the whole events of a stream; return whether all are the request's own."""
+    """Record the complete events of a stream; return whether all belong to the request."""
     *whole, rest = body.split(b"\n\n")
     for event in whole:
         try:
@@ -116,7 +116,7 @@
 
 
 def parse_event(event: bytes, request_id: str) -> tuple[int, int]:
-    r"""Return the number of an event and its version; raise ValueError if it is another's.
+    r"""Return an event's number and version; raise ValueError if it is not of the request.
 
     >>> parse_event(b"id: 2\ndata: r-1 2 v7", "r-1")
     (2, 7)
--- a/bench/soak/main.py
+++ b/bench/soak/main.py
@@ -39,22 +39,22 @@
 
 
 class ArgumentError(Exception):
-    """An argument that is not valid; the text names it and says why."""
+    """An invalid command-line argument; the text names it and says why."""
 
 
 @dataclass(frozen=True, slots=True)
 class Arguments:
-    """What the command line asks for."""
+    """The parsed command line."""
 
     seed: int
     minutes: float
-    processes: int  # 0: drawn
+    processes: int  # 0: drawn from the seed
     regressions: bool
     logs: Path | None
 
 
 def parse_arguments(words: list[str]) -> Arguments:
-    """Read the command line.
+    """Parse the command line; raise ArgumentError if it is invalid.
 
     >>> parse_arguments(["7", "--minutes=1.5"]).minutes
     1.5
@@ -100,7 +100,7 @@
 
 
 def play(seed: int, minutes: float, processes: int, logs: Path | None) -> bool:
-    """Run one soak and report; return whether nothing was wrong."""
+    """Run one soak and print its report; return whether it passed."""
     directory = logs or Path(tempfile.mkdtemp(prefix=f"headcross-soak-{seed}-"))
     directory.mkdir(parents=True, exist_ok=True)
     print(f"seed {seed}, logs in {directory}", flush=True)
@@ -114,7 +114,7 @@
 
 
 def main() -> int:
-    """Run what the command line asks for; return the exit code."""
+    """Run the soaks that the command line selects; return the exit code."""
     try:
         arguments = parse_arguments(sys.argv[1:])
         known = read_regressions(REGRESSIONS) if arguments.regressions else []
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -1,4 +1,4 @@
-"""The plan of a soak: everything that is drawn, from the seed and the length alone."""
+"""Draws the plan of a soak, which is determined by the seed, the length and the sizes."""
 
 import random
 from collections.abc import Callable
@@ -19,16 +19,16 @@
 from testing.platformreplica import Fault
 from testing.platformstore import Mood
 
-# A calm span leaves the time-bounded promises room to be checked, and processes that were killed
-# last in the storm before it time to start.
+# A quiet phase is long enough to check the time-bounded promises, after the processes killed at
+# the end of the preceding fault phase have started.
 QUIET_PHASE_SECONDS: Final = BOUNDS.weights + BOUNDS.reached + 5.0
 RECOVERY_SECONDS: Final = BOUNDS.recovery + 6.0
 FAULT_PHASE_SECONDS: Final = (9.0, 16.0)
 FIRST_PHASE_SECONDS: Final = 3.0
-# A soak shorter than this has no room for a storm, a calm span and the recovery.
+# A shorter soak has no room for the shortest fault phase and the recovery after it.
 MIN_SOAK_SECONDS: Final = FIRST_PHASE_SECONDS + FAULT_PHASE_SECONDS[0] + RECOVERY_SECONDS
-ACTIONS_PER_SECOND: Final = 0.9  # of a storm
-SERVICE_SECONDS: Final = (0.02, 0.25)  # service time, or time between events
+ACTIONS_PER_SECOND: Final = 0.9  # in a fault phase
+SERVICE_SECONDS: Final = (0.02, 0.25)  # service time, or the interval between events
 SLOTS: Final = (8, 16)
 SEAT_KINDS: Final = frozenset(
     {
@@ -39,35 +39,35 @@
         ActionKind.REPLICA_LEAVES,
     }
 )
-# Orders of a daemon are taken up to so much late, as users' replicas have shown.
+# Replicas execute a daemon's orders up to so much late, as users' replicas do.
 ORDER_DELAY_SECONDS: Final = (0.3, 12.0)
-LATE_ORDERS_SHARE: Final = 0.6  # of the namings of a storm have late orders after them
-REPLICA_RESTART_SHARE: Final = 0.5  # of the storms have a replica that starts again under its id
-CLOCK_STEPS_MS: Final = (0, -2000)  # of its clock, as it starts again
-# The parts of storms and of calm spans in which a replica asks for less in its answers.
+LATE_ORDERS_SHARE: Final = 0.6  # of the namings in fault phases are followed by late orders
+REPLICA_RESTART_SHARE: Final = 0.5  # of the fault phases restart a replica under its id
+CLOCK_STEPS_MS: Final = (0, -2000)  # by which its clock moves at the restart
+# The share of fault phases, and of quiet phases, with a replica that asks for less load.
 BACKPRESSURE_SHARE: Final = 0.6
 BACKPRESSURE_SECONDS: Final = 6.0
 LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # requests a second
 REST_SECONDS: Final = (0.8, 2.5)
-# A seat is left alone so long before and after, so that one thing happens to it at a time.
+# Restarts of one seat stay this far from its other starts and ends, so that none overlap.
 RESTART_MARGIN_SECONDS: Final = 6.0
 
 
 @dataclass(frozen=True, slots=True)
 class Plan:
-    """What one soak does."""
+    """The sizes, the traffic and the actions of one soak."""
 
     seed: int
     seconds: float
     sizes: Sizes
     seats: tuple[Seat, ...]
     requests_per_second: float
-    actions: tuple[Action, ...]  # in the order of their moments
+    actions: tuple[Action, ...]  # in order of time
     last_fault_phase_ends_at: float
 
 
 def draw_plan(seed: int, seconds: float, processes: int = 0, sizes: Sizes | None = None) -> Plan:
-    """Draw the plan of a soak of a length; `sizes` replaces those that would be drawn."""
+    """Draw the plan of a soak of `seconds`; `sizes`, if given, replaces the drawn ones."""
     generator = random.Random(seed)
     drawn = draw_sizes(generator, processes)
     sizes = sizes or drawn
@@ -78,7 +78,7 @@
     rate = generator.uniform(15.0, 35.0)
     builder = _PlanBuilder(generator, sizes)
     last_fault_phase_ends_at = builder.draw_phases(seconds)
-    # Drawn apart, so that plans of older seeds stay as they were but for these.
+    # Separate generators keep the rest of the plan of a known seed unchanged.
     builder.draw_late_orders(random.Random(f"{seed} late orders"))
     builder.draw_restarts(random.Random(f"{seed} lives"))
     builder.draw_backpressure(random.Random(f"{seed} backpressure"))
@@ -87,7 +87,7 @@
 
 
 class _PlanBuilder:
-    """Draws the actions, span by span."""
+    """Draws the actions of a plan, phase by phase."""
 
     def __init__(self, generator: random.Random, sizes: Sizes) -> None:
         self.actions: list[Action] = []
@@ -119,7 +119,7 @@
         self._draws = [draw for _, draw in weighted_draws]
 
     def draw_phases(self, seconds: float) -> float:
-        """Draw storms with calm spans between; return when the last storm ends."""
+        """Draw alternating fault and quiet phases; return the end of the last fault phase."""
         last = seconds - RECOVERY_SECONDS
         at = FIRST_PHASE_SECONDS
         while True:
@@ -133,7 +133,7 @@
         return until
 
     def draw_late_orders(self, generator: random.Random) -> None:
-        """Draw replicas that take orders late while versions are named in storms."""
+        """Draw replicas that execute orders late after versions named in fault phases."""
         for since, until in self._fault_phases:
             named = [a for a in self.actions if a.kind is ActionKind.NAME_VERSIONS]
             for naming in [a for a in named if since <= a.at < until]:
@@ -147,7 +147,7 @@
                     )
 
     def draw_restarts(self, generator: random.Random) -> None:
-        """Draw replicas that start again under the id that they had."""
+        """Draw restarts of replicas that keep their ids."""
         for since, until in self._fault_phases:
             if generator.random() >= REPLICA_RESTART_SHARE:
                 continue
@@ -157,7 +157,7 @@
                 self._add(at, ActionKind.REPLICA_RESTART, seat, amount=step)
 
     def draw_backpressure(self, generator: random.Random) -> None:
-        """Draw replicas that ask for less in their answers, in storms and after them."""
+        """Draw replicas that ask for less load, during fault phases and after them."""
         for since, until in self._fault_phases:
             for at in (generator.uniform(since, until - 1.0), until + BOUNDS.reached + 0.5):
                 kind = generator.choice(sorted(BACKPRESSURE_KINDS, key=lambda kind: kind.value))
@@ -170,7 +170,7 @@
                     self._add(at, kind, seat, seconds=BACKPRESSURE_SECONDS, amount=amount)
 
     def _is_restarted_within(self, seat: str, since: float, until: float) -> bool:
-        """Tell whether something ends or starts a seat's replica between two moments."""
+        """Return whether an action ends or starts a seat's replica between two times."""
         return any(
             seat in action.targets
             and action.kind in SEAT_KINDS
@@ -180,7 +180,7 @@
         )
 
     def _is_restarted_near(self, seat: str, at: float) -> bool:
-        """Tell whether something else ends or starts a seat's replica about then."""
+        """Return whether an action ends or starts a seat's replica near a time."""
         return any(
             seat in action.targets
             and action.kind in SEAT_KINDS
@@ -197,7 +197,7 @@
             draw(at, until)
 
     def _draw_quiet_phase(self, since: float, until: float, *, last: bool = False) -> None:
-        """Draw operator's work whose promises are bounded in time."""
+        """Draw operator actions whose promises are bounded in time."""
         settled = since + BOUNDS.reached + 1.0
         for moment in (0.0, 3.0):
             at = settled + moment + self._generator.uniform(0, 1)
@@ -211,7 +211,7 @@
             if self._reserve(name, at, 6.0):
                 self._add(at, ActionKind.STOP, name)
 
-    # One action each. `until` is the end of the span.
+    # Each of these draws one action; `until` is the end of the phase.
 
     def _draw_link(self, at: float, until: float) -> None:
         kind = self._generator.choice(
@@ -250,10 +250,10 @@
         name = self._generator.choice(self._processes())
         seconds = min(seconds, max(0.1, until - at))
         if kind is ActionKind.PAUSE:
-            # Pauses may overlap with anything that happens to the same process.
+            # Pauses may overlap with other actions on the same process.
             self._add(at, kind, name, seconds=seconds)
             return
-        # A process that is being started again is not killed before that.
+        # A process is not ended again before its restart is over.
         if self._reserve(name, at, seconds + 6.0):
             self._add(at, kind, name, seconds=seconds)
 
@@ -325,14 +325,14 @@
         return [*self._entries, *map(daemon_of, self._models)]
 
     def _reserve(self, name: str, at: float, seconds: float) -> bool:
-        """Reserve a process or seat, unless something else still has it."""
+        """Reserve a process or seat; return False if another action still holds it."""
         if self._busy_until.get(name, 0.0) > at:
             return False
         self._busy_until[name] = at + seconds
         return True
 
     def _length(self, at: float, until: float, least: float, most: float) -> float:
-        """Draw how long an action lasts; it ends with its span."""
+        """Draw the duration of an action in seconds; it ends with its phase at the latest."""
         return max(0.1, min(self._generator.uniform(least, most), until - at))
 
     def _add(
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -1,4 +1,4 @@
-"""What a soak does to processes by signals: kills, stops, pauses, and starts again."""
+"""Kills, stops, pauses, reloads and restarts the processes of a soak."""
 
 import signal
 from dataclasses import dataclass, field
@@ -11,14 +11,14 @@
 from bench.soak.site import Site
 
 POLL_SECONDS: Final = 0.02
-# A process that has not ended so long after its stop signal is a finding. The margin is for what a
-# busy machine may keep it waiting, and for a pause that comes on top.
+# A process still running this long after its stop signal is a finding. The margin allows for a
+# busy machine and for a pause during the stop.
 STOP_LIMIT_SECONDS: Final = STOP_SECONDS + 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessFinding:
-    """A process that ended, or did not end, as it should not."""
+    """A process that ended unexpectedly, or did not end as it should."""
 
     process: str
     at: float
@@ -27,14 +27,14 @@
 
 @dataclass
 class Processes:
-    """The processes of a site. Only one signal that ends a process is under way for each."""
+    """The processes of a site; each has at most one kill or stop in progress."""
 
     site: Site
     findings: list[ProcessFinding] = field(default_factory=list)
     _ending: set[str] = field(default_factory=set)
 
     async def kill(self, name: str, away_seconds: float) -> None:
-        """Kill a process, and start it again after a while."""
+        """Kill a process and restart it after `away_seconds`."""
         if not self._claim(name):
             return
         disturbance = self.site.begin_disturbance("kill", self.site.machines_at(name))
@@ -44,7 +44,7 @@
         disturbance.ended_at = trio.current_time()
 
     async def stop(self, name: str, away_seconds: float) -> None:
-        """Stop a process as planned, and start it again after a while."""
+        """Stop a process by SIGTERM and restart it after `away_seconds`."""
         if not self._claim(name):
             return
         if name.startswith("entry"):
@@ -66,7 +66,7 @@
         stop.restarted_at = trio.current_time()
 
     async def pause(self, name: str, seconds: float) -> None:
-        """Pause a process for a while."""
+        """Pause a process by SIGSTOP for some seconds."""
         process = self.site.machines.machines[name].process
         if process is None or process.poll() is not None:
             return
@@ -78,7 +78,7 @@
         disturbance.ended_at = trio.current_time()
 
     def reload(self, name: str, memory_mb: float) -> None:
-        """Change a process's settings file and tell it."""
+        """Change the memory limit in a process's settings file and send SIGHUP."""
         path = self.site.machines.directory / f"{name}.toml"
         lines = path.read_text().splitlines()
         changed = [
@@ -90,7 +90,7 @@
             process.send_signal(signal.SIGHUP)
 
     async def watch(self) -> None:
-        """Start again what ends by itself, and note it."""
+        """Restart processes that exit unexpectedly, and record each exit as a finding."""
         async with trio.open_nursery() as nursery:
             while True:
                 for name, machine in list(self.site.machines.machines.items()):
--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -1,7 +1,7 @@
-"""TCP proxies before every listener, and the faults of links that they play.
+"""TCP proxies before every listener, and the link faults that they inject.
 
-A proxy dials its target from the IP number that the connection came from, so the target sees who
-calls. A fault that holds bytes back keeps their connection open; bytes whose sender has reset the
+A proxy connects to its target from the IP address of its client, so the target sees the client's
+address. A fault that holds bytes back keeps their connection open; bytes whose sender resets the
 connection meanwhile are dropped, as a network would lose them.
 """
 
@@ -18,24 +18,22 @@
 from testing.rawhttp import reset
 
 PIECE_BYTES: Final = 64 * 1024
-NARROW_INTERVAL_SECONDS: Final = 0.1  # of a second: what a narrow link takes at once
-BLOCK_POLL_SECONDS: Final = (
-    0.02  # how often a held connection looks whether its link is free again
-)
+NARROW_INTERVAL_SECONDS: Final = 0.1  # a narrow link forwards this much of its rate at once
+BLOCK_POLL_SECONDS: Final = 0.02  # how often a held connection checks its link
 
 
 class LinkKind(Enum):
-    """What is wrong with links."""
+    """The kind of a link fault."""
 
     DELAY = "delay"
     CUT = "cut"  # nothing passes, both ways
-    SILENCE = "silence"  # nothing passes from the first side to the second
+    SILENCE = "silence"  # nothing passes from the first side to the second side
     NARROW = "narrow"
 
 
 @dataclass(frozen=True, eq=False)
 class LinkFault:
-    """A fault of all links between two sides, by IP number; an empty second side is everybody."""
+    """A fault of all links between two sides, by IP address; an empty second side matches all."""
 
     kind: LinkKind
     first: frozenset[str]
@@ -43,8 +41,8 @@
     amount: float = 0.0  # seconds of delay, or bytes a second
 
     def affects(self, sender: str, receiver: str) -> bool:
-        """Tell whether bytes from a sender to a receiver are concerned."""
-        if sender == receiver:  # links within a machine have no faults
+        """Return whether the fault affects bytes from a sender to a receiver."""
+        if sender == receiver:  # links within a machine are fault-free
             return False
         forward = sender in self.first and (not self.second or receiver in self.second)
         if self.kind is LinkKind.SILENCE:
@@ -54,16 +52,16 @@
 
 @dataclass
 class LinkFaults:
-    """The faults of links that are on now, and the connections that are open."""
+    """The active link faults and the open connections."""
 
     faults: list[LinkFault] = field(default_factory=list)
     connections: set["_Connection"] = field(default_factory=set)
-    # Callers' own ends of connections whose target took none, so that nobody has read a byte.
+    # Client addresses of connections whose target could not be reached, so nobody read a byte.
     refused: set[tuple[str, int]] = field(default_factory=set)
 
     @contextmanager
     def active(self, fault: LinkFault) -> Iterator[None]:
-        """Keep a fault on for a block."""
+        """Keep a fault active for the length of the block."""
         self.faults.append(fault)
         try:
             yield
@@ -71,7 +69,7 @@
             self.faults.remove(fault)
 
     def reset(self, first: frozenset[str], second: frozenset[str]) -> int:
-        """Reset all open connections between two sides; return how many there were."""
+        """Reset all open connections between two sides; return their number."""
         probe = LinkFault(LinkKind.CUT, first, second)
         affected = [c for c in self.connections if probe.affects(c.source, c.target)]
         for connection in affected:
@@ -80,12 +78,12 @@
         return len(affected)
 
     def is_blocked(self, sender: str, receiver: str) -> bool:
-        """Tell whether nothing passes from a sender to a receiver."""
+        """Return whether nothing passes from a sender to a receiver."""
         kinds = (LinkKind.CUT, LinkKind.SILENCE)
         return any(f.kind in kinds and f.affects(sender, receiver) for f in self.faults)
 
     def amount(self, kind: LinkKind, sender: str, receiver: str) -> float:
-        """Return the worst delay, or the least rate, of a link; 0 if there is none."""
+        """Return the largest delay or the least rate among the faults of a link; 0 if none."""
         found = [
             f.amount for f in self.faults if f.kind is kind and f.affects(sender, receiver)
         ] or [0.0]
@@ -97,7 +95,7 @@
     source: str
     target: str
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    broken: bool = False  # ends with a reset
+    broken: bool = False  # is closed with a reset
 
 
 class Proxy:
@@ -112,7 +110,7 @@
         self._closed.set()
 
     async def open(self, nursery: trio.Nursery) -> None:
-        """Listen, if that is not so already."""
+        """Start listening, unless the proxy already does."""
         if self._scope is not None:
             return
         scope = self._scope = trio.CancelScope()
@@ -122,7 +120,7 @@
         nursery.start_soon(self._run, listeners, scope, nursery)
 
     def stop_accepting(self) -> None:
-        """Take no more connections; those that are open go on."""
+        """Stop listening; open connections continue."""
         if self._scope is not None:
             self._scope.cancel()
             self._scope = None
@@ -206,7 +204,7 @@
     async def _delay(
         self, reader: trio.SocketStream, sender: str, receiver: str, size: int
     ) -> None:
-        """Let the faults of the link hold a piece up; raise if its sender reset meanwhile."""
+        """Delay a piece by the link's faults; raise if its sender resets meanwhile."""
         delay = self._links.amount(LinkKind.DELAY, sender, receiver)
         rate = self._links.amount(LinkKind.NARROW, sender, receiver)
         seconds = delay + (size / rate if rate else 0.0)
@@ -223,7 +221,7 @@
 
 
 def _was_reset(sock: trio.socket.SocketType) -> bool:
-    """Tell whether the other side has reset a connection."""
+    """Return whether the other side has reset a connection."""
     poll = select.poll()
     poll.register(sock.fileno(), select.POLLIN)
     return any(events & select.POLLERR for _, events in poll.poll(0))
--- a/bench/soak/report.py
+++ b/bench/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak reports: one JSON line, and files beside the logs when something was wrong."""
+"""Reports a soak: one JSON line, and detail files beside the logs."""
 
 from dataclasses import asdict
 from pathlib import Path
@@ -9,7 +9,7 @@
 from bench.soak.actors import describe
 from bench.soak.runner import SoakResult
 
-MAX_DETAILED: Final = 10  # how many are told in detail
+MAX_DETAILED: Final = 10  # violations, and findings, that the report gives in detail
 
 
 def to_line(result: SoakResult) -> dict[str, Any]:
@@ -50,9 +50,9 @@
 
 
 def write_details(result: SoakResult, directory: Path) -> None:
-    """Write the plan, all violations and the whole record beside the logs of the processes.
+    """Write the plan, all violations and findings, and the record beside the process logs.
 
-    Moments in the record are on trio's clock, those elsewhere count from the begin of the soak.
+    Times in the record are on trio's clock; all others count from the start of the soak.
     """
     began_at = result.record.began_at
     plan = [f"{action.at:8.3f} {describe(action)}" for action in result.plan.actions]
--- a/bench/soak/runner.py
+++ b/bench/soak/runner.py
@@ -1,4 +1,4 @@
-"""Runs one soak: traffic, probes and the plan's actions, until recovery has been seen."""
+"""Runs one soak: traffic, probes and the plan's actions, until the recovery can be judged."""
 
 import random
 from collections import Counter
@@ -33,7 +33,7 @@
 
 @dataclass
 class SoakResult:
-    """What one soak saw."""
+    """The record of one soak and its evaluation."""
 
     plan: Plan
     record: Record
@@ -46,12 +46,12 @@
     processes: int = 0
     starts: int = 0
     bad_requests: Counter[str] = field(default_factory=Counter)  # by form and status
-    latest_seconds: float = 0.0  # the most that the soak itself was late
+    latest_seconds: float = 0.0  # the largest delay of the soak's own event loop
     times_late: int = 0
 
     @property
     def passed(self) -> bool:
-        """Whether nothing was wrong."""
+        """Whether there are neither violations nor findings."""
         return not self.violations and not self.findings
 
 
@@ -75,7 +75,7 @@
 
 
 async def _play(site: Site, actors: Actors, callers: Callers) -> None:
-    """Play the plan under traffic, and go on with traffic until recovery must be seen."""
+    """Perform the plan under traffic, and continue the traffic through the recovery time."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(callers.run)
         await actors.play(site.plan.actions)
@@ -131,7 +131,7 @@
 
 
 def _collect_observations(site: Site) -> None:
-    """Take what the replicas saw into the record."""
+    """Copy the arrivals and runs that the replicas observed into the record."""
     record = site.record
     for listed in site.machines.replicas.values():
         if listed.service == PROBE_SERVICE:
--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -1,6 +1,6 @@
-"""The system under a soak: processes, replicas, platform, with a proxy before each listener.
+"""The system under test: processes, replicas and platform, with a proxy before each listener.
 
-Everything listens at private IP numbers and dials public ones, where the proxies are.
+All parts listen on private IP addresses and connect to public ones, on which the proxies listen.
 """
 
 import sys
@@ -42,18 +42,20 @@
 from testing.machines import ListedReplica, Machines, running_machines
 from testing.platformreplica import FakeReplica, new_replica_id
 
-PROBE_SERVICE: Final = "probe"  # its replicas have no faults, so a probe shows its entry alone
+PROBE_SERVICE: Final = "probe"  # its replicas are fault-free, so probes test the entry only
 PROBE_SEATS: Final = 2
 PROBE_SLOTS: Final = 64
 ENTRY_PORTS: Final = (CALLERS, READINESS, PEERS, SWARM)
 DAEMON_PORTS: Final = (PEERS, SWARM)
-LISTING_INTERVAL_SECONDS: Final = 0.03  # how often a replica looks whether its entry has changed
+LISTING_INTERVAL_SECONDS: Final = (
+    0.03  # how often a replica checks whether its listing has changed
+)
 STREAM_EVENTS: Final = 4
 ROUTE_TIMEOUT_MS: Final = 4000
 
 
 def probe_prefix(version: int) -> str:
-    """Return the route that configurations have from a version on.
+    """Return the path prefix of the route that exists from a configuration version on.
 
     >>> probe_prefix(3)
     '/since/3/'
@@ -63,7 +65,7 @@
 
 @dataclass
 class SeatState:
-    """A seat of replicas and the incarnation that it has now."""
+    """A seat and its current replica incarnation."""
 
     seat: Seat
     ip: str
@@ -73,13 +75,13 @@
 
     @property
     def replica(self) -> FakeReplica | None:
-        """The incarnation, None while there is none."""
+        """The current incarnation; None before the first start."""
         return None if self.listed is None else self.listed.replica
 
 
 @dataclass
 class Site:
-    """A running system."""
+    """A running system and what was observed of it."""
 
     plan: Plan
     machines: Machines
@@ -87,27 +89,27 @@
     record: Record
     links: LinkFaults = field(default_factory=LinkFaults)
     seats: dict[str, SeatState] = field(default_factory=dict)
-    start_counts: Counter[str] = field(default_factory=Counter)  # starts, by process
-    ready: set[str] = field(default_factory=set)  # entries that the platform sends callers to
+    start_counts: Counter[str] = field(default_factory=Counter)  # by process
+    ready: set[str] = field(default_factory=set)  # entries to which the platform routes callers
     faults: Counter[str] = field(default_factory=Counter)  # by kind
     proxies: dict[str, list[Proxy]] = field(default_factory=dict)  # by process or seat
     newest_version: int = 1
 
-    # What is seen from outside.
+    # Progress and disturbances.
 
     def print_progress(self, text: str) -> None:
-        """Write a line of progress."""
+        """Print a line of progress to standard error, with the time since the start."""
         since = trio.current_time() - self.record.began_at
         print(f"{since:7.2f} {text}", file=sys.stderr, flush=True)
 
     def begin_disturbance(self, kind: str, machines: frozenset[str]) -> Disturbance:
-        """Note that a fault begins."""
+        """Record the start of a disturbance; the caller sets its end."""
         found = Disturbance(kind, machines, trio.current_time())
         self.record.disturbances.append(found)
         return found
 
     def machines_at(self, target: str) -> frozenset[str]:
-        """Return all names of what is on the machine of a process or seat."""
+        """Return the names of everything on the machine of a process or seat."""
         seat = self.seats.get(target.replace("daemon", "model"))
         if seat is None:
             return frozenset({target})
@@ -115,28 +117,28 @@
         return frozenset(own | ({seat.replica.id} if seat.replica else set()))
 
     def ip_of(self, target: str) -> str:
-        """Return the IP number of a process or seat."""
+        """Return the IP address of a process or seat."""
         if target in self.seats:
             return self.seats[target].ip
         return self.machines.machines[target].ip
 
-    # The operator's work.
+    # Operator actions.
 
     def publish(self) -> None:
-        """Publish a configuration with one route more."""
+        """Publish a configuration with one additional route."""
         version = self.machines.configuration["version"] + 1
         route = _probe_route(version)
         self.machines.change(routes=[*self.machines.configuration["routes"], route])
         self.record.configurations.append(ConfigurationPublished(version, trio.current_time()))
 
     def name_version(self) -> None:
-        """Name new weights."""
+        """Name the next version of the weights."""
         self.newest_version += 1
         self.machines.name_version(self.newest_version)
         self.record.versions.append(VersionNamed(self.newest_version, trio.current_time()))
 
     def drain(self, seat: SeatState) -> None:
-        """Show a replica as leaving; it goes on serving."""
+        """List a replica as leaving; it continues to serve."""
         if seat.listed is None:
             return
         seat.listed.replica.draining = True
@@ -146,7 +148,7 @@
     # Replicas.
 
     async def start_replica(self, seat: SeatState, version: int = 0) -> None:
-        """Start the next incarnation; what was staged beside an earlier one is still there."""
+        """Start the next incarnation; it keeps the staged chunks of the previous one."""
         model = MODEL if seat.service == MODEL_SERVICE else None
         replica = FakeReplica(new_replica_id(), model, version, seat.seat.slots)
         replica.events = STREAM_EVENTS
@@ -164,7 +166,7 @@
         await self._open_proxies(seat.seat.name, seat.ip, (REPLICA,))
 
     def end_replica(self, seat: SeatState) -> None:
-        """End an incarnation; its entry in the list stays."""
+        """End an incarnation; its listing remains."""
         if seat.listed is None:
             return
         self._stop_proxies(seat.seat.name)
@@ -172,7 +174,7 @@
         seat.listed.replica.kept_orders.clear()
 
     async def restart_replica(self, seat: SeatState, clock_step_ms: int) -> None:
-        """Begin another life of a running incarnation; nothing of the earlier one lasts."""
+        """Restart a running incarnation under its id; it keeps no state."""
         listed = seat.listed
         if listed is None or listed.ended.is_set():
             return
@@ -183,12 +185,12 @@
         await self._open_proxies(seat.seat.name, seat.ip, (REPLICA,))
 
     def unlist_replica(self, seat: SeatState) -> None:
-        """Take an incarnation off the list."""
+        """Remove the listing of an incarnation."""
         if seat.listed is not None:
             self.machines.unlist(seat.listed)
 
     async def add_seat(self, seat: Seat, zone: str, service: str, version: int) -> SeatState:
-        """Add a machine with a replica."""
+        """Add a machine with a replica, and with a daemon if the replica has weights."""
         state = SeatState(seat, self.machines.new_ip(), zone, service)
         self.seats[seat.name] = state
         await self.start_replica(state, version)
@@ -200,7 +202,7 @@
     # Processes.
 
     async def start_process(self, name: str) -> None:
-        """Start a process and open what stands before it."""
+        """Start a process and its proxies."""
         machine = self.machines.machines[name]
         self.start_counts[name] += 1
         self.machines.start(name)
@@ -208,12 +210,12 @@
         await self._open_proxies(name, machine.ip, ports)
 
     def note_exit(self, name: str) -> None:
-        """Shut what stands before a process that has ended."""
+        """Stop the proxies of a process that has ended."""
         self.ready.discard(name)
         self._stop_proxies(name)
 
     async def is_up(self, name: str) -> bool:
-        """Tell whether an entry is ready, or a daemon answers."""
+        """Return whether an entry is ready, or a daemon answers."""
         if self.machines.machines[name].role == "entry":
             return await self.machines.ready(name)
         return bool(await self.machines.state(name))
@@ -224,7 +226,7 @@
             await trio.sleep(0.05)
 
     def running_entries(self) -> list[str]:
-        """Return the entries whose process runs."""
+        """Return the entries whose process is running."""
         return [
             name
             for name, machine in self.machines.machines.items()
@@ -236,7 +238,7 @@
     # Proxies.
 
     async def open_platform_proxies(self) -> None:
-        """Open what stands before the store and the origin."""
+        """Start the proxies of the store and the origin."""
         await self._open_proxies("platform", self.machines.address(STORE).ip, (STORE, ORIGIN))
 
     async def _open_proxies(self, owner: str, ip: str, ports: tuple[int, ...]) -> None:
@@ -268,7 +270,7 @@
 
 @asynccontextmanager
 async def running_site(directory: Path, plan: Plan) -> AsyncIterator[Site]:
-    """Run the system of a plan; it is ready when the block begins and ends with it."""
+    """Run the system of a plan for the length of the block; it is ready when the block starts."""
     async with running_machines(directory, interposed=True) as machines:
         machines.weights_ms = BOUNDS.weights * 1000
         machines.stop_seconds = STOP_SECONDS
@@ -291,7 +293,7 @@
 
 
 async def _add_initial_machines(site: Site) -> None:
-    """Add the machines that are there from the start."""
+    """Add the machines that exist from the start."""
     sizes = site.plan.sizes
     zones = [f"z{index}" for index in range(sizes.zones)]
     for index, name in enumerate(entry_names(sizes)):
--- a/bench/soak/watchers.py
+++ b/bench/soak/watchers.py
@@ -1,4 +1,4 @@
-"""What watches the entries and the soak itself: the platform's balancer, probes, the clock."""
+"""Background tasks that observe the entries and the soak: readiness, probes, event loop delay."""
 
 from collections import Counter
 from dataclasses import dataclass
@@ -14,22 +14,22 @@
 from bench.soak.site import Site, probe_prefix
 from testing.machinelayout import CALLERS, HOST, KEY
 
-READINESS_INTERVAL_SECONDS: Final = 1.0  # how often the platform asks whether an entry is ready
-MAX_MISSES: Final = 2  # after so many in a row an entry gets no more callers
+READINESS_INTERVAL_SECONDS: Final = 1.0  # how often the platform checks readiness
+MAX_MISSES: Final = 2  # consecutive failed checks after which an entry gets no more callers
 PROBE_INTERVAL_SECONDS: Final = 0.4
 NEWEST_ROUTES: Final = 3  # how many of the newest configurations are probed
-PROBE_TIMEOUT_SECONDS: Final = 6.0  # longer than the time limit of the probed routes
+PROBE_TIMEOUT_SECONDS: Final = 6.0  # longer than the timeout of the probed routes
 MAX_ANSWER_BYTES: Final = 1 << 16
 CLOCK_INTERVAL_SECONDS: Final = 0.02
-# A soak that is later than this has seen things too late itself; it notes that as a disturbance of
-# everybody and reports it. Half of the least bound in time.
+# If the soak's own event loop is delayed by more than this, its observations are late too: the
+# soak reports that and records a disturbance of all machines. Half of the least time bound.
 MAX_LATENESS_SECONDS: Final = 1.0
-# Answers that tell nothing of the configuration: the entry did not take the request.
+# Answers that say nothing about the configuration: the entry did not accept the request.
 INCONCLUSIVE_STATUSES: Final = frozenset({408, 421, 429, 503})
 
 
 async def poll_readiness(site: Site) -> None:
-    """Ask entries whether they are ready, as the platform does."""
+    """Poll the readiness of all entries until cancelled, as the platform does."""
     misses: Counter[str] = Counter()
     while True:
         for name, machine in list(site.machines.machines.items()):
@@ -50,7 +50,7 @@
 
 @dataclass
 class Prober:
-    """Asks each entry for the routes of the newest configurations, past all proxies."""
+    """Requests the routes of the newest configurations from each entry, bypassing the proxies."""
 
     site: Site
     _asked: int = 0
@@ -98,14 +98,14 @@
 
 @dataclass
 class Clock:
-    """Notes when the soak itself is late."""
+    """Measures the delay of the soak's own event loop."""
 
     site: Site
     latest: float = 0.0  # seconds
     times_late: int = 0
 
     async def run(self) -> None:
-        """Watch until cancelled."""
+        """Measure until cancelled."""
         while True:
             due = trio.current_time() + CLOCK_INTERVAL_SECONDS
             await trio.sleep_until(due)
