--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -1,4 +1,4 @@
-"""A short soak with a fixed seed, and the parts of the soak that must be able to fail."""
+"""Runs a short soak with a fixed seed, and tests the proxies and judges of the soak."""
 
 import hashlib
 import random
@@ -43,8 +43,8 @@
 from bench.soak.sizes import Sizes
 from testing.platformreplica import FakeReplica, Run
 
-# A plan of this seed has kills and pauses, faults of links, replicas that answer badly, a store in
-# a bad mood, a replica that leaves and a planned stop.
+# The plan of this seed has kills, pauses, link faults, replicas with faulty answers, store faults,
+# a replica that leaves and a planned stop.
 SEED = 1449
 SECONDS = 45.0
 SIZES = Sizes(entries=2, models=3, plain=2, zones=2)
@@ -67,7 +67,7 @@
     assert len(result.record.requests) > 300 and len(result.record.probes) > 50
     assert any(probe.found for probe in result.record.probes)
     assert result.bad_requests.total() and result.starts > result.processes
-    # A run that could judge nothing shows nothing, also where the soak itself was late.
+    # Without judged events the soak shows nothing, for example if its own event loop was delayed.
     assert result.coverage.versions and result.coverage.old_starts, result.coverage
     assert result.coverage.configurations, result.coverage
 
@@ -77,7 +77,7 @@
 
 @dataclass
 class Echo:
-    """A server behind a proxy that answers what it gets, and keeps it."""
+    """An echo server behind a proxy; keeps what it received and how connections ended."""
 
     links: LinkFaults
     public: Address
@@ -87,7 +87,7 @@
     ended: list[str] = field(default_factory=list)
 
     async def serve(self, stream: trio.SocketStream) -> None:
-        """Answer on one connection until it ends."""
+        """Echo the bytes of one connection until it ends."""
         try:
             while data := await stream.receive_some():
                 self.got += data
@@ -105,7 +105,7 @@
 
 @asynccontextmanager
 async def proxied_echo() -> AsyncIterator[Echo]:
-    """Run an echo behind a proxy, in a block of IP numbers of its own."""
+    """Run an echo server behind a proxy, in a separate block of IP addresses."""
     block = f"127.{random.randrange(16, 250)}.{random.randrange(1, 250)}"
     public, private = Address(f"{block}.1", 7000), Address(f"{block}.2", 7000)
     links = LinkFaults()
@@ -130,7 +130,7 @@
     return scope.cancelled_caught
 
 
-async def test_a_proxy_forwards_bytes_and_ends() -> None:
+async def test_a_proxy_forwards_bytes_and_end_of_input() -> None:
     async with proxied_echo() as echo:
         async with await echo.connect() as stream:
             await stream.send_all(b"hello")
@@ -140,7 +140,7 @@
         assert echo.got == b"hello" and echo.ended == ["end"]
 
 
-async def test_a_cut_holds_everything_and_lets_it_through_afterwards() -> None:
+async def test_a_cut_holds_bytes_back_and_delivers_them_afterwards() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
         with echo.links.active(fault(echo, LinkKind.CUT)):
             await stream.send_all(b"held")
@@ -149,7 +149,7 @@
         assert await stream.receive_some() == b"held"
 
 
-async def test_a_cut_holds_connections_that_are_open() -> None:
+async def test_a_cut_affects_open_connections() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
@@ -160,7 +160,7 @@
         assert await stream.receive_some() == b"b"
 
 
-async def test_silence_holds_one_way_alone() -> None:
+async def test_silence_blocks_one_direction_only() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
@@ -171,7 +171,7 @@
         assert await stream.receive_some() == b"b"
 
 
-async def test_what_its_sender_resets_while_it_is_held_is_lost() -> None:
+async def test_held_bytes_are_lost_if_their_sender_resets() -> None:
     async with proxied_echo() as echo:
         stream = await echo.connect()
         await stream.send_all(b"a")
@@ -188,7 +188,7 @@
         assert echo.ended == ["reset"] and echo.got == b"a"
 
 
-async def test_a_delay_and_a_narrow_link_take_their_time() -> None:
+async def test_a_delay_and_a_narrow_link_slow_the_bytes_down() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
         for kind, amount in ((LinkKind.DELAY, 0.2), (LinkKind.NARROW, 1000.0)):
             began_at = trio.current_time()
@@ -200,7 +200,7 @@
             assert trio.current_time() - began_at >= 0.1
 
 
-async def test_a_reset_strikes_both_ends() -> None:
+async def test_a_reset_reaches_both_ends() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
@@ -212,7 +212,7 @@
         assert echo.ended == ["reset"]
 
 
-async def test_faults_leave_other_links_and_those_within_a_machine_alone() -> None:
+async def test_faults_do_not_affect_other_links_or_those_within_a_machine() -> None:
     links = LinkFaults()
     with links.active(LinkFault(LinkKind.CUT, frozenset({"a"}), frozenset({"b"}))):
         assert links.is_blocked("a", "b") and links.is_blocked("b", "a")
@@ -226,7 +226,7 @@
     assert not links.is_blocked("a", "c")
 
 
-async def test_a_proxy_that_is_shut_refuses_and_one_without_a_target_says_who_was_not_heard() -> (
+async def test_a_stopped_proxy_refuses_and_one_without_a_target_records_the_refused_client() -> (
     None
 ):
     async with proxied_echo() as echo:
@@ -246,7 +246,7 @@
         nursery.cancel_scope.cancel()
 
 
-# What callers judge.
+# How callers judge answers.
 
 
 def draft(kind: RequestKind) -> Draft:
@@ -260,7 +260,7 @@
     return request.own
 
 
-def test_callers_know_their_own_answers() -> None:
+def test_callers_recognize_their_own_answers() -> None:
     own = b"r-1 xxx"
     assert judged(RequestKind.ONCE, own)
     assert not judged(RequestKind.ONCE, own + b"more")
@@ -273,7 +273,7 @@
     assert not judged(RequestKind.STREAM, event.replace(b"0 v2", b"1 v2"))
 
 
-# What is found beyond the promises.
+# Findings beyond the promises.
 
 
 def replica_with_run(request_id: str, target: str, body: bytes) -> FakeReplica:
@@ -282,7 +282,7 @@
     return replica
 
 
-def test_runs_that_nobody_asked_for_are_found() -> None:
+def test_unrequested_runs_are_found() -> None:
     record = Record(BOUNDS, 0.0)
     record.requests["r-1"] = CallerRequest("r-1", RequestKind.ONCE, "entry0", 0.0)
     sent = {"bad-1": BadRequest("bad-1", BadForm.TWO_LENGTHS, 0.0)}
@@ -312,7 +312,7 @@
     assert (found.subject, found.detail) == ("i-1", "version 2")
 
 
-def test_an_answer_of_a_bad_load_is_found() -> None:
+def test_a_request_that_ran_on_a_bad_load_is_found() -> None:
     versions = {1: [b"1a", b"1b"], 2: [b"2a", b"2b"]}
     whole, bad = ([hashlib.sha256(chunk).hexdigest() for chunk in v] for v in versions.values())
     bad[1] = whole[1]
@@ -330,7 +330,7 @@
     assert [f.subject for f in find_bad_answers(sent)] == ["200", "302", "500", "502"]
 
 
-def test_bad_requests_are_what_they_are_called() -> None:
+def test_bad_requests_have_the_form_of_their_name() -> None:
     assert compose(BadForm.TWO_LENGTHS, "b").count(b"Content-Length: ") == 3
     assert names.REQUEST_ID.encode() not in compose(BadForm.NO_ID, "b")
     for form in BadForm:
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -1,4 +1,4 @@
-"""Plans of soaks: the same from the same seed, with room for promises that are bounded in time."""
+"""Tests that plans of soaks are reproducible and leave time to check time-bounded promises."""
 
 import pytest
 
@@ -24,7 +24,7 @@
 
 
 def quiet_phases(plan: Plan) -> list[tuple[float, float]]:
-    """Return the spans without faults that are long enough for the bounded promises."""
+    """Return the spans without faults that are long enough to check time-bounded promises."""
     spans, free_since = [], 0.0
     for action in sorted(faults(plan), key=lambda action: action.at):
         if action.at - free_since >= BOUNDS.weights + BOUNDS.reached:
@@ -62,7 +62,7 @@
     assert [seat.name for seat in plan.seats] == [*model_names(sizes), *plain_names(sizes)]
 
 
-def test_every_fault_ends_before_the_calm_span_after_it() -> None:
+def test_every_fault_ends_by_the_end_of_the_last_fault_phase() -> None:
     for seed in SEEDS:
         plan = draw_plan(seed, 120.0)
         assert plan.last_fault_phase_ends_at <= plan.seconds - RECOVERY_SECONDS
@@ -71,7 +71,7 @@
             assert action.at + action.seconds <= plan.last_fault_phase_ends_at + 1e-9, action
 
 
-def test_calm_spans_come_often_and_hold_operators_work() -> None:
+def test_quiet_phases_are_frequent_and_contain_operator_actions() -> None:
     for seed in SEEDS:
         plan = draw_plan(seed, 120.0)
         spans = quiet_phases(plan)
@@ -86,7 +86,7 @@
         assert any(action.kind is ActionKind.STOP for action in plan.actions), seed
 
 
-def test_faults_come_in_series_that_overlap() -> None:
+def test_faults_overlap() -> None:
     for seed in SEEDS:
         found = faults(draw_plan(seed, 120.0))
         pairs = zip(found, found[1:], strict=False)
@@ -112,7 +112,7 @@
                 assert set(action.targets) <= known, action
 
 
-def test_nothing_is_ended_again_while_it_starts() -> None:
+def test_no_process_or_replica_is_ended_again_while_it_is_away() -> None:
     for seed in SEEDS:
         free_at: dict[str, float] = {}
         for action in draw_plan(seed, 120.0).actions:
@@ -122,7 +122,7 @@
                 free_at[name] = action.at + action.seconds
 
 
-def test_calm_spans_leave_room_for_the_bounds() -> None:
+def test_quiet_phases_are_longer_than_the_bounds() -> None:
     assert BOUNDS.weights + BOUNDS.reached < QUIET_PHASE_SECONDS
     assert BOUNDS.recovery < RECOVERY_SECONDS
 
