--- a/bench/soak/actors.py
+++ b/bench/soak/actionrunner.py
@@ -27,7 +27,7 @@
 }
 
 
-class Actors:
+class ActionRunner:
     """Performs the actions of a plan, each in its own task."""
 
     def __init__(self, site: Site, processes: Processes) -> None:
@@ -35,7 +35,7 @@
         self._site = site
         self._processes = processes
         self._under_way = 0
-        plays: dict[ActionKind, Callable[[Action], Awaitable[None]]] = {
+        handlers: dict[ActionKind, Callable[[Action], Awaitable[None]]] = {
             ActionKind.LINK_RESET: self._reset_links,
             ActionKind.KILL: self._kill,
             ActionKind.PAUSE: self._pause,
@@ -61,19 +61,19 @@
             ActionKind.ADD_REPLICA: self._add_replica,
             ActionKind.ADD_ENTRY: self._add_entry,
         }
-        self._plays = {**plays, **dict.fromkeys(LINK_KINDS, self._fault_links)}
+        self._handlers = {**handlers, **dict.fromkeys(LINK_KINDS, self._fault_links)}
 
-    async def play(self, actions: tuple[Action, ...]) -> None:
+    async def run_all(self, actions: tuple[Action, ...]) -> None:
         """Perform all actions at their times; return when the last one has ended."""
         async with trio.open_nursery() as nursery:
             for action in actions:
                 await trio.sleep_until(self._site.record.began_at + action.at)
-                nursery.start_soon(self._play, action)
+                nursery.start_soon(self._run_action, action)
 
-    async def _play(self, action: Action) -> None:
+    async def _run_action(self, action: Action) -> None:
         self._site.faults[action.kind.value] += 1
         self._site.print_progress(describe(action))
-        await self._plays[action.kind](action)
+        await self._handlers[action.kind](action)
         if action.kind not in OPERATOR_KINDS:
             self.last_fault_ended_at = trio.current_time()
 
--- a/bench/soak/check_propagation.py
+++ b/bench/soak/check_propagation.py
@@ -108,10 +108,10 @@
 
 def _lost_routes(record: Record) -> Iterator[Violation]:
     """Yield the probes whose answers show that an entry went back to an older configuration."""
-    lives: defaultdict[tuple[str, int], list[RouteProbe]] = defaultdict(list)
+    probes_by_process: defaultdict[tuple[str, int], list[RouteProbe]] = defaultdict(list)
     for probe in record.probes:
-        lives[probe.entry, probe.life].append(probe)
-    for probes in lives.values():
+        probes_by_process[probe.entry, probe.life].append(probe)
+    for probes in probes_by_process.values():
         yield from _lost_in_life(probes)
 
 
--- a/bench/soak/main.py
+++ b/bench/soak/main.py
@@ -99,7 +99,7 @@
     return minutes
 
 
-def play(seed: int, minutes: float, processes: int, logs: Path | None) -> bool:
+def run_one(seed: int, minutes: float, processes: int, logs: Path | None) -> bool:
     """Run one soak and print its report; return whether it passed."""
     directory = logs or Path(tempfile.mkdtemp(prefix=f"headcross-soak-{seed}-"))
     directory.mkdir(parents=True, exist_ok=True)
@@ -124,6 +124,6 @@
     passed = True
     for case in known:
         logs = arguments.logs / f"seed-{case.seed}" if arguments.logs else None
-        passed = play(case.seed, case.minutes, case.processes, logs) and passed
-    own = play(arguments.seed, arguments.minutes, arguments.processes, arguments.logs)
+        passed = run_one(case.seed, case.minutes, case.processes, logs) and passed
+    own = run_one(arguments.seed, arguments.minutes, arguments.processes, arguments.logs)
     return 0 if own and passed else EXIT_BROKEN
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -47,7 +47,7 @@
 # The share of fault phases, and of quiet phases, with a replica that asks for less load.
 BACKPRESSURE_SHARE: Final = 0.6
 BACKPRESSURE_SECONDS: Final = 6.0
-LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # requests a second
+LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # in requests
 REST_SECONDS: Final = (0.8, 2.5)
 # Restarts of one seat stay this far from its other starts and ends, so that none overlap.
 RESTART_MARGIN_SECONDS: Final = 6.0
--- a/bench/soak/record.py
+++ b/bench/soak/record.py
@@ -35,9 +35,7 @@
     sealed: bool = False  # the answer has a replica's seal
     whole: bool = False  # the answer is complete
     own: bool = False  # every byte of the answer belongs to this request
-    events: list[int] = field(
-        default_factory=list
-    )  # event numbers of a stream, in order of arrival
+    events: list[int] = field(default_factory=list)  # event numbers in order of arrival
     # Versions of the weights named by the events, in order of arrival; empty if none is named.
     event_versions: list[int] = field(default_factory=list)
     event_count: int | None = None  # events in a complete answer, None if unknown
--- a/bench/soak/report.py
+++ b/bench/soak/report.py
@@ -6,7 +6,7 @@
 
 import msgspec
 
-from bench.soak.actors import describe
+from bench.soak.actionrunner import describe
 from bench.soak.runner import SoakResult
 
 MAX_DETAILED: Final = 10  # violations, and findings, that the report gives in detail
--- a/bench/soak/runner.py
+++ b/bench/soak/runner.py
@@ -8,7 +8,7 @@
 
 import trio
 
-from bench.soak.actors import Actors
+from bench.soak.actionrunner import ActionRunner
 from bench.soak.badrequests import BadRequests
 from bench.soak.callers import Callers
 from bench.soak.check_summary import Summary, summarize
@@ -26,7 +26,7 @@
 from bench.soak.processes import Processes
 from bench.soak.record import Arrival, Record, ReplicaRun
 from bench.soak.site import PROBE_SERVICE, Site, running_site
-from bench.soak.watchers import Clock, Prober, poll_readiness
+from bench.soak.watchers import LatenessMonitor, Prober, poll_readiness
 
 PROGRESS_SECONDS: Final = 10.0
 
@@ -59,30 +59,30 @@
     """Run a soak; the logs of its processes are written to a directory."""
     async with running_site(directory, plan) as site:
         processes = Processes(site)
-        actors = Actors(site, processes)
+        action_runner = ActionRunner(site, processes)
         bad = BadRequests(random.Random(f"{plan.seed} bad requests"))
         callers = Callers(site, random.Random(f"{plan.seed} callers"), bad)
-        clock = Clock(site)
+        clock = LatenessMonitor(site)
         async with trio.open_nursery() as nursery:
             for watch in (processes.watch, clock.run, Prober(site).run):
                 nursery.start_soon(watch)
             nursery.start_soon(poll_readiness, site)
             nursery.start_soon(_report_progress, site)
-            await _play(site, actors, callers)
+            await _run_plan(site, action_runner, callers)
             nursery.cancel_scope.cancel()
         site.record.ended_at = trio.current_time()
         return _evaluate(site, processes, bad, clock)
 
 
-async def _play(site: Site, actors: Actors, callers: Callers) -> None:
+async def _run_plan(site: Site, action_runner: ActionRunner, callers: Callers) -> None:
     """Perform the plan under traffic, and continue the traffic through the recovery time."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(callers.run)
-        await actors.play(site.plan.actions)
-        site.record.last_fault_ended_at = actors.last_fault_ended_at
+        await action_runner.run_all(site.plan.actions)
+        site.record.last_fault_ended_at = action_runner.last_fault_ended_at
         ends = (
             site.record.began_at + site.plan.seconds,
-            actors.last_fault_ended_at + RECOVERY_SECONDS,
+            action_runner.last_fault_ended_at + RECOVERY_SECONDS,
         )
         await trio.sleep_until(max(ends))
         callers.stopped = True
@@ -98,7 +98,9 @@
         )
 
 
-def _evaluate(site: Site, processes: Processes, bad: BadRequests, clock: Clock) -> SoakResult:
+def _evaluate(
+    site: Site, processes: Processes, bad: BadRequests, clock: LatenessMonitor
+) -> SoakResult:
     record = site.record
     _collect_observations(site)
     violations = check_all(record)
@@ -125,7 +127,7 @@
         len(site.machines.machines),
         site.start_counts.total(),
         Counter(f"{b.form.value} {b.status}" for b in bad.sent.values()),
-        clock.latest,
+        clock.max_lateness_seconds,
         clock.times_late,
     )
 
--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -47,9 +47,7 @@
 PROBE_SLOTS: Final = 64
 ENTRY_PORTS: Final = (CALLERS, READINESS, PEERS, SWARM)
 DAEMON_PORTS: Final = (PEERS, SWARM)
-LISTING_INTERVAL_SECONDS: Final = (
-    0.03  # how often a replica checks whether its listing has changed
-)
+LISTING_INTERVAL_SECONDS: Final = 0.03  # how often a replica checks its listing for changes
 STREAM_EVENTS: Final = 4
 ROUTE_TIMEOUT_MS: Final = 4000
 
--- a/bench/soak/watchers.py
+++ b/bench/soak/watchers.py
@@ -97,11 +97,11 @@
 
 
 @dataclass
-class Clock:
+class LatenessMonitor:
     """Measures the delay of the soak's own event loop."""
 
     site: Site
-    latest: float = 0.0  # seconds
+    max_lateness_seconds: float = 0.0
     times_late: int = 0
 
     async def run(self) -> None:
@@ -110,7 +110,7 @@
             due = trio.current_time() + CLOCK_INTERVAL_SECONDS
             await trio.sleep_until(due)
             late = trio.current_time() - due
-            self.latest = max(self.latest, late)
+            self.max_lateness_seconds = max(self.max_lateness_seconds, late)
             if late > MAX_LATENESS_SECONDS:
                 self.times_late += 1
                 disturbance = self.site.begin_disturbance("soak late", frozenset())
