--- a/bench/soak/actors.py
+++ b/bench/soak/actionrunner.py
@@ -1,4 +1,4 @@
-"""Plays the actions of a plan on a site."""
+"""Performs the actions of a plan on a running system."""
 
 from collections.abc import Awaitable, Callable
 from typing import Final
@@ -14,11 +14,11 @@
 from testing.machinelayout import MODEL_SERVICE
 from testing.platformstore import Mood
 
-RESET_EVERY_SECONDS: Final = 0.5
-# The store removes the entry of a replica that has crashed after three heartbeats of silence.
-LAPSE_SECONDS: Final = 3.6
+RESET_INTERVAL_SECONDS: Final = 0.5
+# The store removes the listing of a crashed replica after three missed heartbeats.
+LISTING_EXPIRY_SECONDS: Final = 3.6
 RESTART_SECONDS: Final = 0.3  # between the end of a drained replica and its next incarnation
-FAULTY_LIMIT_SECONDS: Final = 10.0  # longer than any caller waits
+MAX_FAULTY_REQUEST_SECONDS: Final = 10.0  # longer than any caller's timeout
 LINK_KINDS: Final = {
     ActionKind.LINK_DELAY: LinkKind.DELAY,
     ActionKind.LINK_CUT: LinkKind.CUT,
@@ -27,29 +27,29 @@
 }
 
 
-class Actors:
-    """Does what a plan says, each action in a task of its own."""
+class ActionRunner:
+    """Performs the actions of a plan, each in its own task."""
 
     def __init__(self, site: Site, processes: Processes) -> None:
         self.last_fault_ended_at = site.record.began_at
         self._site = site
         self._processes = processes
         self._under_way = 0
-        plays: dict[ActionKind, Callable[[Action], Awaitable[None]]] = {
+        handlers: dict[ActionKind, Callable[[Action], Awaitable[None]]] = {
             ActionKind.LINK_RESET: self._reset_links,
             ActionKind.KILL: self._kill,
             ActionKind.PAUSE: self._pause,
             ActionKind.STOP: self._stop,
             ActionKind.RELOAD: self._reload,
             ActionKind.REPLICA_CRASH: self._crash_replica,
-            ActionKind.REPLICA_REBORN: self._begin_life,
+            ActionKind.REPLICA_RESTART: self._restart_replica,
             ActionKind.REPLICA_SLOW: self._slow_replica,
-            ActionKind.REPLICA_WAIT: self._let_wait,
+            ActionKind.REPLICA_WAIT: self._delay_requests,
             ActionKind.REPLICA_FAULT: self._break_answers,
-            ActionKind.ORDERS_LATE: self._keep_orders,
+            ActionKind.ORDERS_LATE: self._hold_orders,
             ActionKind.REPLICA_LIMIT: self._limit_replica,
-            ActionKind.REPLICA_REST: self._let_rest,
-            ActionKind.REPLICA_LEAVES: self._say_leaving,
+            ActionKind.REPLICA_REST: self._request_rest,
+            ActionKind.REPLICA_LEAVES: self._announce_leaving,
             ActionKind.STORE_MOOD: self._set_mood,
             ActionKind.STORE_FORGET: self._forget,
             ActionKind.ORIGIN_DOWN: self._take_origin_down,
@@ -61,19 +61,19 @@
             ActionKind.ADD_REPLICA: self._add_replica,
             ActionKind.ADD_ENTRY: self._add_entry,
         }
-        self._plays = {**plays, **dict.fromkeys(LINK_KINDS, self._fault_links)}
+        self._handlers = {**handlers, **dict.fromkeys(LINK_KINDS, self._fault_links)}
 
-    async def play(self, actions: tuple[Action, ...]) -> None:
-        """Play all actions at their moments; return when the last one is over."""
+    async def run_all(self, actions: tuple[Action, ...]) -> None:
+        """Perform all actions at their times; return when the last one has ended."""
         async with trio.open_nursery() as nursery:
             for action in actions:
                 await trio.sleep_until(self._site.record.began_at + action.at)
-                nursery.start_soon(self._play, action)
+                nursery.start_soon(self._run_action, action)
 
-    async def _play(self, action: Action) -> None:
+    async def _run_action(self, action: Action) -> None:
         self._site.faults[action.kind.value] += 1
-        self._site.tell(describe(action))
-        await self._plays[action.kind](action)
+        self._site.print_progress(describe(action))
+        await self._handlers[action.kind](action)
         if action.kind not in OPERATOR_KINDS:
             self.last_fault_ended_at = trio.current_time()
 
@@ -81,31 +81,35 @@
 
     async def _fault_links(self, action: Action) -> None:
         first, second = self._sides(action)
-        disturbance = self._site.disturb(action.kind.value, self._struck(action))
-        with self._site.links.during(
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._affected_machines(action)
+        )
+        with self._site.links.active(
             LinkFault(LINK_KINDS[action.kind], first, second, action.amount)
         ):
             await trio.sleep(action.seconds)
-        # What was held up is still on its way.
+        # Bytes that were held back are still in transit.
         await trio.sleep(action.amount if action.kind is ActionKind.LINK_DELAY else 0.1)
         disturbance.ended_at = trio.current_time()
 
     async def _reset_links(self, action: Action) -> None:
         first, second = self._sides(action)
-        disturbance = self._site.disturb(action.kind.value, self._struck(action))
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._affected_machines(action)
+        )
         with trio.move_on_after(action.seconds):
             while True:
                 self._site.links.reset(first, second)
-                await trio.sleep(RESET_EVERY_SECONDS)
+                await trio.sleep(RESET_INTERVAL_SECONDS)
         disturbance.ended_at = trio.current_time()
 
     def _sides(self, action: Action) -> tuple[frozenset[str], frozenset[str]]:
         ips = [self._site.ip_of(target) for target in action.targets]
         return frozenset(ips[:1]), frozenset(ips[1:])
 
-    def _struck(self, action: Action) -> frozenset[str]:
-        struck = (self._site.machines_at(target) for target in action.targets)
-        return frozenset().union(*struck)
+    def _affected_machines(self, action: Action) -> frozenset[str]:
+        affected = (self._site.machines_at(target) for target in action.targets)
+        return frozenset().union(*affected)
 
     # Processes.
 
@@ -121,23 +125,28 @@
     async def _reload(self, action: Action) -> None:
         self._processes.reload(action.targets[0], action.amount)
 
-    # Replicas. Their own faults excuse nothing at the entries, so they are no disturbances.
+    # Replicas. Faulty answers of a replica excuse no broken promise at an entry, so they are not
+    # recorded as disturbances.
 
     async def _crash_replica(self, action: Action) -> None:
         seat = self._seat(action)
-        disturbance = self._site.disturb(action.kind.value, self._site.machines_at(seat.seat.name))
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._site.machines_at(seat.seat.name)
+        )
         gone = seat.listed
         self._site.end_replica(seat)
         await trio.sleep(action.seconds)
         await self._site.start_replica(seat)
         disturbance.ended_at = trio.current_time()
-        await trio.sleep(max(0.0, LAPSE_SECONDS - action.seconds))
+        await trio.sleep(max(0.0, LISTING_EXPIRY_SECONDS - action.seconds))
         if gone is not None:
             self._site.machines.unlist(gone)
 
-    async def _begin_life(self, action: Action) -> None:
+    async def _restart_replica(self, action: Action) -> None:
         seat = self._seat(action)
-        disturbance = self._site.disturb(action.kind.value, self._site.machines_at(seat.seat.name))
+        disturbance = self._site.begin_disturbance(
+            action.kind.value, self._site.machines_at(seat.seat.name)
+        )
         await self._site.restart_replica(seat, clock_step_ms=round(action.amount))
         disturbance.ended_at = trio.current_time()
 
@@ -150,7 +159,7 @@
         await trio.sleep(action.seconds)
         replica.event_seconds, replica.service_seconds = before
 
-    async def _let_wait(self, action: Action) -> None:
+    async def _delay_requests(self, action: Action) -> None:
         replica = self._seat(action).replica
         if replica is None:
             return
@@ -165,11 +174,11 @@
         replica.faults.extend(action.faults)
         await trio.sleep(action.seconds)
         replica.faults.clear()
-        with trio.move_on_after(FAULTY_LIMIT_SECONDS):
+        with trio.move_on_after(MAX_FAULTY_REQUEST_SECONDS):
             while replica.faulty:
                 await trio.sleep(0.05)
 
-    async def _keep_orders(self, action: Action) -> None:
+    async def _hold_orders(self, action: Action) -> None:
         replica = self._seat(action).replica
         if replica is None:
             return
@@ -190,7 +199,7 @@
         replica.limit = None
         limit.ended_at = trio.current_time()
 
-    async def _let_rest(self, action: Action) -> None:
+    async def _request_rest(self, action: Action) -> None:
         replica = self._seat(action).replica
         if replica is None:
             return
@@ -198,7 +207,7 @@
         await trio.sleep(action.seconds)
         replica.rest = None
 
-    async def _say_leaving(self, action: Action) -> None:
+    async def _announce_leaving(self, action: Action) -> None:
         seat = self._seat(action)
         if seat.replica is None:
             return
@@ -213,11 +222,11 @@
         await self._replace_later(seat, action.seconds)
 
     async def _replace_later(self, seat: SeatState, seconds: float) -> None:
-        """End a replica that leaves after some seconds, and start the next incarnation."""
+        """End a leaving replica after some seconds, and start its next incarnation."""
         gone = seat.listed
         await trio.sleep(seconds)
         if gone is None or seat.listed is not gone:
-            return  # it crashed meanwhile
+            return  # the replica crashed meanwhile
         self._site.end_replica(seat)
         self._site.unlist_replica(seat)
         await trio.sleep(RESTART_SECONDS)
@@ -231,7 +240,9 @@
     async def _set_mood(self, action: Action) -> None:
         assert action.mood is not None
         targets = [self._site.ip_of(target) for target in action.targets] or None
-        disturbance = self._site.disturb(f"store {action.mood.value}", self._struck(action))
+        disturbance = self._site.begin_disturbance(
+            f"store {action.mood.value}", self._affected_machines(action)
+        )
         store = self._site.machines.store
         store.set_mood(action.mood, targets)
         await trio.sleep(action.seconds)
@@ -239,7 +250,7 @@
         disturbance.ended_at = trio.current_time()
 
     async def _forget(self, action: Action) -> None:
-        disturbance = self._site.disturb(action.kind.value, frozenset())
+        disturbance = self._site.begin_disturbance(action.kind.value, frozenset())
         self._site.machines.store.forget_history()
         disturbance.ended_at = trio.current_time()
 
@@ -281,14 +292,14 @@
     async def _add_entry(self, action: Action) -> None:
         name = action.targets[0]
         self._site.machines.add_entry(name, "z0")
-        disturbance = self._site.disturb(action.kind.value, frozenset({name}))
+        disturbance = self._site.begin_disturbance(action.kind.value, frozenset({name}))
         await self._site.start_process(name)
-        await self._site.wait_up(name)
+        await self._site.wait_until_up(name)
         disturbance.ended_at = trio.current_time()
 
 
 def describe(action: Action) -> str:
-    """Return an action as a line of progress."""
+    """Return an action as one line of text."""
     parts = [action.kind.value, *action.targets]
     parts += [f"{action.seconds:.2f} s"] if action.seconds else []
     parts += [f"amount {action.amount:.3g}"] if action.amount else []
--- a/bench/soak/report.py
+++ b/bench/soak/report.py
@@ -1,4 +1,4 @@
-"""What a soak reports: one JSON line, and files beside the logs when something was wrong."""
+"""Reports a soak: one JSON line, and detail files beside the logs."""
 
 from dataclasses import asdict
 from pathlib import Path
@@ -6,10 +6,10 @@
 
 import msgspec
 
-from bench.soak.actors import describe
+from bench.soak.actionrunner import describe
 from bench.soak.runner import SoakResult
 
-FIRST_VIOLATIONS: Final = 10  # how many are told in detail
+MAX_DETAILED: Final = 10  # violations, and findings, that the report gives in detail
 
 
 def to_line(result: SoakResult) -> dict[str, Any]:
@@ -40,19 +40,19 @@
         "findings": len(result.findings),
         "first": [
             f"{v.at - began_at:.3f} {v.promise.value}: {v.subject}: {v.detail}"
-            for v in result.violations[:FIRST_VIOLATIONS]
+            for v in result.violations[:MAX_DETAILED]
         ]
         + [
             f"{f.at - began_at:.3f} {f.kind}: {f.subject}: {f.detail}"
-            for f in result.findings[:FIRST_VIOLATIONS]
+            for f in result.findings[:MAX_DETAILED]
         ],
     }
 
 
-def write_story(result: SoakResult, directory: Path) -> None:
-    """Write the plan, all violations and the whole record beside the logs of the processes.
+def write_details(result: SoakResult, directory: Path) -> None:
+    """Write the plan, all violations and findings, and the record beside the process logs.
 
-    Moments in the record are on trio's clock, those elsewhere count from the begin of the soak.
+    Times in the record are on trio's clock; all others count from the start of the soak.
     """
     began_at = result.record.began_at
     plan = [f"{action.at:8.3f} {describe(action)}" for action in result.plan.actions]
--- a/bench/soak/runner.py
+++ b/bench/soak/runner.py
@@ -1,4 +1,4 @@
-"""Runs one soak: traffic, probes and the plan's actions, until recovery has been seen."""
+"""Runs one soak: traffic, probes and the plan's actions, until the recovery can be judged."""
 
 import random
 from collections import Counter
@@ -8,7 +8,7 @@
 
 import trio
 
-from bench.soak.actors import Actors
+from bench.soak.actionrunner import ActionRunner
 from bench.soak.badrequests import BadRequests
 from bench.soak.callers import Callers
 from bench.soak.check_summary import Summary, summarize
@@ -20,20 +20,20 @@
     find_answers_of_bad_loads,
     find_bad_answers,
     find_mixed_loads,
-    find_unasked,
+    find_unrequested_runs,
 )
 from bench.soak.plan import RECOVERY_SECONDS, Plan
 from bench.soak.processes import Processes
 from bench.soak.record import Arrival, Record, ReplicaRun
 from bench.soak.site import PROBE_SERVICE, Site, running_site
-from bench.soak.watchers import Clock, Prober, balance
+from bench.soak.watchers import LatenessMonitor, Prober, poll_readiness
 
 PROGRESS_SECONDS: Final = 10.0
 
 
 @dataclass
 class SoakResult:
-    """What one soak saw."""
+    """The record of one soak and its evaluation."""
 
     plan: Plan
     record: Record
@@ -46,12 +46,12 @@
     processes: int = 0
     starts: int = 0
     bad_requests: Counter[str] = field(default_factory=Counter)  # by form and status
-    latest_seconds: float = 0.0  # the most that the soak itself was late
+    latest_seconds: float = 0.0  # the largest delay of the soak's own event loop
     times_late: int = 0
 
     @property
     def passed(self) -> bool:
-        """Whether nothing was wrong."""
+        """Whether there are neither violations nor findings."""
         return not self.violations and not self.findings
 
 
@@ -59,46 +59,50 @@
     """Run a soak; the logs of its processes are written to a directory."""
     async with running_site(directory, plan) as site:
         processes = Processes(site)
-        actors = Actors(site, processes)
+        action_runner = ActionRunner(site, processes)
         bad = BadRequests(random.Random(f"{plan.seed} bad requests"))
         callers = Callers(site, random.Random(f"{plan.seed} callers"), bad)
-        clock = Clock(site)
+        clock = LatenessMonitor(site)
         async with trio.open_nursery() as nursery:
             for watch in (processes.watch, clock.run, Prober(site).run):
                 nursery.start_soon(watch)
-            nursery.start_soon(balance, site)
-            nursery.start_soon(_tell_progress, site)
-            await _play(site, actors, callers)
+            nursery.start_soon(poll_readiness, site)
+            nursery.start_soon(_report_progress, site)
+            await _run_plan(site, action_runner, callers)
             nursery.cancel_scope.cancel()
         site.record.ended_at = trio.current_time()
-        return _judge(site, processes, bad, clock)
+        return _evaluate(site, processes, bad, clock)
 
 
-async def _play(site: Site, actors: Actors, callers: Callers) -> None:
-    """Play the plan under traffic, and go on with traffic until recovery must be seen."""
+async def _run_plan(site: Site, action_runner: ActionRunner, callers: Callers) -> None:
+    """Perform the plan under traffic, and continue the traffic through the recovery time."""
     async with trio.open_nursery() as nursery:
         nursery.start_soon(callers.run)
-        await actors.play(site.plan.actions)
-        site.record.last_fault_ended_at = actors.last_fault_ended_at
+        await action_runner.run_all(site.plan.actions)
+        site.record.last_fault_ended_at = action_runner.last_fault_ended_at
         ends = (
             site.record.began_at + site.plan.seconds,
-            actors.last_fault_ended_at + RECOVERY_SECONDS,
+            action_runner.last_fault_ended_at + RECOVERY_SECONDS,
         )
         await trio.sleep_until(max(ends))
         callers.stopped = True
 
 
-async def _tell_progress(site: Site) -> None:
+async def _report_progress(site: Site) -> None:
     while True:
         await trio.sleep(PROGRESS_SECONDS)
         requests = site.record.requests.values()
         served = sum(request.whole and request.status == 200 for request in requests)
-        site.tell(f"{len(requests)} requests, {served} served, {len(site.record.probes)} probes")
+        site.print_progress(
+            f"{len(requests)} requests, {served} served, {len(site.record.probes)} probes"
+        )
 
 
-def _judge(site: Site, processes: Processes, bad: BadRequests, clock: Clock) -> SoakResult:
+def _evaluate(
+    site: Site, processes: Processes, bad: BadRequests, clock: LatenessMonitor
+) -> SoakResult:
     record = site.record
-    _harvest(site)
+    _collect_observations(site)
     violations = check_all(record)
     replicas = [
         listed.replica
@@ -109,7 +113,7 @@
     versions = site.machines.origin.versions
     mixed = find_mixed_loads(replicas, versions, record.ended_at)
     of_bad_loads = find_answers_of_bad_loads(replicas, versions)
-    unasked = find_unasked(record, bad.sent, replicas)
+    unasked = find_unrequested_runs(record, bad.sent, replicas)
     drawn = (fault.value for action in site.plan.actions for fault in action.faults)
     return SoakResult(
         site.plan,
@@ -121,15 +125,15 @@
         site.faults,
         Counter(drawn),
         len(site.machines.machines),
-        site.lives.total(),
+        site.start_counts.total(),
         Counter(f"{b.form.value} {b.status}" for b in bad.sent.values()),
-        clock.latest,
+        clock.max_lateness_seconds,
         clock.times_late,
     )
 
 
-def _harvest(site: Site) -> None:
-    """Take what the replicas saw into the record."""
+def _collect_observations(site: Site) -> None:
+    """Copy the arrivals and runs that the replicas observed into the record."""
     record = site.record
     for listed in site.machines.replicas.values():
         if listed.service == PROBE_SERVICE:
