--- a/bench/faults.py
+++ b/bench/faults.py
@@ -21,7 +21,7 @@
 from testing.caller import check_tokens, generate
 from testing.engine import FakeEngine
 from testing.fleet import HTTP, wait_for
-from testing.small import POOL_PATH, Small, small_fleet
+from testing.small import POOL_PATH, SmallFleet, small_fleet
 
 HOSTS, ZONES, ENTRIES = 4, 2, 2
 TOKENS = 20
@@ -40,7 +40,7 @@
     # Requests by what their callers were told.
     told: Counter[str]
 
-    def __init__(self, small: Small, rng: random.Random) -> None:
+    def __init__(self, small: SmallFleet, rng: random.Random) -> None:
         self.small = small
         self.fleet = small.fleet
         self.rng = rng
--- a/bench/soak/actions.py
+++ b/bench/soak/actions.py
@@ -4,7 +4,7 @@
 from enum import Enum
 
 from testing.platformreplica import Fault
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 
 
 class ActionKind(Enum):
@@ -72,5 +72,5 @@
     targets: tuple[str, ...] = ()
     seconds: float = 0.0  # how long it lasts, or how long a process or replica is away
     amount: float = 0.0  # delay in seconds, rate in bytes a second, or a count
-    mood: Mood | None = None  # of STORE_MOOD
+    mood: StoreCondition | None = None  # of STORE_MOOD
     faults: tuple[Fault, ...] = ()  # of REPLICA_FAULT
--- a/bench/soak/actors.py
+++ b/bench/soak/actors.py
@@ -12,7 +12,7 @@
 from bench.soak.site import SeatState, Site
 from bench.soak.sizes import Seat, daemon_of
 from testing.machinelayout import MODEL_SERVICE
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 
 RESET_EVERY_SECONDS: Final = 0.5
 # The store removes the entry of a replica that has crashed after three heartbeats of silence.
@@ -173,11 +173,11 @@
         replica = self._seat(action).replica
         if replica is None:
             return
-        replica.orders_kept_back = round(action.amount)
+        replica.orders_to_hold = round(action.amount)
         await trio.sleep(action.seconds)
-        replica.orders_kept_back = 0
+        replica.orders_to_hold = 0
         if self._seat(action).replica is replica:
-            replica.take_kept_orders()
+            replica.take_held_orders()
 
     async def _limit_replica(self, action: Action) -> None:
         replica = self._seat(action).replica
@@ -202,7 +202,7 @@
         seat = self._seat(action)
         if seat.replica is None:
             return
-        seat.replica.says_leaving = True
+        seat.replica.announces_leaving = True
         said = ReplicaLeaves(seat.replica.id, trio.current_time())
         self._site.record.leaving.append(said)
         await self._replace_later(seat, action.seconds)
@@ -233,9 +233,9 @@
         targets = [self._site.ip_of(target) for target in action.targets] or None
         disturbance = self._site.disturb(f"store {action.mood.value}", self._struck(action))
         store = self._site.machines.store
-        store.set_mood(action.mood, targets)
+        store.set_condition(action.mood, targets)
         await trio.sleep(action.seconds)
-        store.set_mood(Mood.WELL, targets)
+        store.set_condition(StoreCondition.WELL, targets)
         disturbance.ended_at = trio.current_time()
 
     async def _forget(self, action: Action) -> None:
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -17,7 +17,7 @@
     plain_names,
 )
 from testing.platformreplica import Fault
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 
 # A calm span leaves the time-bounded promises room to be checked, and processes that were killed
 # last in the storm before it time to start.
@@ -282,7 +282,14 @@
         count = self._generator.randint(1, 3)
         names = self._processes()
         targets = () if everybody else self._generator.sample(names, min(count, len(names)))
-        mood = self._generator.choice([Mood.BUSY, Mood.LIMITED, Mood.RESET, Mood.SILENT])
+        mood = self._generator.choice(
+            [
+                StoreCondition.BUSY,
+                StoreCondition.LIMITED,
+                StoreCondition.RESET,
+                StoreCondition.SILENT,
+            ]
+        )
         seconds = self._length(at, until, 0.5, 8.0)
         self._add(at, ActionKind.STORE_MOOD, *targets, seconds=seconds, mood=mood)
 
@@ -340,7 +347,7 @@
         *targets: str,
         seconds: float = 0.0,
         amount: float = 0.0,
-        mood: Mood | None = None,
+        mood: StoreCondition | None = None,
         faults: tuple[Fault, ...] = (),
     ) -> None:
         self.actions.append(Action(at, kind, targets, seconds, amount, mood, faults))
--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -169,7 +169,7 @@
             return
         self._shut_proxies(seat.seat.name)
         self.machines.crash_replica(seat.listed)
-        seat.listed.replica.kept_orders.clear()
+        seat.listed.replica.held_orders.clear()
 
     async def restart_replica(self, seat: SeatState, clock_step_ms: int) -> None:
         """Begin another life of a running incarnation; nothing of the earlier one lasts."""
--- a/bench/swarmrun.py
+++ b/bench/swarmrun.py
@@ -72,7 +72,7 @@
         directory, specs, uplink=rate, downlink=rate, origin_rate=2 * rate
     ) as fleet:
         for engine in fleet.engines().values():
-            engine.thorough, engine.load_seconds = False, LOAD_SECONDS
+            engine.verifies_chunks, engine.load_seconds = False, LOAD_SECONDS
         for name in fleet.nodes:
             fleet.start(name)
         data = random.randbytes(setup.weights_bytes)
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -52,7 +52,7 @@
 """
 
 
-class Trickle:
+class LoadGenerator:
     """Callers that ask at a steady rate and check every answer."""
 
     def __init__(self, fleet: Fleet, digests: list[str]) -> None:
@@ -94,7 +94,7 @@
         return sum(count > 1 for count in runs.values())
 
 
-def say(text: str) -> None:
+def print_progress(text: str) -> None:
     """Tell a person how far it is."""
     print(text, file=sys.stderr, flush=True)
 
@@ -113,37 +113,39 @@
         fleet.publish_fleet(FLEET_FILE.format(v1=v1, v2=v2, version="v1"))
         for name in fleet.nodes:
             fleet.start(name)
-        say(f"started {len(specs)} daemons; filling the fleet with v1")
+        print_progress(f"started {len(specs)} daemons; filling the fleet with v1")
         first = time.monotonic()
         await fleet.wait_serving(v1, REPLICAS)
-        say(f"all serve v1 after {time.monotonic() - first:.1f} s; now v2 under requests")
-        trickle = Trickle(fleet, [v1, v2])
+        print_progress(
+            f"all serve v1 after {time.monotonic() - first:.1f} s; now v2 under requests"
+        )
+        load_generator = LoadGenerator(fleet, [v1, v2])
         sent_before = fleet.origin.sent_bytes
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trickle.run)
+            nursery.start_soon(load_generator.run)
             await trio.sleep(1)
             fleet.publish_fleet(FLEET_FILE.format(v1=v1, v2=v2, version="v2"))
             published = time.monotonic()
             await fleet.wait_serving(v2, REPLICAS)
             time_to_n = time.monotonic() - published
             await trio.sleep(1)
-            trickle.stopped = True
+            load_generator.stopped = True
         serving = sum(
             [w.digest for w in engine.loaded] == [v2] for engine in fleet.engines().values()
         )
-        for line in trickle.lost[:5]:
-            say(f"lost: {line}")
+        for line in load_generator.lost[:5]:
+            print_progress(f"lost: {line}")
         return {
             "replicas": REPLICAS,
             "serving": serving,
             "time_to_n_seconds": round(time_to_n, 2),
             "floor_seconds": WEIGHTS_BYTES / HOST_RATE,
             "origin_copies": round((fleet.origin.sent_bytes - sent_before) / WEIGHTS_BYTES, 3),
-            "requests": trickle.requests,
-            "lost": len(trickle.lost),
-            "doubled": trickle.doubled(),
-            "mixed": trickle.mixed,
-            "served_by": dict(trickle.served_by),
+            "requests": load_generator.requests,
+            "lost": len(load_generator.lost),
+            "doubled": load_generator.doubled(),
+            "mixed": load_generator.mixed,
+            "served_by": dict(load_generator.served_by),
         }
 
 
--- a/testing/engine.py
+++ b/testing/engine.py
@@ -63,7 +63,7 @@
         self.cancelled = 0
         self.down = False
         self.order_answer_seconds = 0.0  # how late the answer to an order comes
-        self.thorough = True  # fetch and verify every chunk, not only the manifest
+        self.verifies_chunks = True  # fetch and verify every chunk, not only the manifest
         # Capacity: requests at once, and the cost of a prompt whose prefix is not cached.
         self.slots = trio.CapacityLimiter(10_000)
         self.prefill_seconds = 0.0
@@ -132,7 +132,7 @@
         manifest = await self._get(source, f"/artifacts/{artifact}/manifest.json")
         if manifest is None:
             return None
-        if not self.thorough:
+        if not self.verifies_chunks:
             return digest_of(manifest)
         for file in msgspec.json.decode(manifest)["files"]:
             for chunk in file["chunks"]:
--- a/testing/heldlink.py
+++ b/testing/heldlink.py
@@ -52,7 +52,7 @@
     async def _serve(self, caller: trio.SocketStream) -> None:
         target = await trio.open_tcp_stream(self._private.ip, self._private.port)
         if caller.socket.getpeername()[0] == self.public.ip:
-            await self._pass_on(caller, target)
+            await self._forward(caller, target)
             return
         self.connections += 1
         async with trio.open_nursery() as nursery:
@@ -69,7 +69,7 @@
         for stream in (caller, target):
             await trio.aclose_forcefully(stream)
 
-    async def _pass_on(self, caller: trio.SocketStream, target: trio.SocketStream) -> None:
+    async def _forward(self, caller: trio.SocketStream, target: trio.SocketStream) -> None:
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._copy, target, caller)
             await self._copy(caller, target)
--- a/testing/latereplica.py
+++ b/testing/latereplica.py
@@ -1,6 +1,6 @@
 """A model of a replica whose calls are lost, answered late or take effect late; in memory.
 
-It checks each load itself: what lies beside it as it takes an order has to be whole and of the
+It checks each load itself: what staged beside it as it takes an order has to be whole and of the
 version ordered, but for chunks that turned bad within the last 3 s. All is drawn from one
 generator, so that a seed plays again. Times are trio's.
 """
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True)
-class Trouble:
-    """How often each kind of trouble comes: parts of the calls, and events a second."""
+class FaultRates:
+    """How often each kind of fault_rates comes: parts of the calls, and events a second."""
 
     lost: float = 0.0
     unanswered: float = 0.0
@@ -49,7 +49,7 @@
 
 
 @dataclass(frozen=True)
-class Spoilt:
+class CorruptedChunk:
     """A chunk that turned bad."""
 
     at: float
@@ -64,7 +64,7 @@
 class LateReplica:
     """One replica, through several lives."""
 
-    # Loads of mixed, missing or long spoilt chunks.
+    # Loads of mixed, missing or long corrupted chunks.
     violations: list[str]
     loaded: int
     loaded_at: float
@@ -72,45 +72,49 @@
     # Whether what it holds was whole as it was loaded.
     whole: bool
     # Words of its daemon that called a load confirmed that was not whole.
-    false_words: list[str]
+    false_confirmations: list[str]
 
-    def __init__(self, generator: random.Random, nursery: trio.Nursery, trouble: Trouble) -> None:
+    def __init__(
+        self, generator: random.Random, nursery: trio.Nursery, fault_rates: FaultRates
+    ) -> None:
         self.violations = []
-        self.false_words = []
+        self.false_confirmations = []
         self.loads = 0
         self.loaded = 1
         self.loaded_at = float("-inf")
         self.whole = True
-        self.trouble = trouble
+        self.fault_rates = fault_rates
         self._generator = generator
         self._nursery = nursery
         self._staged = {index: chunk_of(1, index) for index in range(CHUNKS)}
-        self._spoilt: dict[int, Spoilt] = {}
+        self._corrupted: dict[int, CorruptedChunk] = {}
         self._orders = 0
         self._loading = False
         self._life = 1
-        self._tells_start = generator.random() < 0.5
+        self._reports_start = generator.random() < 0.5
 
     # What befalls it.
 
-    async def run_troubles(self) -> None:
+    async def inject_faults(self) -> None:
         """Have chunks turn bad and lives end at random, for ever."""
         step = 0.1
         while True:
             await trio.sleep(step)
-            if self._generator.random() < self.trouble.rot * step:
-                self.spoil()
-            if self._generator.random() < self.trouble.crash * step:
+            if self._generator.random() < self.fault_rates.rot * step:
+                self.corrupt_chunk()
+            if self._generator.random() < self.fault_rates.crash * step:
                 self.end_life(power=False)
-            if self._generator.random() < self.trouble.power * step:
+            if self._generator.random() < self.fault_rates.power * step:
                 self.end_life(power=True)
 
-    def spoil(self) -> None:
+    def corrupt_chunk(self) -> None:
         """Have a chunk turn bad."""
         if self._staged:
             index = self._generator.choice(sorted(self._staged))
-            # One that is bad already has been so since it was spoilt first.
-            self._spoilt.setdefault(index, Spoilt(trio.current_time(), self._staged[index]))
+            # One that is bad already has been so since it was corrupted first.
+            self._corrupted.setdefault(
+                index, CorruptedChunk(trio.current_time(), self._staged[index])
+            )
             self._staged[index] = b"bad"
 
     def end_life(self, *, power: bool) -> None:
@@ -122,7 +126,7 @@
         self._loading = False
         if power:
             self._staged.clear()
-            self._spoilt.clear()
+            self._corrupted.clear()
 
     # Calls of the daemon.
 
@@ -131,7 +135,7 @@
         if not await self._answers():
             return Failure(LINK_LOST, "no answer")
         held = (LoadedModel(MODEL, self.loaded),) if self.loaded else ()
-        started = self._life if self._tells_start else None
+        started = self._life if self._reports_start else None
         return Ok(
             ReplicaReport(held, self._loading, self._orders, 0, 0, 0, 1, 1.0, started_ms=started)
         )
@@ -151,18 +155,18 @@
     async def stage_chunk(self, model: str, index: int, data: bytes) -> Ok[None] | Failure:
         """Put a chunk."""
 
-        def land() -> None:
+        def store_chunk() -> None:
             self._staged[index] = data
-            self._spoilt.pop(index, None)
+            self._corrupted.pop(index, None)
 
-        fate = Fate.ANSWERED if self.trouble.orders_only else self._draw()
-        if await self._carry_out(land, fate):
+        fate = Fate.ANSWERED if self.fault_rates.orders_only else self._draw()
+        if await self._carry_out(store_chunk, fate):
             return Ok(None)
         return Failure(LINK_LOST, "no answer")
 
     async def open_line(self) -> Ok[OrderLine] | Failure:
         """Open a line to the present life."""
-        if self._generator.random() < self.trouble.lost / 2:
+        if self._generator.random() < self.fault_rates.lost / 2:
             return Failure(CONNECT_FAILED, "refused")
         return Ok(_Line(self, self._life))
 
@@ -204,16 +208,18 @@
             self.whole = whole
 
     def _check(self, version: int) -> bool:
-        """Check what lies there as an order is taken; return whether it is whole."""
+        """Check what staged there as an order is taken; return whether it is whole."""
         now = trio.current_time()
         before = len(self.violations)
         for index in range(CHUNKS):
-            wanted, lies = chunk_of(version, index), self._staged.get(index)
-            spoilt = self._spoilt.get(index)
-            lately = spoilt is not None and now - spoilt.at <= BAD_SECONDS
-            if lies == wanted or (lately and spoilt is not None and spoilt.before == wanted):
+            wanted, staged = chunk_of(version, index), self._staged.get(index)
+            corrupted = self._corrupted.get(index)
+            recent = corrupted is not None and now - corrupted.at <= BAD_SECONDS
+            if staged == wanted or (
+                recent and corrupted is not None and corrupted.before == wanted
+            ):
                 continue
-            self.violations.append(f"{now:.2f}: version {version}, chunk {index} is {lies!r}")
+            self.violations.append(f"{now:.2f}: version {version}, chunk {index} is {staged!r}")
         return len(self.violations) == before
 
     # Fates.
@@ -224,8 +230,8 @@
         Few are lost: a read-back needs all chunks answered, and without one nothing is loaded.
         """
         life = self._life
-        await trio.sleep(self._generator.uniform(0, self.trouble.slow_seconds))
-        lost = 0.0 if self.trouble.orders_only else self.trouble.lost / CHUNKS
+        await trio.sleep(self._generator.uniform(0, self.fault_rates.slow_seconds))
+        lost = 0.0 if self.fault_rates.orders_only else self.fault_rates.lost / CHUNKS
         if self._generator.random() < lost:
             await trio.sleep(SILENT_SECONDS)
             return False
@@ -237,7 +243,7 @@
         if fate is Fate.LATE:
             delay = self._generator.uniform(0, LATE_SECONDS)
             self._nursery.start_soon(self._later, life, delay, effect)
-        await trio.sleep(self._generator.uniform(0, self.trouble.slow_seconds))
+        await trio.sleep(self._generator.uniform(0, self.fault_rates.slow_seconds))
         if life != self._life:
             return False
         if fate in (Fate.ANSWERED, Fate.UNANSWERED):
@@ -254,11 +260,11 @@
 
     def _draw(self) -> Fate:
         drawn = self._generator.random()
-        trouble = self.trouble
+        fault_rates = self.fault_rates
         for fate, part in (
-            (Fate.LOST, trouble.lost),
-            (Fate.UNANSWERED, trouble.unanswered),
-            (Fate.LATE, trouble.late),
+            (Fate.LOST, fault_rates.lost),
+            (Fate.UNANSWERED, fault_rates.unanswered),
+            (Fate.LATE, fault_rates.late),
         ):
             if drawn < part:
                 return fate
--- a/testing/machinedemo.py
+++ b/testing/machinedemo.py
@@ -29,7 +29,7 @@
 LIMIT_SECONDS: Final = 60.0
 
 
-class Trickle:
+class LoadGenerator:
     """Callers that ask at a steady rate and come back once when they are told to."""
 
     def __init__(self, site: Machines) -> None:
@@ -79,9 +79,9 @@
         for replica in replicas:
             replica.event_seconds = 0.02
             replica.load_seconds = 0.3
-        trickle = Trickle(site)
+        load_generator = LoadGenerator(site)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trickle.run)
+            nursery.start_soon(load_generator.run)
             await trio.sleep(1.0)
             named_at = trio.current_time()
             site.name_version(2)
@@ -92,17 +92,17 @@
                     taken += [trio.current_time() - named_at] * (done - len(taken))
                     await trio.sleep(0.01)
             await trio.sleep(1.0)
-            trickle.stopped = True
-        return report(site, trickle, taken)
+            load_generator.stopped = True
+        return report(site, load_generator, taken)
 
 
-def report(site: Machines, trickle: Trickle, taken: list[float]) -> bool:
+def report(site: Machines, load_generator: LoadGenerator, taken: list[float]) -> bool:
     """Print the figures; return whether nothing went wrong."""
     runs: Counter[tuple[str, str | None]] = Counter()
     for replica in replicas_of(site, MODEL_SERVICE):
         runs.update((run.id, run.headers.get("last-event-id")) for run in replica.runs)
     doubled = sum(count > 1 for count in runs.values())
-    for lost in trickle.lost:
+    for lost in load_generator.lost:
         print(f"lost: {lost}", file=sys.stderr)
     line = {
         "replicas": len(taken),
@@ -111,12 +111,12 @@
         "last_seconds": round(taken[-1], 1),
         "floor_seconds": round(CHUNKS * CHUNK_BYTES * 8 / (LINK_MBITS * 1e6), 1),
         "origin_copies": round(site.origin.sent_chunks / CHUNKS, 2),
-        "requests": len(trickle.replies),
-        "lost": len(trickle.lost),
+        "requests": len(load_generator.replies),
+        "lost": len(load_generator.lost),
         "doubled": doubled,
     }
     print(json.dumps(line))
-    return not trickle.lost and not doubled
+    return not load_generator.lost and not doubled
 
 
 def main() -> int:
--- a/testing/machines.py
+++ b/testing/machines.py
@@ -193,7 +193,7 @@
             "models": loaded,
             "seq": 1,
         }
-        if replica.tells_start:
+        if replica.reports_start:
             entry[names.STARTED_MS] = replica.started_ms
         self.store.put(f"{names.REPLICA_PREFIX}{replica.id}", entry)
 
@@ -243,7 +243,7 @@
     async def _keep_listed(self, listed: ListedReplica) -> None:
         before: object = None
         while True:
-            listed.replica.settle()
+            listed.replica.complete_load()
             replica = listed.replica
             state = (replica.version, replica.draining, replica.started_ms)
             if state != before and listed.writes_entry:
--- a/testing/platformorigin.py
+++ b/testing/platformorigin.py
@@ -9,7 +9,7 @@
 import trio
 from headcross_platform import names
 
-from testing.rawhttp import json_bytes, next_cycle, read_request, whole_bytes
+from testing.rawhttp import json_bytes, next_cycle, read_request, response_bytes
 
 
 @dataclass
@@ -20,7 +20,7 @@
     versions: dict[int, list[bytes]] = field(default_factory=dict)
     sent: Counter[tuple[int, int]] = field(default_factory=Counter)  # by version and chunk
     corrupt_next: int = 0
-    spoilt_digests: int = 0  # answers with digests that are not right
+    corrupt_digests: int = 0  # answers with digests that are not right
     down: bool = False
     seconds_per_chunk: float = 0.0
 
@@ -52,8 +52,8 @@
         chunks = self.versions[version]
         if path.startswith(names.MANIFEST_PATH):
             digests = [hashlib.sha256(chunk).hexdigest() for chunk in chunks]
-            if self.spoilt_digests:
-                self.spoilt_digests -= 1
+            if self.corrupt_digests:
+                self.corrupt_digests -= 1
                 digests[1] = digests[0]
             return json_bytes(
                 200, {"version": version, "chunk_bytes": self.chunk_bytes, "digests": digests}
@@ -65,4 +65,4 @@
         if self.corrupt_next:
             self.corrupt_next -= 1
             data = bytes([data[0] ^ 1]) + data[1:]
-        return whole_bytes(200, [], data)
+        return response_bytes(200, [], data)
--- a/testing/platformreplica.py
+++ b/testing/platformreplica.py
@@ -22,15 +22,15 @@
 from headcross_platform import names
 
 from testing.rawhttp import (
-    CallerLeft,
+    CallerDisconnected,
     chunk_bytes,
     head_bytes,
     json_bytes,
     next_cycle,
     read_request,
     reset,
-    sleep_watching,
-    whole_bytes,
+    response_bytes,
+    sleep_while_connected,
 )
 
 SEAL: Final = "seal-1"
@@ -146,11 +146,11 @@
     loading: bool = False
     loading_version: int = 0
     load_due: float = 0.0  # trio's clock
-    load_held: int = 0  # number of the load that is done, from 1
+    completed_load: int = 0  # number of the load that is done, from 1
     draining: bool = False
     serves_draining: bool = False  # takes requests also while it leaves
     limit: str | None = None  # the requests a second that its answers name as their limit
-    says_leaving: bool = False  # in its answers to requests
+    announces_leaving: bool = False  # in its answers to requests
     # It turns every request away and asks for so many seconds of rest.
     rest: str | None = None
     reports_leaving: bool = False  # in its answers to the daemon beside it
@@ -158,17 +158,17 @@
     orders: int = 0
     # Awaited before each call of the daemon; where it returns true, the call gets no answer and
     # nothing of it is done.
-    keeps_back: Callable[[DaemonCall], Awaitable[bool]] | None = None
-    # So many of the next orders get no answer; `take_kept_orders` takes them late.
-    orders_kept_back: int = 0
-    kept_orders: list[dict[str, object]] = field(default_factory=list)
+    drops_call: Callable[[DaemonCall], Awaitable[bool]] | None = None
+    # So many of the next orders get no answer; `take_held_orders` takes them late.
+    orders_to_hold: int = 0
+    held_orders: list[dict[str, object]] = field(default_factory=list)
     # Unix milliseconds of the start of this life.
     started_ms: int = field(default_factory=lambda: int(time.time() * 1000))
     staged: dict[int, bytes] = field(default_factory=dict)
     loads: list[tuple[int, list[str]]] = field(default_factory=list)  # version, chunk digests
-    tells_start: bool = True
+    reports_start: bool = True
     # Whether a request with this body ends the replica as it begins to run it.
-    ends_under: Callable[[bytes], bool] = lambda body: False
+    fails_on: Callable[[bytes], bool] = lambda body: False
     ending: Ending = Ending.RESET
     ended: trio.Event = field(default_factory=trio.Event)
     streams: set[trio.SocketStream] = field(default_factory=set)
@@ -215,9 +215,9 @@
             headers = {n.decode(): v.decode() for n, v in head.headers}
             number = int(parse_qs(query).get("num", ["-1"])[0])
             call = DaemonCall(head.method.decode(), path, number, body)
-            if await self._keeps_back(call):
-                with suppress(CallerLeft):
-                    await sleep_watching(stream, float("inf"))
+            if await self._drops_call(call):
+                with suppress(CallerDisconnected):
+                    await sleep_while_connected(stream, float("inf"))
                 return
             reply = self._answer_call(call)
             if reply is not None:
@@ -230,12 +230,12 @@
 
     # Calls of the daemon beside it.
 
-    async def _keeps_back(self, call: DaemonCall) -> bool:
-        if call.orders and self.orders_kept_back:
-            self.orders_kept_back -= 1
-            self.kept_orders.append(msgspec.json.decode(call.body))
+    async def _drops_call(self, call: DaemonCall) -> bool:
+        if call.orders and self.orders_to_hold:
+            self.orders_to_hold -= 1
+            self.held_orders.append(msgspec.json.decode(call.body))
             return True
-        return self.keeps_back is not None and await self.keeps_back(call)
+        return self.drops_call is not None and await self.drops_call(call)
 
     def _answer_call(self, call: DaemonCall) -> bytes | None:
         if call.path == names.REPORT_PATH:
@@ -246,7 +246,7 @@
             return json_bytes(200, {})
         if call.reads_chunk:
             held = self.staged.get(call.number)
-            return json_bytes(404, {}) if held is None else whole_bytes(200, [], held)
+            return json_bytes(404, {}) if held is None else response_bytes(200, [], held)
         if call.path.startswith(names.STAGE_GET_PATH):
             return json_bytes(200, {"held": sorted(self.staged)})
         if call.orders:
@@ -255,7 +255,7 @@
 
     def _report(self) -> dict[str, object]:
         loaded = [{"name": self.model, "version": self.version}] if self.version else []
-        told = {names.STARTED_MS: self.started_ms} if self.tells_start else {}
+        told = {names.STARTED_MS: self.started_ms} if self.reports_start else {}
         return {
             "stage": "colocated",
             "models": loaded,
@@ -281,22 +281,22 @@
         self.loading_version = version
         return json_bytes(202, {})
 
-    def take_kept_orders(self) -> None:
+    def take_held_orders(self) -> None:
         """Take the orders that were kept back as if they had arrived just now."""
-        for order in self.kept_orders:
+        for order in self.held_orders:
             self._take_order(order)
-        self.kept_orders.clear()
+        self.held_orders.clear()
 
     def start_again(self, clock_step_ms: int = 0) -> None:
         """Begin another life under the same id, which knows nothing of the one before."""
         self.started_ms = max(int(time.time() * 1000), self.started_ms + 1) + clock_step_ms
         self.version = 0
-        self.load_held = 0
+        self.completed_load = 0
         self.orders = 0
         self.active = 0
         self.loading = False
         self.staged = {}
-        self.kept_orders.clear()
+        self.held_orders.clear()
         self.faults.clear()
         self.ended = trio.Event()
 
@@ -306,12 +306,12 @@
         for stream in list(self.streams):
             await reset(stream)
 
-    def settle(self) -> None:
+    def complete_load(self) -> None:
         """Finish a load whose time has come and that no request holds up."""
         if self.loading and not self.active and trio.current_time() >= self.load_due:
             self.loading = False
             self.version = self.loading_version
-            self.load_held = len(self.loads)
+            self.completed_load = len(self.loads)
 
     # Requests.
 
@@ -326,7 +326,7 @@
         base = [(names.REQUEST_ID, request_id)]
         if self.limit is not None:
             base.append((names.LIMIT, self.limit))
-        if self.says_leaving:
+        if self.announces_leaving:
             base.append((names.LEAVING, "1"))
         expected = headers.get(names.EXPECT_INSTANCE)
         version = headers.get(names.EXPECT_VERSION)
@@ -345,15 +345,17 @@
         self.active += 1
         self.faulty += fault is not None
         try:
-            await sleep_watching(stream, self.wait_seconds)
+            await sleep_while_connected(stream, self.wait_seconds)
             method, target = head.method.decode(), head.target.decode()
             now = trio.current_time()
-            run = Run(request_id, method, target, headers, body, self.version, now, self.load_held)
+            run = Run(
+                request_id, method, target, headers, body, self.version, now, self.completed_load
+            )
             self.runs.append(run)
-            if self.ends_under(body):
+            if self.fails_on(body):
                 await self.end()
             return await self._answer(stream, headers, base, body, fault)
-        except (trio.BrokenResourceError, trio.ClosedResourceError, CallerLeft):
+        except (trio.BrokenResourceError, trio.ClosedResourceError, CallerDisconnected):
             self.cancelled.append(request_id)
             return False
         finally:
@@ -368,7 +370,7 @@
         body: bytes,
         fault: Fault | None,
     ) -> bool:
-        await sleep_watching(stream, self.service_seconds)
+        await sleep_while_connected(stream, self.service_seconds)
         sealed = [*base, (names.SEAL, SEAL)]
         if self.model is not None:
             sealed.append((names.WEIGHT_VERSIONS, str(self.version)))
@@ -378,7 +380,7 @@
             case Fault.CLOSE_BEFORE_HEAD:
                 return False
             case Fault.SILENT:
-                await sleep_watching(stream, float("inf"))
+                await sleep_while_connected(stream, float("inf"))
             case Fault.NOT_HTTP:
                 await stream.send_all(b"\x00\x01 this is no answer\r\n\r\n")
                 return False
@@ -386,36 +388,36 @@
                 await stream.send_all(json_bytes(500, {"error": "own"}, sealed))
                 return True
             case Fault.NO_SEAL:
-                await stream.send_all(whole_bytes(200, base, body))
+                await stream.send_all(response_bytes(200, base, body))
                 return True
             case Fault.WRONG_ID:
                 other = [(names.REQUEST_ID, "another"), (names.SEAL, SEAL)]
-                await stream.send_all(whole_bytes(200, other, body))
+                await stream.send_all(response_bytes(200, other, body))
                 return True
             case Fault.ENCODED:
                 await stream.send_all(
-                    whole_bytes(200, [*sealed, ("content-encoding", "gzip")], body)
+                    response_bytes(200, [*sealed, ("content-encoding", "gzip")], body)
                 )
                 return True
         if self.model is not None:
             return await self._stream(stream, headers, sealed, fault)
-        return await self._whole(stream, sealed, body, fault)
+        return await self._plain_answer(stream, sealed, body, fault)
 
-    async def _whole(
+    async def _plain_answer(
         self,
         stream: trio.SocketStream,
         sealed: list[tuple[str, str]],
         body: bytes,
         fault: Fault | None,
     ) -> bool:
-        answer = whole_bytes(200, sealed, body)
+        answer = response_bytes(200, sealed, body)
         match fault:
             case Fault.CUT_BODY:
                 await stream.send_all(answer[: -max(1, len(body) // 2)])
                 return await reset(stream)
             case Fault.EXTRA_ANSWER:
                 other = [(names.REQUEST_ID, "stray"), (names.SEAL, SEAL)]
-                await stream.send_all(answer + whole_bytes(200, other, b"stray"))
+                await stream.send_all(answer + response_bytes(200, other, b"stray"))
                 return True
             case Fault.UNFRAMED:
                 await stream.send_all(head_bytes(200, [*sealed, ("connection", "close")]) + body)
@@ -442,7 +444,7 @@
         if fault is Fault.CUT_BEFORE_EVENT:
             return await reset(stream)
         for number in range(first, self.events):
-            await sleep_watching(stream, self.event_seconds)
+            await sleep_while_connected(stream, self.event_seconds)
             event = b"id: %d\ndata: %s %d\n\n" % (
                 number,
                 headers[names.REQUEST_ID].encode(),
@@ -459,7 +461,7 @@
             if fault is Fault.CUT_AFTER_EVENT and number == first + 1:
                 return await reset(stream)
             if fault is Fault.STALL and number == first + 1:
-                await sleep_watching(stream, float("inf"))
+                await sleep_while_connected(stream, float("inf"))
         await stream.send_all(b"0\r\n\r\n")
         return True
 
--- a/testing/platformstore.py
+++ b/testing/platformstore.py
@@ -15,7 +15,7 @@
 from headcross_wire.httpserver import Exchange
 
 
-class Mood(Enum):
+class StoreCondition(Enum):
     """How the store treats a machine."""
 
     WELL = "well"
@@ -41,9 +41,11 @@
     page_size: int = 500
     items: dict[str, StoredItem] = field(default_factory=dict)
     revision: int = 0
-    forgotten: int = 0  # changes up to this revision are no longer known
-    mood: Mood = Mood.WELL
-    mood_of: dict[str, Mood] = field(default_factory=dict)  # by the caller's IP number
+    compacted_revision: int = 0  # changes up to this revision are no longer known
+    condition: StoreCondition = StoreCondition.WELL
+    condition_by_ip: dict[str, StoreCondition] = field(
+        default_factory=dict
+    )  # by the caller's IP number
     calls: Counter[str] = field(default_factory=Counter)
     _log: list[tuple[int, str]] = field(default_factory=list)
     _changed: trio.Event = field(default_factory=trio.Event)
@@ -65,16 +67,16 @@
 
     def forget_history(self) -> None:
         """Forget all changes so far."""
-        self.forgotten = self.revision
+        self.compacted_revision = self.revision
         self._wake()
 
-    def set_mood(self, mood: Mood, ips: list[str] | None = None) -> None:
+    def set_condition(self, condition: StoreCondition, ips: list[str] | None = None) -> None:
         """Treat some machines, or all, like this from now on."""
         if ips is None:
-            self.mood = mood
-            self.mood_of.clear()
+            self.condition = condition
+            self.condition_by_ip.clear()
         else:
-            self.mood_of.update(dict.fromkeys(ips, mood))
+            self.condition_by_ip.update(dict.fromkeys(ips, condition))
         self._wake()
 
     async def handle(self, exchange: Exchange) -> None:
@@ -93,16 +95,16 @@
             await exchange.respond_json(404, {"error": "no such call"})
 
     async def _answers(self, exchange: Exchange, ip: str) -> bool:
-        match self.mood_of.get(ip, self.mood):
-            case Mood.WELL:
+        match self.condition_by_ip.get(ip, self.condition):
+            case StoreCondition.WELL:
                 return True
-            case Mood.BUSY:
+            case StoreCondition.BUSY:
                 await exchange.respond_json(503, {"error": "busy"})
-            case Mood.LIMITED:
+            case StoreCondition.LIMITED:
                 await exchange.respond_json(429, {"error": "too many reads"})
-            case Mood.RESET:
+            case StoreCondition.RESET:
                 await exchange.abort()
-            case Mood.SILENT:
+            case StoreCondition.SILENT:
                 await trio.sleep_forever()
         return False
 
@@ -116,15 +118,18 @@
         prefix, after = query["path_prefix"], int(query["after_rev"])
         with trio.move_on_after(int(query["wait_ms"]) / 1000):
             while True:
-                if after < self.forgotten or self.mood_of.get(ip, self.mood) is not Mood.WELL:
+                if (
+                    after < self.compacted_revision
+                    or self.condition_by_ip.get(ip, self.condition) is not StoreCondition.WELL
+                ):
                     break
                 if any(revision > after and key.startswith(prefix) for revision, key in self._log):
                     break
                 await self._changed.wait()
-        if self.mood_of.get(ip, self.mood) is not Mood.WELL:
+        if self.condition_by_ip.get(ip, self.condition) is not StoreCondition.WELL:
             await self._answers(exchange, ip)
             return
-        if after < self.forgotten:
+        if after < self.compacted_revision:
             await exchange.respond_json(410, {"error": "history is gone"})
             return
         changed = {key for revision, key in self._log if revision > after}
--- a/testing/rawhttp.py
+++ b/testing/rawhttp.py
@@ -12,17 +12,17 @@
 RECEIVE_BYTES: Final = 64 * 1024
 
 
-class CallerLeft(Exception):
+class CallerDisconnected(Exception):
     """The caller closed its connection."""
 
 
-async def sleep_watching(stream: trio.SocketStream, seconds: float) -> None:
+async def sleep_while_connected(stream: trio.SocketStream, seconds: float) -> None:
     """Sleep; raise if the caller leaves meanwhile."""
     if seconds <= 0:
         return
     with trio.move_on_after(seconds):
         if not await stream.receive_some(1):
-            raise CallerLeft
+            raise CallerDisconnected
 
 
 async def read_request(
@@ -68,14 +68,14 @@
     return "\r\n".join([*lines, "", ""]).encode()
 
 
-def whole_bytes(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
+def response_bytes(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
     """Return an answer with a length."""
     return head_bytes(status, [*headers, ("content-length", str(len(body)))]) + body
 
 
 def json_bytes(status: int, value: object, headers: list[tuple[str, str]] | None = None) -> bytes:
     """Return an answer whose body is a value in JSON."""
-    return whole_bytes(status, headers or [], msgspec.json.encode(value))
+    return response_bytes(status, headers or [], msgspec.json.encode(value))
 
 
 def chunk_bytes(data: bytes) -> bytes:
--- a/testing/small.py
+++ b/testing/small.py
@@ -54,7 +54,7 @@
 
 
 @dataclass
-class Small:
+class SmallFleet:
     """A running small fleet."""
 
     fleet: Fleet
@@ -86,7 +86,7 @@
     memory: int = 1 << 30,
     checks_fences: bool = True,
     serving: bool = True,
-) -> AsyncIterator[Small]:
+) -> AsyncIterator[SmallFleet]:
     """Run a small fleet; with `serving`, wait until all its hosts serve v1."""
     seed = random.randrange(1 << 30)
     print(f"seed {seed}")
@@ -122,4 +122,4 @@
         if serving:
             await fleet.wait_settled()
             await fleet.wait_serving(text.digests["v1"], hosts)
-        yield Small(fleet, text)
+        yield SmallFleet(fleet, text)
--- a/tests/test_beside_replica.py
+++ b/tests/test_beside_replica.py
@@ -45,10 +45,10 @@
 async def kill_with_order_in_doubt(site: Machines) -> FakeReplica:
     """Kill a daemon whose order for version 2 is delayed; return its replica."""
     replica = model_replica(site).replica
-    replica.orders_kept_back = 1
+    replica.orders_to_hold = 1
     site.name_version(2)
     with trio.fail_after(LOADED_SECONDS):
-        while not replica.kept_orders:
+        while not replica.held_orders:
             await trio.sleep(0.005)
     site.signal("daemon0", signal.SIGKILL)
     await site.wait_exit("daemon0")
@@ -73,7 +73,7 @@
                     replica.staged[put.number] = put.body
             return False
 
-        replica.keeps_back = hold_back
+        replica.drops_call = hold_back
         site.name_version(2)
         await wait_loaded([replica], 3)
         check_loads(site)
@@ -105,7 +105,7 @@
                     replica.staged[put.number] = put.body
             return False
 
-        replica.keeps_back = hold_back
+        replica.drops_call = hold_back
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
             await held_back.wait()
@@ -141,7 +141,7 @@
                     replica.staged[put.number] = put.body
             return False
 
-        replica.keeps_back = hold_back
+        replica.drops_call = hold_back
         site.name_version(2)
         await wait_loaded([replica], 2)
         # Entries need this time to learn of the load.
@@ -169,7 +169,7 @@
                 stopped.set()
             return False
 
-        replica.keeps_back = stop
+        replica.drops_call = stop
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
             await stopped.wait()
@@ -194,7 +194,7 @@
             await trio.sleep(STALL_SECONDS / CHUNKS)
             return False
 
-        replica.keeps_back = read_slowly
+        replica.drops_call = read_slowly
         site.name_version(2)
         await wait_loaded([replica], 2)
         check_loads(site)
@@ -212,7 +212,7 @@
         with trio.move_on_after(LATE_SECONDS):
             while not any(newer[number] == data for number, data in replica.staged.items()):
                 await trio.sleep(0.005)
-        replica.take_kept_orders()
+        replica.take_held_orders()
         await wait_loaded([replica], 3)
         check_loads(site)
 
@@ -240,10 +240,10 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        replica.orders_kept_back = 1
+        replica.orders_to_hold = 1
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
-            while not replica.kept_orders:
+            while not replica.held_orders:
                 await trio.sleep(0.005)
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
@@ -251,7 +251,7 @@
         site.name_version(3)
         site.start("daemon0")
         await trio.sleep(STALL_SECONDS)
-        replica.take_kept_orders()
+        replica.take_held_orders()
         await wait_loaded([replica], 3)
         check_loads(site)
 
@@ -263,20 +263,20 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        replica.orders_kept_back = 1
+        replica.orders_to_hold = 1
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
-            while not replica.kept_orders:
+            while not replica.held_orders:
                 await trio.sleep(0.005)
         silent = True
 
         async def withhold_answer(call: DaemonCall) -> bool:
             return silent
 
-        replica.keeps_back = withhold_answer
+        replica.drops_call = withhold_answer
         corrupt_chunk(replica, 0)
         await trio.sleep(STALL_SECONDS)
-        replica.take_kept_orders()
+        replica.take_held_orders()
         silent = False
         await wait_loaded([replica], 2)
         check_loads(site)
@@ -289,7 +289,7 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        replica.tells_start = False
+        replica.reports_start = False
         incarnations = 1
         read: set[int] = set()
 
@@ -303,7 +303,7 @@
                 return True
             return False
 
-        replica.keeps_back = lose_power
+        replica.drops_call = lose_power
         site.name_version(2)
         await wait_loaded([replica], 2)
         assert incarnations == 2
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -11,10 +11,10 @@
 
 from testing.caller import generate
 from testing.fleet import ADMIN, CONTROL, wait_for
-from testing.small import POOL_PATH, Small, small_fleet
+from testing.small import POOL_PATH, SmallFleet, small_fleet
 
 
-async def fleet_part(small: Small, name: str) -> dict[str, object]:
+async def fleet_part(small: SmallFleet, name: str) -> dict[str, object]:
     state = await small.fleet.state(name)
     part: dict[str, object] = state["documents"]["fleet"] if state else {}
     return part
--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -82,10 +82,10 @@
 async def wait_order_kept_back(site: Machines) -> FakeReplica:
     """Name version 2 and wait until the replica holds its order back; return the replica."""
     replica = model_replica(site).replica
-    replica.orders_kept_back = 1
+    replica.orders_to_hold = 1
     site.name_version(2)
     with trio.fail_after(LOADED_SECONDS):
-        while not replica.kept_orders:
+        while not replica.held_orders:
             await trio.sleep(0.005)
     return replica
 
@@ -97,9 +97,9 @@
     async def answer_no_call(call: object) -> bool:
         return silent
 
-    replica.keeps_back = answer_no_call
+    replica.drops_call = answer_no_call
     await trio.sleep(STALL_SECONDS)
-    replica.take_kept_orders()
+    replica.take_held_orders()
     silent = False
 
 
@@ -110,7 +110,7 @@
             replica = await kill_with_order_in_doubt(site)
             corrupt_chunk(replica, 0)
             await trio.sleep(STALL_SECONDS)
-            replica.take_kept_orders()
+            replica.take_held_orders()
             await trio.sleep(WATCHED_SECONDS)
         check_some_load_was_bad(site)
         check_answers(site)
@@ -123,7 +123,7 @@
             replica = await kill_with_order_in_doubt(site)
             corrupt_chunk(replica, 0)
             await trio.sleep(STALL_SECONDS)
-            replica.take_kept_orders()
+            replica.take_held_orders()
             site.start("daemon0")
             await trio.sleep(WATCHED_SECONDS)
             site.name_version(3)
--- a/tests/test_gateway_lapsed.py
+++ b/tests/test_gateway_lapsed.py
@@ -17,7 +17,7 @@
 from testing.machinecaller import ask
 from testing.machinelayout import PLAIN_SERVICE
 from testing.machines import replicas_of, small_site
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 
 LEAVING_SECONDS = 2.0
 MODEL_REPLICA = Replica(
@@ -147,13 +147,13 @@
         entry = site.callers("entry0")
         for _ in range(4):
             assert (await ask(entry, "/again/x")).status == 200
-        site.store.set_mood(Mood.BUSY)
+        site.store.set_condition(StoreCondition.BUSY)
         with trio.fail_after(15):
             while (await site.state("entry0"))["topics"]["replicas"]["failing"] < 2:
                 assert (await ask(entry, "/again/x")).status == 200
         for replica in replicas_of(site, PLAIN_SERVICE):
             site.unlist(site.replicas[replica.id])
-        site.store.set_mood(Mood.WELL)
+        site.store.set_condition(StoreCondition.WELL)
         # Wait for the state rather than a log line, which rate limiting may suppress.
         with trio.fail_after(15):
             while (await site.state("entry0"))["replicas"]:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -25,7 +25,7 @@
 from testing.machinelayout import MODEL_SERVICE
 from testing.machines import ListedReplica, Machines, small_site
 from testing.platformreplica import FakeReplica
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 from tests.test_machine_weights import wait_loaded, wait_offered
 
 WAIT_SECONDS = 20.0
@@ -174,7 +174,7 @@
         first, *others = listed_models(site)
         await wait_loaded([listed.replica for listed in listed_models(site)], 2)
         if when == "store away":
-            site.store.set_mood(Mood.BUSY)
+            site.store.set_condition(StoreCondition.BUSY)
         if when == "loading":
             site.name_version(3)
             with trio.fail_after(WAIT_SECONDS):
@@ -196,7 +196,7 @@
             await site.restart_replica(first, -2000 if when == "clock set back" else 0)
             if when == "twice":
                 await site.restart_replica(first)
-            site.store.set_mood(Mood.WELL)
+            site.store.set_condition(StoreCondition.WELL)
             newest = max(site.origin.versions)
             await wait_loaded([first.replica], newest)
         # Each load got the complete weights of one version, also in the later incarnation.
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -52,7 +52,7 @@
 from testing.machinecaller import ask
 from testing.machinelayout import MODEL_SERVICE, PLAIN_SERVICE
 from testing.machines import Machines, replicas_of, small_site
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 from tests.test_machine_weights import wait_loaded, wait_offered
 
 IN_FORCE_SECONDS = 15.0
@@ -118,22 +118,29 @@
         assert (await site.state("entry0"))["configuration"] == 2
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.LIMITED, Mood.RESET, Mood.SILENT])
-async def test_the_store_is_followed_again_after_an_outage(tmp_path: Path, mood: Mood) -> None:
+@pytest.mark.parametrize(
+    "mood",
+    [StoreCondition.BUSY, StoreCondition.LIMITED, StoreCondition.RESET, StoreCondition.SILENT],
+)
+async def test_the_store_is_followed_again_after_an_outage(
+    tmp_path: Path, mood: StoreCondition
+) -> None:
     async with small_site(tmp_path, models=0) as site:
-        site.store.set_mood(mood)
+        site.store.set_condition(mood)
         site.change()
         await trio.sleep(0.3)
         assert (await ask(site.callers("entry0"), "/again/x")).status == 200
-        site.store.set_mood(Mood.WELL)
+        site.store.set_condition(StoreCondition.WELL)
         await wait_version(site, "entry0", 2)
 
 
-@pytest.mark.parametrize("mood", [Mood.BUSY, Mood.SILENT])
-async def test_a_process_whose_calls_fail_reads_from_peers(tmp_path: Path, mood: Mood) -> None:
+@pytest.mark.parametrize("mood", [StoreCondition.BUSY, StoreCondition.SILENT])
+async def test_a_process_whose_calls_fail_reads_from_peers(
+    tmp_path: Path, mood: StoreCondition
+) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         rejected_ip = site.machines["entry0"].ip
-        site.store.set_mood(mood, [rejected_ip])
+        site.store.set_condition(mood, [rejected_ip])
         site.change(tenants=[{"name": "team-1", "api_keys": ["other-key"]}])
         await wait_version(site, "entry0", 2)
         assert listings_from_peers(await site.state("entry0")) > 0
@@ -146,7 +153,7 @@
 ) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         late = site.add_entry("late", "z0")
-        site.store.set_mood(Mood.BUSY, [late.ip])
+        site.store.set_condition(StoreCondition.BUSY, [late.ip])
         site.start("late")
         await site.wait_ready("late")
         assert (await ask(site.callers("late"), "/again/x")).status == 200
@@ -156,7 +163,7 @@
     async with small_site(tmp_path, models=0) as site:
         late = site.add_entry("late", "z0")
         site.seeds.clear()
-        site.store.set_mood(Mood.BUSY, [late.ip])
+        site.store.set_condition(StoreCondition.BUSY, [late.ip])
         site.start("late")
         with trio.fail_after(IN_FORCE_SECONDS):
             while not await site.state("late"):
@@ -164,19 +171,19 @@
         assert not await site.ready("late")
         reply = await ask(site.callers("late"), "/again/x")
         assert reply.status == 503 and float(reply.headers[names.RETRY_AFTER]) > 0
-        site.store.set_mood(Mood.WELL)
+        site.store.set_condition(StoreCondition.WELL)
         await site.wait_ready("late")
 
 
 async def test_changes_missing_from_the_history_are_read_by_a_listing(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=0) as site:
         gone = replicas_of(site, PLAIN_SERVICE)[0]
-        site.store.set_mood(Mood.BUSY)
+        site.store.set_condition(StoreCondition.BUSY)
         site.change()
         site.crash_replica(site.replicas[gone.id])
         site.unlist(site.replicas[gone.id])
         site.store.forget_history()
-        site.store.set_mood(Mood.WELL)
+        site.store.set_condition(StoreCondition.WELL)
         await wait_version(site, "entry0", 2)
         with trio.fail_after(IN_FORCE_SECONDS):
             while len((await site.state("entry0"))["replica_states"]) != 1:
--- a/tests/test_machine_weights.py
+++ b/tests/test_machine_weights.py
@@ -269,7 +269,7 @@
 async def test_corrupt_digests_are_not_used(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
-        site.origin.spoilt_digests = 1
+        site.origin.corrupt_digests = 1
         site.name_version(2)
         await wait_loaded(replicas_of(site, MODEL_SERVICE), 2)
         check_loads(site)
--- a/tests/test_news_after_outage.py
+++ b/tests/test_news_after_outage.py
@@ -17,7 +17,7 @@
 from testing.machinecaller import ask
 from testing.machinelayout import PLAIN_SERVICE
 from testing.machines import Machines, running_machines, small_site
-from testing.platformstore import Mood
+from testing.platformstore import StoreCondition
 from tests.test_machine_facts import wait_version
 
 BOUNDS = FactBounds()
@@ -50,13 +50,13 @@
     """There is only one entry, so that it cannot get the change from a peer."""
     async with small_site(tmp_path, models=0) as site:
         if silence == "long":
-            site.store.set_mood(Mood.SILENT)
+            site.store.set_condition(StoreCondition.SILENT)
             await wait_new_call(site, "entry0", lost=True)
         else:
             await wait_new_call(site, "entry0", lost=False)
-            site.store.set_mood(Mood.SILENT)
+            site.store.set_condition(StoreCondition.SILENT)
             await trio.sleep(SHORT_SILENCE_SECONDS)
-        site.store.set_mood(Mood.WELL)
+        site.store.set_condition(StoreCondition.WELL)
         back_at = trio.current_time()
         added = {**site.configuration["routes"][2], **NEW_ROUTE}
         site.change(routes=[*site.configuration["routes"], added])
@@ -76,12 +76,12 @@
         site.start("entry0")
         await site.wait_ready("entry0")
         site.seeds.clear()  # entry0 cannot ask peers
-        site.store.set_mood(Mood.BUSY)
+        site.store.set_condition(StoreCondition.BUSY)
         site.start("late")
         await trio.sleep(OUTAGE_SECONDS)
         assert (await site.state("late"))["configuration"] is None
-        site.store.set_mood(Mood.WELL, [late.ip])
-        site.store.set_mood(Mood.BUSY, [site.machines["entry0"].ip])
+        site.store.set_condition(StoreCondition.WELL, [late.ip])
+        site.store.set_condition(StoreCondition.BUSY, [site.machines["entry0"].ip])
         site.change()
         await wait_version(site, "late", 2)
         with trio.fail_after(BOUNDS.configuration):
--- a/tests/test_orders_in_doubt.py
+++ b/tests/test_orders_in_doubt.py
@@ -21,7 +21,7 @@
 async def wait_kept_order(replica: FakeReplica) -> None:
     """Wait until a replica holds back an order."""
     with trio.fail_after(LOADED_SECONDS):
-        while not replica.kept_orders:
+        while not replica.held_orders:
             await trio.sleep(0.005)
 
 
@@ -42,7 +42,7 @@
         site.origin.seconds_per_chunk = 0.03
         (listed,) = (r for r in site.replicas.values() if r.service == MODEL_SERVICE)
         replica = listed.replica
-        replica.orders_kept_back = 1
+        replica.orders_to_hold = 1
         if holds == "nothing":
             await site.restart_replica(listed)
             newer = 2
@@ -52,6 +52,6 @@
         await wait_kept_order(replica)
         site.name_version(newer)
         await wait_staged(site, replica, newer)
-        replica.take_kept_orders()
+        replica.take_held_orders()
         await wait_loaded([replica], newer)
         check_loads(site)
--- a/tests/test_recovery_moments.py
+++ b/tests/test_recovery_moments.py
@@ -68,7 +68,7 @@
             await wait_started(site, 2)
             await trio.sleep(REPAIR_SECONDS)
             await trio.sleep_until(killed_at + history.turns_bad + ALLOWED_SECONDS)
-        replica.take_kept_orders()
+        replica.take_held_orders()
         assert replica.loads, "the order was not taken"
         check_loads(site)
 
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -39,7 +39,7 @@
 from hypothesis import given, settings
 from hypothesis import strategies as st
 
-from testing.latereplica import CHUNKS, LATE_SECONDS, MODEL, LateReplica, Trouble, chunk_of
+from testing.latereplica import CHUNKS, LATE_SECONDS, MODEL, FaultRates, LateReplica, chunk_of
 
 ADDRESS = Address("10.0.0.1", 80)
 SERVICE = "lm"
@@ -164,7 +164,7 @@
         assert isinstance(message, ReplicaLoad)
         version = message.confirmed.get(MODEL)
         if not replica.whole and message.reachable and version == replica.loaded:
-            replica.false_words.append(f"{trio.current_time():.2f}: version {version}")
+            replica.false_confirmations.append(f"{trio.current_time():.2f}: version {version}")
         return True
 
     while True:
@@ -205,13 +205,13 @@
     return facts
 
 
-def draw_trouble(generator: random.Random) -> Trouble:
+def draw_fault_rates(generator: random.Random) -> FaultRates:
     """Draw the rate of each kind of fault; about half of the kinds are left out."""
 
     def some(most: float) -> float:
         return generator.uniform(0, most) if generator.random() < 0.5 else 0.0
 
-    return Trouble(
+    return FaultRates(
         lost=some(0.2),
         unanswered=some(0.2),
         late=some(0.3),
@@ -227,7 +227,7 @@
     """The parameters of one run; those that are None are drawn from the seed."""
 
     seed: int
-    trouble: Trouble | None = None
+    fault_rates: FaultRates | None = None
     restarts: float | None = None  # restarts of the process per second
     ends: bool = True  # whether the newest version must be loaded at the end
     # Whether to leave out faults during which no process can repair a chunk that turns bad: the
@@ -243,15 +243,15 @@
     facts = facts_of_one_replica()
     version = 1
     async with trio.open_nursery() as nursery:
-        trouble = history.trouble or draw_trouble(generator)
+        fault_rates = history.fault_rates or draw_fault_rates(generator)
         restarts = history.restarts or generator.choice([0.0, 0.0, RESTARTS])
-        if trouble.rot and history.narrowed:
-            trouble = replace(trouble, orders_only=True)
+        if fault_rates.rot and history.narrowed:
+            fault_rates = replace(fault_rates, orders_only=True)
         restarted = Restarts(restarts)
-        if trouble.rot and history.narrowed:
+        if fault_rates.rot and history.narrowed:
             restarted = Restarts(restarts, min_uptime=4.0, longest_pause=0.5)
-        replica = LateReplica(generator, nursery, trouble)
-        nursery.start_soon(replica.run_troubles)
+        replica = LateReplica(generator, nursery, fault_rates)
+        nursery.start_soon(replica.inject_faults)
         nursery.start_soon(
             restart_at_random,
             lambda: run_daemon(replica, facts, generator),
@@ -263,7 +263,7 @@
             await trio.sleep(generator.uniform(0.5, 8.0))
             version += 1
             facts.record_named_version(MODEL, version, 0.0)
-        replica.trouble = Trouble()
+        replica.fault_rates = FaultRates()
         with trio.move_on_after(CALM_SECONDS if history.ends else 0):
             while replica.loaded != version:
                 await trio.sleep(0.1)
@@ -303,7 +303,7 @@
 def test_no_history_confirms_a_bad_load(seed: int) -> None:
     """Includes the faults under which a bad load cannot be prevented."""
     replica = run_history(History(seed, narrowed=False, ends=False))
-    assert not replica.false_words, f"seed {seed}: {replica.false_words[:3]}"
+    assert not replica.false_confirmations, f"seed {seed}: {replica.false_confirmations[:3]}"
 
 
 def test_a_version_named_right_after_the_start_does_not_wait_for_earlier_processes() -> None:
@@ -312,7 +312,7 @@
     async def start() -> None:
         generator, facts = random.Random(1), facts_of_one_replica()
         async with trio.open_nursery() as nursery:
-            replica = LateReplica(generator, nursery, Trouble())
+            replica = LateReplica(generator, nursery, FaultRates())
             nursery.start_soon(run_daemon, replica, facts, generator, 4.0)
             await trio.sleep(0.5)
             facts.record_named_version(MODEL, 2, 0.0)
@@ -338,13 +338,13 @@
 
 # Guards to disable, each with faults under which versions soon get mixed, and a restart rate.
 MISTAKES = {
-    "stages too early": (Trouble(late=0.3), None),
-    "forgets an earlier process": (Trouble(late=0.2), 0.3),
+    "stages too early": (FaultRates(late=0.3), None),
+    "forgets an earlier process": (FaultRates(late=0.2), 0.3),
     "lets turn bad what an earlier process ordered": (
-        Trouble(late=0.3, rot=1.0, orders_only=True),
+        FaultRates(late=0.3, rot=1.0, orders_only=True),
         0.3,
     ),
-    "forgets the puts of an earlier process": (Trouble(late=0.3), 0.3),
+    "forgets the puts of an earlier process": (FaultRates(late=0.3), 0.3),
 }
 
 
@@ -360,9 +360,10 @@
             monkeypatch.setattr(Recovery, "_keep_whole", never_done)
         case "forgets the puts of an earlier process":
             monkeypatch.setattr(InDoubtCalls, "earlier_put_may_land", never)
-    trouble, restarts = MISTAKES[mistake]
+    fault_rates, restarts = MISTAKES[mistake]
     assert any(
-        run_history(History(seed, trouble, restarts, ends=False)).violations for seed in range(60)
+        run_history(History(seed, fault_rates, restarts, ends=False)).violations
+        for seed in range(60)
     )
 
 
@@ -374,7 +375,7 @@
     monkeypatch.setattr(Recovery, "_keep_whole", never_done)
     if not reads_back:
         monkeypatch.setattr(Confirmation, "note_read_back", lambda self, *about: self._confirm())
-    trouble = Trouble(late=0.3, rot=1.0, orders_only=True)
-    played = [run_history(History(seed, trouble, 0.3, ends=False)) for seed in range(60)]
+    fault_rates = FaultRates(late=0.3, rot=1.0, orders_only=True)
+    played = [run_history(History(seed, fault_rates, 0.3, ends=False)) for seed in range(60)]
     assert any(replica.violations for replica in played)
-    assert any(replica.false_words for replica in played) != reads_back
+    assert any(replica.false_confirmations for replica in played) != reads_back
--- a/tests/test_replica_leaving.py
+++ b/tests/test_replica_leaving.py
@@ -61,7 +61,7 @@
     models, plain = (4, 1) if service == MODEL_SERVICE else (1, 4)
     async with small_site(tmp_path, models=models, plain=plain, entries=2) as site:
         leaving, *_ = replicas_of(site, service)
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         for entry in ("entry0", "entry1"):
             # The other entry may have passed on the announcement already.
             with trio.move_on_after(DRAIN_SECONDS):
@@ -77,7 +77,7 @@
 async def test_an_entry_learns_from_another_that_a_replica_leaves(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=3, plain=1, entries=2) as site:
         leaving, *_ = replicas_of(site, MODEL_SERVICE)
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         await ask_until_answered_by(site, "/stream/x", leaving, "entry0")
         announced_at = trio.current_time()
         replies = await keep_asking(site, "/stream/x", ["entry1"], LEAVING_SECONDS)
@@ -90,7 +90,7 @@
 ) -> None:
     async with small_site(tmp_path, models=3, plain=1, entries=2) as site:
         leaving, *_ = replicas_of(site, MODEL_SERVICE)
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         await ask_until_answered_by(site, "/stream/x", leaving, "entry0")
         site.signal("entry1", signal.SIGKILL)
         await site.wait_exit("entry1")
@@ -105,9 +105,9 @@
 async def test_a_replica_that_starts_again_after_it_left_gets_requests(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=0, plain=1, entries=1) as site:
         (leaving,) = replicas_of(site, PLAIN_SERVICE)
-        leaving.says_leaving = True
+        leaving.announces_leaving = True
         await ask_until_answered_by(site, "/again/x", leaving, "entry0")
-        leaving.says_leaving = False
+        leaving.announces_leaving = False
         await site.restart_replica(site.replicas[leaving.id])
         await ask_until_answered_by(site, "/again/x", leaving, "entry0")
 
@@ -122,7 +122,7 @@
         if in_reports:
             leaving.reports_leaving = True
         else:
-            leaving.says_leaving = True
+            leaving.announces_leaving = True
             await ask_until_answered_by(site, "/stream/x", leaving, "entry0")
         with trio.fail_after(WAIT_SECONDS):
             while not [li for li in site.log("daemon0") if li["message"] == "replica leaves"]:
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -9,18 +9,18 @@
 
 from testing.caller import Reply, check_tokens, generate, send
 from testing.fleet import HTTP, wait_for
-from testing.small import POOL_PATH, SERVICE_PATH, Small, small_fleet
+from testing.small import POOL_PATH, SERVICE_PATH, SmallFleet, small_fleet
 
 NO = [("headcross-repeatable", "no")]
 YES = [("headcross-repeatable", "yes")]
 TOKENS = 40
 
 
-def runs_of(small: Small, prompt: str) -> int:
+def runs_of(small: SmallFleet, prompt: str) -> int:
     return sum(run.prompt == prompt for e in small.fleet.engines().values() for run in e.runs)
 
 
-async def wait_run(small: Small, prompt: str) -> str:
+async def wait_run(small: SmallFleet, prompt: str) -> str:
     """Wait until an engine runs a prompt; return its host."""
     found: list[str] = []
 
@@ -34,7 +34,7 @@
     return found[0]
 
 
-async def generate_while(small: Small, headers: list[tuple[str, str]], act) -> Reply:  # type: ignore[no-untyped-def]  # noqa: ANN001
+async def generate_while(small: SmallFleet, headers: list[tuple[str, str]], act) -> Reply:  # type: ignore[no-untyped-def]  # noqa: ANN001
     """Request a stream and call `act` with the host that serves it; return the reply."""
     replies: list[Reply] = []
 
@@ -274,7 +274,7 @@
         await trio.sleep_forever()
 
 
-def resident_bytes(small: Small) -> int:
+def resident_bytes(small: SmallFleet) -> int:
     """Return the resident memory of the entry and the daemon together."""
     total = 0
     for name in ("entry0", "host0"):
--- a/tests/test_requests_that_end_replicas.py
+++ b/tests/test_requests_that_end_replicas.py
@@ -64,7 +64,7 @@
         for listed in site.replicas.values():
             if listed.service == service:
                 listed.replica.ending = ending
-                listed.replica.ends_under = lambda body: body == CRASHING
+                listed.replica.fails_on = lambda body: body == CRASHING
         site.nursery.start_soon(site.revive_replicas, service, RESTART_SECONDS)
         yield site
 
@@ -188,7 +188,7 @@
     async with small_site(tmp_path, models=6, plain=1, entries=2, daemons=True) as site:
         replicas = replicas_of(site, MODEL_SERVICE)
         for replica in replicas:
-            replica.ends_under = lambda body: body == CRASHING
+            replica.fails_on = lambda body: body == CRASHING
         await wait_offered(site)
         await bar_crashing_request(site)
         before = len(crashing_runs(site))
@@ -220,7 +220,7 @@
         ]
         site.change(tenants=teams)
         for replica in replicas_of(site, MODEL_SERVICE):
-            replica.ends_under = lambda body: body.startswith(CRASHING)
+            replica.fails_on = lambda body: body.startswith(CRASHING)
         with trio.fail_after(WAIT_SECONDS):
             for entry in ("entry0", "entry1"):
                 while (await ask(site.callers(entry), "/stream/x", key=OTHER_KEY)).status != 200:
@@ -253,7 +253,7 @@
 ) -> None:
     async with small_site(tmp_path, models=4, plain=0) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
-            replica.ends_under = lambda body: body == CRASHING
+            replica.fails_on = lambda body: body == CRASHING
             replica.wait_seconds = 1.0
         replies: list[Reply] = []
 
--- a/tests/test_rollout.py
+++ b/tests/test_rollout.py
@@ -7,7 +7,7 @@
 
 from testing.caller import generate
 from testing.fleet import Fleet, wait_for
-from testing.small import POOL_PATH, Small, small_fleet
+from testing.small import POOL_PATH, SmallFleet, small_fleet
 
 
 class Sampler:
@@ -159,7 +159,7 @@
         assert not mismatched_engine.runs
 
 
-async def check_resumed_daemon(small: Small) -> None:
+async def check_resumed_daemon(small: SmallFleet) -> None:
     """Pause host0 during two version changes and resume it; it must not order the first one."""
     paused = small.fleet.engines()["host0"]
     small.fleet.kill("host0", signal.SIGSTOP)
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -298,12 +298,12 @@
     versions = {1: [b"1a", b"1b"], 2: [b"2a", b"2b"]}
     replica = FakeReplica("i-1", model="m")
     replica.staged = dict(enumerate(versions[2]))
-    replica.kept_orders.append({"op": "start", "version": 2})
-    replica.take_kept_orders()
+    replica.held_orders.append({"op": "start", "version": 2})
+    replica.take_held_orders()
     assert not list(find_mixed_loads([replica], versions, 9.0))
     replica.staged[1] = versions[1][1]
-    replica.kept_orders.append({"op": "start", "version": 2})
-    replica.take_kept_orders()
+    replica.held_orders.append({"op": "start", "version": 2})
+    replica.take_held_orders()
     (found,) = find_mixed_loads([replica], versions, 9.0)
     assert (found.subject, found.detail) == ("i-1", "version 2")
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -8,13 +8,13 @@
 
 from testing.caller import check_tokens, generate, send
 from testing.fleet import HTTP
-from testing.small import POOL_PATH, SERVICE_PATH, Small, small_fleet
+from testing.small import POOL_PATH, SERVICE_PATH, SmallFleet, small_fleet
 
 MAX_IN_FLIGHT = 40
 TOKENS = 60
 
 
-async def generate_steadily(small: Small, act: Callable[[], Awaitable[None]]) -> list[str]:
+async def generate_steadily(small: SmallFleet, act: Callable[[], Awaitable[None]]) -> list[str]:
     """Request streams from all entries while `act` runs; return descriptions of the failures."""
     problems: list[str] = []
     stopped = False
@@ -136,7 +136,7 @@
         assert statuses == [200] * 6
 
 
-async def generate_during_pause(small: Small, paused: str, seconds: float) -> list[str]:
+async def generate_during_pause(small: SmallFleet, paused: str, seconds: float) -> list[str]:
     """Request long repeatable streams and pause a process meanwhile; return their results."""
     digest = small.text.digests["v1"]
     results: list[str] = []
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -12,7 +12,7 @@
 
 from testing.caller import generate
 from testing.fleet import Fleet, wait_for
-from testing.small import CHUNK_BYTES, KIB, POOL_PATH, WEIGHTS_BYTES, Small, small_fleet
+from testing.small import CHUNK_BYTES, KIB, POOL_PATH, WEIGHTS_BYTES, SmallFleet, small_fleet
 
 MIB = 1024 * KIB
 SLOW_LINK = 256 * KIB  # bytes a second; a transfer of 1 MiB then takes some seconds
@@ -22,7 +22,7 @@
     return not any(w.digest == digest for e in fleet.engines().values() for w in e.loaded)
 
 
-async def wait_transfer(small: Small, name: str, share: float) -> None:
+async def wait_transfer(small: SmallFleet, name: str, share: float) -> None:
     """Wait until a host has at least a share of its weights, but not all."""
 
     async def is_partial() -> bool:
@@ -32,7 +32,7 @@
     await wait_for(is_partial, f"{name} at {share}", poll=0.01)
 
 
-async def wait_transfer_anywhere(small: Small, share: float) -> None:
+async def wait_transfer_anywhere(small: SmallFleet, share: float) -> None:
     """Wait until any host has a share of its weights; hosts may start seconds apart."""
     hosts = [name for name, node in small.fleet.nodes.items() if node.spec.role == "upstream"]
 
@@ -44,7 +44,7 @@
     await wait_for(is_partial, f"a host at {share}", poll=0.01)
 
 
-async def wait_no_transfer(small: Small, digest: str) -> None:
+async def wait_no_transfer(small: SmallFleet, digest: str) -> None:
     """Wait until no host has a transfer of the given weights."""
     hosts = [name for name, node in small.fleet.nodes.items() if node.spec.role == "upstream"]
 
@@ -55,7 +55,7 @@
     await wait_for(ended, f"no transfer of {digest[:12]}", poll=0.01)
 
 
-def reads_of(small: Small, weights: str) -> int:
+def reads_of(small: SmallFleet, weights: str) -> int:
     """Return how many chunk reads of the given weights the origin received."""
     requests = small.fleet.origin.requests.items()
     return sum(count for (name, _), count in requests if name == weights)
