--- a/testing/engine.py
+++ b/testing/engine.py
@@ -1,7 +1,7 @@
-"""A stand-in of a model engine: loads weights from its daemon, streams tokens, keeps a ledger.
+"""A fake model engine that loads weights from its daemon, streams tokens and records requests.
 
-A token is a function of (weights digest, prompt, index), so that a caller can check that a whole
-answer came from one version, and that a resumed one goes on where it broke.
+A token is a function of (weights digest, prompt, index). A caller can therefore check that all of
+an answer came from one version, and that a resumed answer continues where it was cut.
 """
 
 import contextlib
@@ -22,7 +22,7 @@
 
 @dataclass
 class Run:
-    """One request that the engine ran."""
+    """A request that the engine ran."""
 
     request: str
     prompt: str
@@ -31,7 +31,7 @@
 
 
 class Generate(msgspec.Struct):
-    """A caller's request to a model."""
+    """The body of a request to a model."""
 
     prompt: str
     max_tokens: int = 4
@@ -39,13 +39,13 @@
 
 
 def token(digest: str, prompt: str, index: int) -> str:
-    """Return one token of an answer."""
+    """Return the token at an index of an answer."""
     text = f"{digest} {prompt} {index}".encode()
     return f"{digest[:8]}.{index}.{hashlib.blake2b(text, digest_size=4).hexdigest()}"
 
 
 class FakeEngine:
-    """One engine."""
+    """An engine; its attributes configure delays, capacity and faults."""
 
     def __init__(self, checks_fences: bool = True) -> None:
         self.checks_fences = checks_fences
@@ -58,13 +58,13 @@
         self.running = 0
         self.token_seconds = 0.005
         self.load_seconds = 0.2
-        self.report_digest: str | None = None  # reported instead of the true one
-        self.break_after: int | None = None  # tokens after which the next stream is cut
+        self.report_digest: str | None = None  # digest to report instead of the loaded one
+        self.break_after: int | None = None  # cuts the next stream after this many tokens
         self.cancelled = 0
         self.down = False
-        self.order_answer_seconds = 0.0  # how late the answer to an order comes
-        self.verifies_chunks = True  # fetch and verify every chunk, not only the manifest
-        # Capacity: requests at once, and the cost of a prompt whose prefix is not cached.
+        self.order_answer_seconds = 0.0  # delay of the answer to an order
+        self.verifies_chunks = True  # fetches and verifies all chunks, not only the manifest
+        # Capacity: concurrent requests, and the cost of a prompt whose prefix is not cached.
         self.slots = trio.CapacityLimiter(10_000)
         self.prefill_seconds = 0.0
         self.cached_prefixes = 0
@@ -73,7 +73,7 @@
         self._loads = 0
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer a request for the state, an order or a generation."""
         if self.down:
             await exchange.respond(500, [], b"down")
             return
@@ -128,7 +128,7 @@
             self.loaded, self.loading = loaded, False
 
     async def _fetch(self, source: str, artifact: str) -> str | None:
-        """Fetch and verify an artifact; return the digest of what really came."""
+        """Fetch and verify an artifact; return its manifest's digest, or None on failure."""
         manifest = await self._get(source, f"/artifacts/{artifact}/manifest.json")
         if manifest is None:
             return None
@@ -171,7 +171,7 @@
             self.cancelled += not run.finished
 
     async def _prefill(self, prompt: str) -> None:
-        """Spend the time a prompt takes; a cached prefix (the part before a colon) is free."""
+        """Sleep for the prefill time, unless the prefix (the part before a colon) is cached."""
         prefix = prompt.partition(":")[0]
         if prefix in self._prefixes:
             self.prefix_hits += 1
@@ -192,7 +192,7 @@
         for index in range(first, asked.max_tokens):
             if self.break_after is not None and index - first >= self.break_after:
                 self.break_after = None
-                raise CallerGone("the engine breaks its stream, as told")
+                raise CallerGone("stream cut by fault injection (break_after)")
             await trio.sleep(self.token_seconds)
             text = token(digest, asked.prompt, index)
             await exchange.send(f"id: {index}\ndata: {text}\n\n".encode())
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -1,7 +1,8 @@
-"""A whole fleet on loopback: real daemons, stand-ins of the platform, proxies if asked for.
+"""A test harness that runs a fleet of real daemons on loopback against a fake platform.
 
-Every host has an IP number of its own in 127.0.0.0/8, in a block picked at random and checked to
-be free, so that runs do not meet; ports are then the same on every host.
+Every host has an IP address of its own in 127.0.0.0/8, in a randomly chosen block so that
+concurrent runs do not collide; the ports are the same on every host. Optionally, fault-injecting
+proxies stand before the daemons' listeners.
 """
 
 import json
@@ -36,22 +37,24 @@
 
 @dataclass
 class Spec:
-    """One host to be started."""
+    """The specification of a host."""
 
     name: str
     role: str
     zone: str
     region: str
-    service: str = ""  # of a plain upstream
+    service: str = ""  # plain service of the upstream; empty for a model upstream
     checks_fences: bool = True
-    settings: str = ""  # more TOML, after the tables the harness writes
-    upstream: str = ""  # more TOML in the upstream's table
-    module: str = "headcross_daemon.main"  # what is run
+    settings: str = (
+        ""  # TOML to append to the generated settings, replacing the default [stop] table
+    )
+    upstream: str = ""  # TOML to append to the [[upstreams]] table
+    module: str = "headcross_daemon.main"  # module to run as the daemon
 
 
 @dataclass
 class Node:
-    """One host of a running fleet."""
+    """A host of a running fleet."""
 
     spec: Spec
     ip: str
@@ -62,13 +65,13 @@
     listed: bool = True
 
     def address(self, port: int) -> Address:
-        """Return one of the host's addresses."""
+        """Return the host's address for a port."""
         return Address(self.ip, port)
 
 
 @dataclass
 class Fleet:
-    """A running fleet."""
+    """A running fleet with its platform."""
 
     directory: Path
     block: str
@@ -77,20 +80,20 @@
     config: FakeConfigService = field(default_factory=FakeConfigService)
     origin: FakeOrigin = field(default_factory=FakeOrigin)
     nodes: dict[str, Node] = field(default_factory=dict)
-    # The fault between two IP numbers, source first.
+    # Returns the fault to inject between a source and a target IP address.
     fault_of: Callable[[str, str], Fault] = lambda source, target: "pass"
     uplink: float = 0.0
     downlink: float = 0.0
     memory: int = 1 << 30
 
     async def serve(self, handler: HttpHandler, address: Address) -> None:
-        """Run a stand-in's listener in the background."""
+        """Run an HTTP server for a fake in the background."""
         server = HttpServer(handler, ServerLimits(max_body_bytes=MAX_BYTES))
         listeners, _ = await server.listen(address)
         self.nursery.start_soon(server.serve, listeners)
 
     async def add(self, spec: Spec) -> Node:
-        """Prepare a host: its stand-in, its proxies; the daemon is started by `start`."""
+        """Add a host with its fakes and proxies; `start` starts its daemon."""
         node = Node(spec, f"127.{self.block}.{len(self.nodes) + 2}")
         self.nodes[spec.name] = node
         if spec.role == "upstream" and spec.service:
@@ -110,13 +113,13 @@
         return node
 
     def start(self, name: str) -> None:
-        """Start a host's daemon."""
+        """Write a host's settings file and start its daemon."""
         node = self.nodes[name]
         (self.directory / f"{name}.toml").write_text(self._settings(node))
         self.start_again(name)
 
     def start_again(self, name: str) -> None:
-        """Start a host's daemon with the settings file as it is."""
+        """Start a host's daemon with its existing settings file."""
         node = self.nodes[name]
         path = self.directory / f"{name}.toml"
         log = (self.directory / f"{name}.log").open("ab")
@@ -125,13 +128,13 @@
         log.close()
 
     def kill(self, name: str, number: int = signal.SIGKILL) -> None:
-        """Send a signal to a host's daemon."""
+        """Send a signal, SIGKILL by default, to a host's daemon."""
         process = self.nodes[name].process
         assert process is not None
         os.kill(process.pid, number)
 
     async def wait_exit(self, name: str) -> int:
-        """Wait for a daemon to end; return its exit code."""
+        """Wait until a daemon has exited; return its exit code."""
         process = self.nodes[name].process
         assert process is not None
         while process.poll() is None:
@@ -139,16 +142,16 @@
         return process.returncode
 
     def publish_hosts(self) -> int:
-        """Publish the host list as it is."""
+        """Publish the current host list; return its revision."""
         hosts = [self._host(node) for node in self.nodes.values() if node.listed]
         return self.config.publish("hosts", json.dumps({"hosts": hosts}).encode())
 
     def publish_fleet(self, text: str, revision: int | None = None) -> int:
-        """Publish a fleet file."""
+        """Publish a fleet file; return its revision."""
         return self.config.publish("fleet", text.encode(), revision)
 
     async def state(self, name: str) -> dict[str, Any]:
-        """Return a daemon's dump; empty if it does not answer."""
+        """Return a daemon's state dump; empty if it does not answer within 3 s."""
         outcome = await call(
             self.nodes[name].address(ADMIN), "GET", "/v1/state", seconds=3, max_bytes=MAX_BYTES
         )
@@ -158,20 +161,20 @@
         return state
 
     def names(self, role: str) -> list[str]:
-        """Return the hosts of a role."""
+        """Return the names of the hosts with a role."""
         return [name for name, node in self.nodes.items() if node.spec.role == role]
 
     def engines(self) -> dict[str, FakeEngine]:
-        """Return the engines by host."""
+        """Return the engines by host name."""
         return {n: node.engine for n, node in self.nodes.items() if node.engine is not None}
 
     async def wait_revision(self, revision: int, names: list[str] | None = None) -> None:
-        """Wait until a fleet file is in force at all daemons."""
+        """Wait until daemons, all by default, use a fleet file of at least this revision."""
         for name in names or list(self.nodes):
             await wait_for(partial(self._has_revision, name, revision), f"{name}@{revision}")
 
     async def wait_settled(self) -> None:
-        """Wait until every daemon takes work."""
+        """Wait until every daemon reports that it has settled."""
         for name in self.nodes:
 
             async def settled(name: str = name) -> bool:
@@ -180,7 +183,7 @@
             await wait_for(settled, f"{name} settled")
 
     async def wait_serving(self, digest: str, count: int) -> None:
-        """Wait until so many upstreams serve a digest, as an entry sees it."""
+        """Wait until an entry sees at least `count` upstreams serving a digest."""
         entry = self.names("entry")[0]
 
         async def enough() -> bool:
@@ -247,7 +250,7 @@
         return text + (spec.settings or "[stop]\nnotice_seconds = 0.5\ndrain_seconds = 20\n")
 
     def platform(self, port: int) -> Address:
-        """Return where a stand-in of the platform listens."""
+        """Return the address of a fake of the platform."""
         return Address(f"127.{self.block}.1", port)
 
 
@@ -262,7 +265,7 @@
     memory: int = 1 << 30,
     origin_rate: float = 0.0,
 ) -> AsyncIterator[Fleet]:
-    """Prepare a fleet with its platform; daemons still alive at the end are killed."""
+    """Set up a fleet and its platform; daemons still running at the end are killed."""
     block = f"{random.randrange(2, 250)}.{random.randrange(1, 250)}"
     SOURCE_IP.set(f"127.{block}.1")
     async with trio.open_nursery() as nursery:
@@ -287,7 +290,11 @@
 async def wait_for(
     condition: Callable[[], Any], what: str, seconds: float = 30.0, poll: float = 0.05
 ) -> None:
-    """Wait until an async condition holds; fail with `what` if it never does."""
+    """Poll an async condition until it holds.
+
+    Raises:
+        AssertionError: It did not hold within `seconds`; the text names `what`.
+    """
     with trio.move_on_after(seconds):
         while not await condition():
             await trio.sleep(poll)
--- a/testing/machines.py
+++ b/testing/machines.py
@@ -1,7 +1,7 @@
-"""The new machines on loopback: real processes of headcross, stand-ins of their platform.
+"""A test harness that runs real headcross processes on loopback against a fake platform.
 
-Every machine has an IP number of its own, in a block picked at random; ports are the same on all.
-Replicas live in the test's own process and are listed in the store like the platform does.
+Every host has an IP address of its own in a randomly chosen block; the ports are the same on all
+hosts. Replicas run in the test process, which lists them in the store as the platform does.
 """
 
 import os
@@ -52,7 +52,7 @@
 
 @dataclass
 class Machine:
-    """One machine with a process of the system."""
+    """A host with one headcross process."""
 
     name: str
     ip: str
@@ -63,7 +63,7 @@
 
 @dataclass
 class ListedReplica:
-    """A replica with its place in the list."""
+    """A replica with its address and its entry in the replica list."""
 
     replica: FakeReplica
     ip: str
@@ -71,17 +71,17 @@
     service: str
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
     ended: trio.Event = field(default_factory=trio.Event)
-    writes_entry: bool = True  # whether it keeps its entry in the list as it is now
+    writes_entry: bool = True  # whether its entry in the list is kept current
 
     @property
     def address(self) -> Address:
-        """Where it takes requests."""
+        """The address at which it accepts requests."""
         return Address(self.ip, REPLICA)
 
 
 @dataclass
 class Machines:
-    """A running set of machines."""
+    """A running set of hosts with their platform."""
 
     directory: Path
     block: str
@@ -92,22 +92,22 @@
     replicas: dict[str, ListedReplica] = field(default_factory=dict)
     configuration: dict[str, Any] = field(default_factory=default_configuration)
     seeds: list[str] = field(default_factory=list)
-    link_mbits: float = 1000.0  # of the machines beside replicas
+    link_mbits: float = 1000.0  # of the hosts of replicas
     entry_link_mbits: float = 1000.0
     weights_ms: float = 8000.0
     stop_seconds: float = 4.0
     mirrors: bool = True  # whether entries mirror weights
     entry_memory_mb: float = 200.0
-    # With a block of private IP numbers everything listens there, and whoever opened the machines
-    # stands between: others dial the public numbers. Empty: everything listens in public.
+    # If set, all listeners bind to addresses of this private block, and the caller of
+    # `running_machines` runs proxies between them and the public addresses that clients use.
     private_block: str = ""
-    listing_seconds: float = 0.01  # how often replicas look whether their entry has changed
+    listing_seconds: float = 0.01  # interval at which entries in the list are updated
     _numbers: int = 10
 
     # The platform.
 
     async def open_platform(self) -> None:
-        """Start the store and the origin."""
+        """Start the store and the origin, and publish the configuration."""
         server = HttpServer(
             self.store.handle, ServerLimits(cancel_on_eof=True, max_body_bytes=1024)
         )
@@ -119,27 +119,27 @@
         self.publish()
 
     def address(self, port: int) -> Address:
-        """Return an address of the platform."""
+        """Return the address of a platform service."""
         return Address(f"127.{self.block}.1", port)
 
     def private(self, address: Address) -> Address:
-        """Return where the listener of a public address really is."""
+        """Return the address that the listener of a public address binds to."""
         if not self.private_block:
             return address
         return Address(address.ip.replace(self.block, self.private_block, 1), address.port)
 
     def publish(self) -> int:
-        """Publish the configuration as it stands; return the store's revision."""
+        """Publish the current configuration; return the store's revision."""
         return self.store.put(names.CONFIGURATION_KEY, self.configuration)
 
     def change(self, **changes: object) -> int:
-        """Publish the next version of the configuration."""
+        """Publish the next configuration version with changes; return the store's revision."""
         self.configuration = {**self.configuration, **changes}
         self.configuration["version"] += 1
         return self.publish()
 
     def name_version(self, version: int) -> None:
-        """Name new weights, and put them at the origin."""
+        """Publish the version to serve, after adding its weights to the origin if needed."""
         if version not in self.origin.versions:
             chunks = [random.randbytes(CHUNK_BYTES) for _ in range(CHUNKS)]
             self.origin.versions[version] = chunks
@@ -159,7 +159,7 @@
         return listed
 
     async def start_replica(self, listed: ListedReplica) -> None:
-        """Listen for a replica and keep its entry in the list."""
+        """Start the listener of a replica and keep its entry in the list current."""
         listed.scope = trio.CancelScope()
         listed.ended = trio.Event()
         private = self.private(listed.address)
@@ -179,7 +179,7 @@
         self.nursery.start_soon(run)
 
     def list_replica(self, listed: ListedReplica) -> None:
-        """Write a replica's entry."""
+        """Write a replica's entry to the store."""
         replica = listed.replica
         loaded = [{"name": MODEL, "version": replica.version}] if replica.version else []
         entry = {
@@ -198,20 +198,20 @@
         self.store.put(f"{names.REPLICA_PREFIX}{replica.id}", entry)
 
     def crash_replica(self, listed: ListedReplica) -> None:
-        """End a replica without a word; its entry stays."""
+        """Stop a replica abruptly; its entry stays in the list."""
         listed.scope.cancel()
 
     async def restart_replica(self, listed: ListedReplica, clock_step_ms: int = 0) -> None:
-        """Crash a replica and start it again at once under the id that it had."""
+        """Crash a replica and restart it at once under the same id."""
         self.crash_replica(listed)
         await listed.ended.wait()
         listed.replica.start_again(clock_step_ms)
         await self.start_replica(listed)
 
     async def revive_replicas(self, service: str, seconds: float) -> None:
-        """Start replicas of a service again some seconds after each end, until cancelled.
+        """Restart replicas of a service `seconds` after each failure, until cancelled.
 
-        Each comes back at its address with another id and the weights of the first start.
+        A restarted replica has the same address, a new id and the weights of its first start.
         """
         async with trio.open_nursery() as nursery:
             for listed in list(self.replicas.values()):
@@ -237,7 +237,7 @@
             await self.start_replica(listed)
 
     def unlist(self, listed: ListedReplica) -> None:
-        """Remove a replica's entry."""
+        """Remove a replica's entry from the store."""
         self.store.remove(f"{names.REPLICA_PREFIX}{listed.replica.id}")
 
     async def _keep_listed(self, listed: ListedReplica) -> None:
@@ -258,25 +258,25 @@
     # Processes.
 
     def new_ip(self) -> str:
-        """Return an IP number that no machine has."""
+        """Return an unused IP address."""
         self._numbers += 1
         return f"127.{self.block}.{self._numbers}"
 
     def add_entry(self, name: str, zone: str) -> Machine:
-        """Prepare an entry."""
+        """Add an entry host without starting its process."""
         machine = Machine(name, self.new_ip(), zone, "entry")
         self.machines[name] = machine
         self.seeds.append(f"{machine.ip}:{PEERS}")
         return machine
 
     def add_daemon(self, name: str, listed: ListedReplica) -> Machine:
-        """Prepare the daemon beside a replica."""
+        """Add the daemon on a replica's host without starting its process."""
         machine = Machine(name, listed.ip, listed.zone, "upstream")
         self.machines[name] = machine
         return machine
 
     def start(self, name: str) -> None:
-        """Start a machine's process."""
+        """Write the settings of a host's process and start it."""
         machine = self.machines[name]
         path = self.directory / f"{name}.toml"
         path.write_text(self._settings(machine))
@@ -291,13 +291,13 @@
             )
 
     def signal(self, name: str, number: signal.Signals) -> None:
-        """Send a signal to a machine's process."""
+        """Send a signal to a host's process."""
         process = self.machines[name].process
         assert process is not None
         process.send_signal(number)
 
     async def wait_exit(self, name: str) -> int:
-        """Wait until a machine's process has ended; return its exit code."""
+        """Wait until a host's process has exited; return its exit code."""
         process = self.machines[name].process
         assert process is not None
         with trio.fail_after(WAIT_SECONDS):
@@ -306,13 +306,13 @@
         return int(process.returncode)
 
     def log(self, name: str) -> list[dict[str, Any]]:
-        """Return the log lines of a machine's processes so far."""
+        """Return the JSON log lines of a host's processes so far."""
         text = (self.directory / f"{name}.log").read_bytes()
         lines = text.split(b"\n")[:-1]
         return [msgspec.json.decode(line) for line in lines if line.startswith(b"{")]
 
     async def state(self, name: str) -> dict[str, Any]:
-        """Return a process's state dump, empty if it does not answer."""
+        """Return a process's state dump; empty if it does not answer within 2 s."""
         address = Address(self.machines[name].ip, METRICS)
         outcome = await call(address, "GET", "/state", seconds=2, max_bytes=1 << 20)
         if isinstance(outcome, Failure):
@@ -321,24 +321,24 @@
         return found
 
     async def ready(self, name: str) -> bool:
-        """Tell whether an entry calls itself ready."""
+        """Return whether an entry reports that it is ready."""
         address = self.private(Address(self.machines[name].ip, READINESS))
         outcome = await call(address, "GET", "/ready", seconds=1, max_bytes=1 << 16)
         return not isinstance(outcome, Failure) and outcome.value.status == 200
 
     async def wait_ready(self, *entries: str) -> None:
-        """Wait until entries are ready and know the listed replicas."""
+        """Wait until entries report that they are ready."""
         for name in entries:
             with trio.fail_after(WAIT_SECONDS):
                 while not await self.ready(name):
                     await trio.sleep(0.03)
 
     def callers(self, name: str) -> Address:
-        """Return where callers reach an entry."""
+        """Return the address of an entry's listener for callers."""
         return Address(self.machines[name].ip, CALLERS)
 
     def stop_all(self) -> None:
-        """End every process that was started here."""
+        """Kill all processes that are still running, paused ones too."""
         for machine in self.machines.values():
             if machine.process is not None and machine.process.poll() is None:
                 machine.process.send_signal(signal.SIGCONT)
@@ -346,10 +346,10 @@
                 machine.process.wait()
 
     def _seeds_of(self, machine: Machine) -> list[str]:
-        """Return the entries that a process is told of.
+        """Return the seeds for a process's settings.
 
-        A process knows itself by the address that it listens at. Behind a private one it would
-        count itself among the others.
+        A process recognises itself among the seeds by its listening address. With a private
+        address it would take its own public one for another entry, so that one is left out.
         """
         own = f"{machine.ip}:{PEERS}"
         return [seed for seed in self.seeds if not self.private_block or seed != own]
@@ -389,15 +389,15 @@
 async def running_machines(
     directory: Path, *, interposed: bool = False
 ) -> AsyncIterator[Machines]:
-    """Open the platform; every process started on it ends with the block.
+    """Run a platform without hosts; all processes are killed on exit from the context.
 
-    `interposed` lets everything listen at private IP numbers.
+    With `interposed`, all listeners bind to private addresses, for proxies in between.
     """
     seed = random.randrange(1 << 30)
     generator = random.Random(os.getpid() * 7919 + seed)
     block = f"{generator.randrange(16, 250)}.{generator.randrange(1, 250)}"
     private_block = f"{generator.randrange(16, 250)}.{generator.randrange(1, 250)}"
-    # Behind proxies the plan has the seed that counts.
+    # With proxies, the run depends on the seed of its plan, not on this one.
     print(f"addresses in 127.{block}.0" if interposed else f"seed {seed}")
     async with trio.open_nursery() as nursery:
         machines = Machines(directory, block, nursery)
@@ -429,7 +429,7 @@
     mirrors: bool = True,
     weights_ms: float = 8000.0,
 ) -> AsyncIterator[Machines]:
-    """Run a small site whose entries are ready; replicas serve version 1."""
+    """Run entries and replicas that serve version 1; wait until the entries are ready."""
     async with running_machines(directory) as site:
         site.link_mbits = link_mbits
         site.entry_link_mbits = entry_link_mbits
@@ -447,7 +447,7 @@
                 site.add_daemon(f"daemon{index}", listed)
         for index in range(plain):
             await site.add_replica(PLAIN_SERVICE, zones[index % len(zones)])
-        # A store that the replicas have not reached yet would let entries start with a short list.
+        # Entries that start before all replicas are listed would begin with an incomplete list.
         with trio.fail_after(WAIT_SECONDS):
             while sum(key.startswith(names.REPLICA_PREFIX) for key in site.store.items) < len(
                 site.replicas
@@ -460,5 +460,5 @@
 
 
 def replicas_of(site: Machines, service: str) -> list[FakeReplica]:
-    """Return the replicas of a service, in the order of their start."""
+    """Return the replicas of a service in start order."""
     return [r.replica for r in site.replicas.values() if r.service == service]
--- a/testing/platformreplica.py
+++ b/testing/platformreplica.py
@@ -1,8 +1,8 @@
-"""A stand-in for a replica of the platform.
+"""A fake replica of the platform, with fault injection.
 
-It keeps what it ran, answers whole or as a stream of events, and misbehaves as the test tells it:
-each `Fault` is used for one request. Its answers are written by hand, since many of them are not
-what a library would let out.
+It records the requests that it ran, answers with a plain body or a stream of events, and injects
+the faults that a test queues: each `Fault` applies to one request. Responses are assembled by hand
+because an HTTP library would refuse to send many of them.
 """
 
 import hashlib
@@ -37,39 +37,39 @@
 
 
 class Fault(Enum):
-    """What a replica does wrong with one request."""
-
-    SHED = "shed"  # 503, states that it did not run the request
-    RESET_BEFORE_HEAD = "reset before head"  # runs it, then resets
-    CLOSE_BEFORE_HEAD = "close before head"  # runs it, then closes
-    SILENT = "silent"  # runs it and never answers
-    ERROR = "error"  # its own 500
-    NO_SEAL = "no seal"
-    WRONG_ID = "wrong id"  # an answer to another request
-    ENCODED = "encoded"
+    """A fault that is injected into one request."""
+
+    SHED = "shed"  # 503 with the statement that the request did not run
+    RESET_BEFORE_HEAD = "reset before head"  # runs the request, then resets the connection
+    CLOSE_BEFORE_HEAD = "close before head"  # runs the request, then closes the connection
+    SILENT = "silent"  # runs the request and never answers
+    ERROR = "error"  # a sealed 500
+    NO_SEAL = "no seal"  # the response has no seal
+    WRONG_ID = "wrong id"  # answers with the id of another request
+    ENCODED = "encoded"  # the response has a content encoding
     CUT_BODY = "cut body"  # half of the body, then a reset
-    EXTRA_ANSWER = "extra answer"  # a second answer after the whole one
-    UNFRAMED = "unframed"  # no length; ends with the connection
-    UNFRAMED_RESET = "unframed reset"  # no length; reset on the way
-    NOT_HTTP = "not http"  # bytes that are no answer
-    CUT_BEFORE_EVENT = "cut before event"  # head of a stream, then a reset
+    EXTRA_ANSWER = "extra answer"  # a second response after the complete one
+    UNFRAMED = "unframed"  # no length; the body ends when the connection closes
+    UNFRAMED_RESET = "unframed reset"  # no length; the connection is reset within the body
+    NOT_HTTP = "not http"  # bytes that are not HTTP
+    CUT_BEFORE_EVENT = "cut before event"  # response head of a stream, then a reset
     CUT_WITHIN_EVENT = "cut within event"
     CUT_AFTER_EVENT = "cut after event"
     STALL = "stall"  # two events, then nothing more
-    ENDS_WITHIN_EVENT = "ends within event"  # a whole answer whose last event is not
+    ENDS_WITHIN_EVENT = "ends within event"  # the response is complete but its last event is not
 
 
 class Ending(Enum):
-    """How a replica ends under a request."""
+    """How a replica fails while it runs a request."""
 
-    RESET = "resets"  # all its connections, and takes no new ones
-    CLOSE = "closes"  # the same, in order
-    SILENCE = "falls silent"  # its connections stay open, new ones too, and nothing comes
+    RESET = "resets"  # resets all connections and accepts no new ones
+    CLOSE = "closes"  # closes all connections in order and accepts no new ones
+    SILENCE = "falls silent"  # keeps connections open and accepts new ones, but sends nothing
 
 
 @dataclass
 class Run:
-    """One request that a replica ran."""
+    """A request that a replica ran."""
 
     id: str
     method: str
@@ -77,61 +77,61 @@
     headers: dict[str, str]
     body: bytes
     version: int
-    began_at: float  # trio's clock
-    load: int = 0  # number of the load that it ran on, from 1; 0 if none was ordered
+    began_at: float  # trio clock
+    load: int = 0  # number of the load that served it, from 1; 0 if none was ordered
 
 
 @dataclass(frozen=True)
 class ArrivedRequest:
-    """A request that reached a replica, whether it ran or not."""
+    """A request that reached a replica, whether or not it ran."""
 
     id: str
-    at: float  # trio's clock
-    rest_seconds: float = 0.0  # it was turned away, and its sender asked for so much rest
+    at: float  # trio clock
+    rest_seconds: float = 0.0  # Retry-After of its refusal; 0 if the replica did not ask for rest
 
     @property
     def asked_rest(self) -> bool:
-        """Whether its sender was asked for rest."""
+        """Whether the request was refused with a request for rest."""
         return self.rest_seconds > 0
 
 
 @dataclass(frozen=True)
 class DaemonCall:
-    """A call of the daemon beside a replica."""
+    """A call from the daemon on the replica's host."""
 
     method: str
     path: str
-    number: int  # of the chunk, -1 if the call names none
+    number: int  # chunk number, -1 if the call names none
     body: bytes
 
     @property
     def reads_chunk(self) -> bool:
-        """Whether a chunk is read back."""
+        """Whether the call reads a staged chunk."""
         return self.path.startswith(names.STAGE_GET_PATH) and self.number >= 0
 
     @property
     def puts_chunk(self) -> bool:
-        """Whether a chunk is put."""
+        """Whether the call stages a chunk."""
         return self.path.startswith(names.STAGE_PUT_PATH)
 
     @property
     def orders(self) -> bool:
-        """Whether an order is given."""
+        """Whether the call is an order to load weights."""
         return self.path == names.ORDER_PATH
 
 
 @dataclass
 class FakeReplica:
-    """One replica. Its answer to a request is the request's own body, or numbered events."""
+    """A replica that answers with the request's own body, or with numbered events."""
 
     id: str
     model: str | None = None
-    version: int = 0  # 0: nothing is loaded
+    version: int = 0  # 0 if no weights are loaded
     slots: int = 8
     events: int = 4
     event_seconds: float = 0.0
     service_seconds: float = 0.0
-    # How long a request waits here until it runs; one whose caller leaves meanwhile never does.
+    # Queueing time of a request; it does not run if its caller disconnects meanwhile.
     wait_seconds: float = 0.0
     load_seconds: float = 0.02
     faults: deque[Fault] = field(default_factory=deque)
@@ -139,35 +139,37 @@
     cancelled: list[str] = field(default_factory=list)
     arrivals: int = 0
     arrived: list[ArrivedRequest] = field(default_factory=list)
-    faulty: int = 0  # requests under way that a fault befell
+    faulty: int = 0  # requests in flight with an injected fault
     active: int = 0
     connections: int = 0
     opened: int = 0
     loading: bool = False
     loading_version: int = 0
-    load_due: float = 0.0  # trio's clock
-    completed_load: int = 0  # number of the load that is done, from 1
+    load_due: float = 0.0  # trio clock
+    completed_load: int = 0  # number of the last completed load, from 1
     draining: bool = False
-    serves_draining: bool = False  # takes requests also while it leaves
-    limit: str | None = None  # the requests a second that its answers name as their limit
-    announces_leaving: bool = False  # in its answers to requests
-    # It turns every request away and asks for so many seconds of rest.
+    serves_draining: bool = False  # accepts requests while draining
+    limit: str | None = None  # requests per second, sent in responses
+    announces_leaving: bool = False  # in responses to requests
+    # Seconds of rest to ask for; if set, every request is refused.
     rest: str | None = None
-    reports_leaving: bool = False  # in its answers to the daemon beside it
-    names_versions: bool = False  # each event ends with the version of the weights
+    reports_leaving: bool = False  # in reports to the daemon on its host
+    names_versions: bool = (
+        False  # each event ends with the version of the weights that produced it
+    )
     orders: int = 0
-    # Awaited before each call of the daemon; where it returns true, the call gets no answer and
-    # nothing of it is done.
+    # Awaited before each call of the daemon; if it returns true, the call has no effect and gets
+    # no answer.
     drops_call: Callable[[DaemonCall], Awaitable[bool]] | None = None
-    # So many of the next orders get no answer; `take_held_orders` takes them late.
+    # How many of the next orders stay unanswered; `take_held_orders` executes them later.
     orders_to_hold: int = 0
     held_orders: list[dict[str, object]] = field(default_factory=list)
-    # Unix milliseconds of the start of this life.
+    # Start of this incarnation, Unix time in milliseconds.
     started_ms: int = field(default_factory=lambda: int(time.time() * 1000))
     staged: dict[int, bytes] = field(default_factory=dict)
     loads: list[tuple[int, list[str]]] = field(default_factory=list)  # version, chunk digests
     reports_start: bool = True
-    # Whether a request with this body ends the replica as it begins to run it.
+    # Whether the replica fails when it begins to run a request with this body.
     fails_on: Callable[[bytes], bool] = lambda body: False
     ending: Ending = Ending.RESET
     ended: trio.Event = field(default_factory=trio.Event)
@@ -175,17 +177,17 @@
     _serving: set[trio.CancelScope] = field(default_factory=set)
 
     async def serve_connection(self, stream: trio.SocketStream) -> None:
-        """Serve one connection until it ends."""
+        """Serve one connection until it closes."""
         self.connections += 1
         self.opened += 1
         self.streams.add(stream)
-        life, scope = self.ended, trio.CancelScope()
+        ended, scope = self.ended, trio.CancelScope()
         self._serving.add(scope)
         try:
             with scope:
-                if not life.is_set():
+                if not ended.is_set():
                     await self._serve(stream)
-            if life.is_set() and self.ending is Ending.SILENCE:
+            if ended.is_set() and self.ending is Ending.SILENCE:
                 await trio.sleep_forever()
         except (trio.BrokenResourceError, trio.ClosedResourceError, h11.RemoteProtocolError):
             pass
@@ -196,7 +198,7 @@
             await trio.aclose_forcefully(stream)
 
     async def end(self) -> None:
-        """End this life; whoever runs the replica closes what is left and starts it again."""
+        """Fail in the way of `ending`; the owner closes other connections and restarts it."""
         self.ended.set()
         if self.ending is Ending.RESET:
             for stream in list(self.streams):
@@ -228,7 +230,7 @@
                 return
             connection = next_cycle(connection)
 
-    # Calls of the daemon beside it.
+    # Calls from the daemon on its host.
 
     async def _drops_call(self, call: DaemonCall) -> bool:
         if call.orders and self.orders_to_hold:
@@ -255,7 +257,7 @@
 
     def _report(self) -> dict[str, object]:
         loaded = [{"name": self.model, "version": self.version}] if self.version else []
-        told = {names.STARTED_MS: self.started_ms} if self.reports_start else {}
+        started = {names.STARTED_MS: self.started_ms} if self.reports_start else {}
         return {
             "stage": "colocated",
             "models": loaded,
@@ -265,7 +267,7 @@
             "active": self.active,
             "kv_used": 0,
             "kv_total": 1000,
-            **told,
+            **started,
         }
 
     def _take_order(self, order: dict[str, object]) -> bytes:
@@ -282,13 +284,13 @@
         return json_bytes(202, {})
 
     def take_held_orders(self) -> None:
-        """Take the orders that were kept back as if they had arrived just now."""
+        """Execute the held orders as if they had just arrived."""
         for order in self.held_orders:
             self._take_order(order)
         self.held_orders.clear()
 
     def start_again(self, clock_step_ms: int = 0) -> None:
-        """Begin another life under the same id, which knows nothing of the one before."""
+        """Begin a new incarnation under the same id, without any state of the previous one."""
         self.started_ms = max(int(time.time() * 1000), self.started_ms + 1) + clock_step_ms
         self.version = 0
         self.completed_load = 0
@@ -301,13 +303,13 @@
         self.ended = trio.Event()
 
     async def lose_power(self) -> None:
-        """Begin another life, which listens at once; all connections of this one are gone."""
+        """Begin a new incarnation that listens at once, and reset all connections."""
         self.start_again()
         for stream in list(self.streams):
             await reset(stream)
 
     def complete_load(self) -> None:
-        """Finish a load whose time has come and that no request holds up."""
+        """Complete a load that is due, unless requests are still running."""
         if self.loading and not self.active and trio.current_time() >= self.load_due:
             self.loading = False
             self.version = self.loading_version
@@ -318,7 +320,7 @@
     async def _run(
         self, stream: trio.SocketStream, head: h11.Request, headers: dict[str, str], body: bytes
     ) -> bool:
-        """Answer a request; return whether the connection may carry another."""
+        """Answer a request; return whether the connection can be reused."""
         self.arrivals += 1
         request_id = headers.get(names.REQUEST_ID, "")
         rest_seconds = float(self.rest or 0.0)
@@ -470,5 +472,5 @@
 
 
 def new_replica_id() -> str:
-    """Return the id of a new incarnation."""
+    """Return an id that no other replica in this process has."""
     return f"i-{next(_numbers):06x}"
--- a/testing/platformstore.py
+++ b/testing/platformstore.py
@@ -1,6 +1,6 @@
-"""A stand-in for the platform's metadata store: listings in pages, watches, faults.
+"""A fake of the platform's metadata store: paged range reads, watches and fault injection.
 
-Written from the platform's pages. The test publishes items; processes read and watch them.
+It follows the platform's specification. Tests publish items; processes read and watch them.
 """
 
 import base64
@@ -16,9 +16,9 @@
 
 
 class StoreCondition(Enum):
-    """How the store treats a machine."""
+    """How the store responds to a caller."""
 
-    WELL = "well"
+    WELL = "well"  # answers normally
     BUSY = "busy"  # answers 503
     LIMITED = "limited"  # answers 429
     RESET = "reset"  # closes the connection
@@ -27,7 +27,7 @@
 
 @dataclass
 class StoredItem:
-    """One item."""
+    """A stored value with the revisions of its last write and of its creation."""
 
     value: bytes
     revision: int
@@ -36,22 +36,22 @@
 
 @dataclass
 class FakePlatformStore:
-    """The store."""
+    """The store; its state lives in memory and every write increments its revision."""
 
     page_size: int = 500
     items: dict[str, StoredItem] = field(default_factory=dict)
     revision: int = 0
-    compacted_revision: int = 0  # changes up to this revision are no longer known
+    compacted_revision: int = 0  # the history up to this revision is discarded
     condition: StoreCondition = StoreCondition.WELL
     condition_by_ip: dict[str, StoreCondition] = field(
         default_factory=dict
-    )  # by the caller's IP number
+    )  # by the caller's IP address
     calls: Counter[str] = field(default_factory=Counter)
     _log: list[tuple[int, str]] = field(default_factory=list)
     _changed: trio.Event = field(default_factory=trio.Event)
 
     def put(self, key: str, value: object) -> int:
-        """Write an item as JSON, or raw bytes; return the new revision."""
+        """Write an item, raw bytes as they are and all else as JSON; return the new revision."""
         body = value if isinstance(value, bytes) else msgspec.json.encode(value)
         self.revision += 1
         made = self.items[key].made if key in self.items else self.revision
@@ -66,12 +66,12 @@
         self._note(key)
 
     def forget_history(self) -> None:
-        """Forget all changes so far."""
+        """Discard the history of changes; watches from older revisions get status 410."""
         self.compacted_revision = self.revision
         self._wake()
 
     def set_condition(self, condition: StoreCondition, ips: list[str] | None = None) -> None:
-        """Treat some machines, or all, like this from now on."""
+        """Set the condition that some callers see, or all if `ips` is None."""
         if ips is None:
             self.condition = condition
             self.condition_by_ip.clear()
@@ -80,7 +80,7 @@
         self._wake()
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one call."""
+        """Answer one range read or watch."""
         path = exchange.request.path
         query = {k: v[0] for k, v in parse_qs(exchange.request.target.partition("?")[2]).items()}
         ip = exchange.peer_ip
