--- a/testing/__init__.py
+++ b/testing/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins of the platform, a fault-injecting proxy and a harness; not shipped."""
+"""Fakes of the platform, fault-injecting links and harnesses for tests; not shipped."""
--- a/testing/answeringpeers.py
+++ b/testing/answeringpeers.py
@@ -1,8 +1,8 @@
-"""One transfer among hosts in memory: some silent, the others answer and fetch what they are to.
+"""Runs one transfer against in-memory peers, of which some are silent and the others answer.
 
-Each chunk is fetched by the first host of its order that is not silent, and offered as soon as it
-is asked about. So the transfer itself has to read from the origin just those chunks for which its
-own host is that first one; any other was read although its fetcher was at work.
+Each chunk is imported by the first host in its import order that is not silent, and is available
+from it at once. The transfer must therefore read from the origin only those chunks for which its
+own host is the first; any other read duplicates the work of a responsive peer.
 """
 
 from collections import Counter
@@ -21,38 +21,38 @@
 
 from testing.origin import make_weights
 
-ANSWER_SECONDS = 0.01  # from a question to its answer
+ANSWER_SECONDS = 0.01  # delay of each answer
 ORIGIN_COPIES = 1
 NO_BOUND = 0.0  # bytes a second
 STORE_BYTES = 1 << 30
 
 
 class MemoryOrigin:
-    """A weight source in memory that keeps what was read."""
+    """An in-memory weight source that records the offsets of the ranges read."""
 
     name = "origin"
 
     def __init__(self, manifest: bytes, data: bytes) -> None:
-        self.offsets: list[int] = []  # of the ranges read
+        self.offsets: list[int] = []
         self._manifest = manifest
         self._data = data
 
     async def read_manifest(self, weights: str) -> Ok[bytes]:
-        """Return the manifest."""
+        """Return the manifest, whatever the name of the weights."""
         await trio.sleep(ANSWER_SECONDS)
         return Ok(self._manifest)
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
     ) -> Ok[bytes]:
-        """Return bytes of the only file."""
+        """Return a range of the only file."""
         self.offsets.append(offset)
         await trio.sleep(ANSWER_SECONDS)
         return Ok(self._data[offset : offset + size])
 
 
 class AnsweringPeers:
-    """The hosts of one transfer; one of them, `me`, runs it."""
+    """The hosts of one transfer, which one of them (`me`) runs."""
 
     def __init__(self, data: bytes, chunk_bytes: int, host_count: int) -> None:
         body, digest = make_weights(data, chunk_bytes)
@@ -75,16 +75,16 @@
         return self._order_of(MANIFEST_INDEX)
 
     def fetcher(self, index: int) -> str:
-        """Return the host that fetches a chunk: the first in its order that is not silent."""
+        """Return the host that imports a chunk: the first in its order that is not silent."""
         return next(name for name in self._order_of(index) if name not in self.silent)
 
     def duties_of(self, me: str) -> list[int]:
-        """Return the chunks that a host is to read from the origin."""
+        """Return the chunks that a host must read from the origin."""
         count = -(-len(self._data) // self._chunk_bytes)
         return [index for index in range(count) if self.fetcher(index) == me]
 
     async def transfer(self, me: str) -> list[int]:
-        """Run the transfer of one host to its end; return the chunks it read from the origin."""
+        """Run the transfer of a host to its end; return the chunks read from the origin."""
         async with trio.open_nursery() as nursery:
             peers = _Peers(self, me, nursery)
             outcome = await peers.transfer.run()
@@ -94,7 +94,7 @@
         return sorted(offset // self._chunk_bytes for offset in self.origin.offsets)
 
     def make_transfer(self, me: str, context: TransferContext) -> Transfer:
-        """Return a transfer that is joined with all other hosts."""
+        """Return a transfer of a host with all other hosts as its peers."""
         others = [host for host in self.hosts if host.name != me]
         return Transfer(self.artifact, others, frozenset(), self._orders[me], context)
 
@@ -110,7 +110,7 @@
 
 
 class _Peers:
-    """The other hosts' side of one running transfer."""
+    """A running transfer with the answers of the other hosts."""
 
     def __init__(self, fleet: AnsweringPeers, me: str, nursery: trio.Nursery) -> None:
         self._fleet = fleet
--- a/testing/caller.py
+++ b/testing/caller.py
@@ -1,4 +1,4 @@
-"""A caller: sends requests to entries and checks that answers are whole and its own."""
+"""A client for tests that sends requests to entries and checks the answers."""
 
 import json
 import uuid
@@ -14,13 +14,13 @@
 
 @dataclass
 class Reply:
-    """What a caller got."""
+    """The outcome of a request."""
 
-    status: int = 0  # 0 when there was no answer at all
+    status: int = 0  # 0 if there was no answer
     verdict: str = ""
     code: str = ""
     body: bytes = b""
-    whole: bool = False
+    whole: bool = False  # the answer was received to its end
     error: str = ""
     headers: dict[str, str] = field(default_factory=dict)
 
@@ -35,7 +35,7 @@
     headers: Headers | None = None,
     seconds: float = 60.0,
 ) -> Reply:
-    """Send one request and read its whole answer."""
+    """Send a request and read its answer to the end; failures are recorded in the reply."""
     reply = Reply()
     try:
         with trio.fail_after(seconds):
@@ -65,14 +65,14 @@
     headers: Headers | None = None,
     seconds: float = 60.0,
 ) -> tuple[Reply, str]:
-    """Ask a model; return the reply and the prompt."""
+    """Request an answer of a model; return the reply and the prompt, random by default."""
     prompt = prompt or uuid.uuid4().hex
     body = json.dumps({"prompt": prompt, "max_tokens": tokens}).encode()
     return await send(address, path, body, headers=headers, seconds=seconds), prompt
 
 
 def check_tokens(reply: Reply, prompt: str, tokens: int, digests: list[str]) -> str:
-    """Return the digest that a whole stream came from; "" if it is not whole, "mixed" if mixed."""
+    """Return the digest that produced a stream; "" if it is incomplete, "mixed" if none did."""
     events = reply.body.decode().split("\n\n")
     if events[-2:] != ["data: [DONE]", ""]:
         return ""
--- a/testing/configservice.py
+++ b/testing/configservice.py
@@ -1,4 +1,4 @@
-"""A stand-in of the configuration service: read and watch, with an outage and staleness switch."""
+"""A fake configuration service with reads and watches, which can be down or stale."""
 
 import base64
 import hashlib
@@ -9,18 +9,18 @@
 
 
 class FakeConfigService:
-    """Documents with revisions; `publish` is the operators' own tool."""
+    """Documents with revisions; `publish` takes the place of the operators' tool."""
 
     def __init__(self) -> None:
         self.documents: dict[str, tuple[int, bytes]] = {}
         self.reads = 0
         self.down = False
-        # What readers see instead of the newest documents while the service is stale.
+        # Documents that readers get in place of the newest ones; None if the service is not stale.
         self.stale: dict[str, tuple[int, bytes]] | None = None
         self._changed = trio.Event()
 
     def publish(self, key: str, body: bytes, revision: int | None = None) -> int:
-        """Publish a document under the next revision, or one given."""
+        """Publish a document under the next or the given revision; return the revision."""
         number = revision or self.documents.get(key, (0, b""))[0] + 1
         self.documents[key] = (number, body)
         self._changed.set()
@@ -28,7 +28,7 @@
         return number
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one read or watch."""
+        """Answer a read or a watch of a document."""
         self.reads += 1
         url = urlsplit(exchange.request.target)
         query = parse_qs(url.query)
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -1,7 +1,7 @@
-"""The demo: six upstreams in three zones move from v1 to v2 while callers go on asking.
+"""Demo: six upstreams in three zones move from v1 to v2 under load.
 
-Ends with one JSON line on standard output; the exit code is 0 only if all replicas serve v2 and no
-answer was lost, doubled or mixed.
+It prints one JSON line to standard output and exits with 0 only if all replicas serve v2 and no
+request was lost, run twice or answered from mixed weights.
 """
 
 import json
@@ -21,7 +21,7 @@
 WEIGHTS_BYTES = 64 * MIB
 CHUNK_BYTES = MIB // 4
 REPLICAS = 6
-# In the burst window the origin's link carries four copies, a host's about two (brief).
+# Within the burst window the origin's link carries four copies of the weights, a host's two.
 WINDOW_SECONDS = 16.0
 HOST_RATE = 2 * WEIGHTS_BYTES / WINDOW_SECONDS
 ORIGIN_RATE = 4 * WEIGHTS_BYTES / WINDOW_SECONDS
@@ -53,7 +53,7 @@
 
 
 class LoadGenerator:
-    """Callers that ask at a steady rate and check every answer."""
+    """Sends requests at a constant rate and checks every answer."""
 
     def __init__(self, fleet: Fleet, digests: list[str]) -> None:
         self.fleet = fleet
@@ -66,7 +66,7 @@
         self.stopped = False
 
     async def run(self) -> None:
-        """Ask until stopped; every request is one that must not be repeated."""
+        """Send requests, none of them repeatable, until `stopped` is set."""
         async with trio.open_nursery() as nursery:
             while not self.stopped:
                 nursery.start_soon(self._ask)
@@ -87,7 +87,7 @@
             self.served_by[digest[:8]] += 1
 
     def doubled(self) -> int:
-        """Return how many prompts more than one engine run served."""
+        """Return how many prompts were run more than once."""
         runs = Counter(
             run.prompt for engine in self.fleet.engines().values() for run in engine.runs
         )
@@ -95,7 +95,7 @@
 
 
 def print_progress(text: str) -> None:
-    """Tell a person how far it is."""
+    """Print a progress message to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
--- a/testing/faultproxy.py
+++ b/testing/faultproxy.py
@@ -1,7 +1,7 @@
-"""A TCP proxy that injects faults, by the source of a connection.
+"""A TCP proxy that injects faults depending on the source of a connection.
 
-One proxy stands before one listener of one daemon; the host list names the proxy. Since daemons
-send from an IP number of their own, the proxy can cut or stall single pairs of hosts.
+Each proxy forwards to one listener of one daemon; the host list names the proxy's address. Since
+every daemon sends from its own IP address, faults can be limited to single pairs of hosts.
 """
 
 import random
@@ -16,7 +16,7 @@
 
 
 class FaultProxy:
-    """Forwards one address to another."""
+    """Forwards connections from one address to another."""
 
     def __init__(
         self, listen: Address, target: Address, fault_of: Callable[[str, str], Fault]
@@ -24,10 +24,10 @@
         self.listen = listen
         self.target = target
         self.forwarded_bytes = 0
-        self._fault_of = fault_of  # by the IP numbers of source and target
+        self._fault_of = fault_of  # by the IP addresses of source and target
 
     async def run(self, task_status: trio.TaskStatus[None] = trio.TASK_STATUS_IGNORED) -> None:
-        """Forward until cancelled."""
+        """Listen and forward until cancelled."""
         listeners = await trio.open_tcp_listeners(self.listen.port, host=self.listen.ip)
         task_status.started()
         await trio.serve_listeners(self._serve, listeners)
--- a/testing/heldlink.py
+++ b/testing/heldlink.py
@@ -1,6 +1,6 @@
-"""A link to a replica that holds what goes there, and delivers it even after a reset.
+"""A proxy that can delay data to a replica and delivers it even after the caller's reset.
 
-What the machine of the replica itself sends does not take the link.
+Connections from the replica's own host are forwarded without delay.
 """
 
 from contextlib import suppress
@@ -11,13 +11,13 @@
 
 
 class HeldLink:
-    """A link that can hold what goes to a replica, and delivers it even after a reset."""
+    """A link to a replica that holds data on request and delivers it even after a reset."""
 
     def __init__(self, public: Address, private: Address) -> None:
         self.public = public
         self.connections = 0
-        self.held = 0  # bytes
-        # Connections whose last bytes were a proof that they deliver; a request follows at once.
+        self.held = 0  # bytes received while holding
+        # Connections whose last bytes were a delivery proof; a request follows at once.
         self._proving: set[trio.SocketStream] = set()
         self._proof_followed = trio.Event()
         self._holds_behind_proof = False
@@ -31,22 +31,22 @@
         nursery.start_soon(trio.serve_listeners, self._serve, listeners)
 
     def hold(self) -> None:
-        """Hold what comes from now on."""
+        """Hold data that arrives from now on."""
         self._released = trio.Event()
 
     async def hold_between_requests(self) -> None:
-        """Hold what comes from the moment on in which no request is about to follow its proof."""
+        """Begin to hold once no connection is between a delivery proof and its request."""
         while self._proving:
             self._proof_followed = trio.Event()
             await self._proof_followed.wait()
         self.hold()
 
     def hold_behind_next_proof(self) -> None:
-        """Hold what comes from the next request on that follows its proof."""
+        """Begin to hold at the next request that follows a delivery proof."""
         self._holds_behind_proof = True
 
     def release(self) -> None:
-        """Deliver what is held, and pass on what comes."""
+        """Deliver held data, and forward new data without delay."""
         self._released.set()
 
     async def _serve(self, caller: trio.SocketStream) -> None:
@@ -64,7 +64,7 @@
                     nursery.start_soon(self._deliver, target, data, self._released)
             self._note_proof(caller, b"")
             await self._released.wait()
-            await trio.sleep(0.2)  # the reset comes behind the bytes
+            await trio.sleep(0.2)  # the replica gets the data before the connection closes
             nursery.cancel_scope.cancel()
         for stream in (caller, target):
             await trio.aclose_forcefully(stream)
@@ -78,7 +78,7 @@
             await trio.aclose_forcefully(stream)
 
     def _note_proof(self, caller: trio.SocketStream, data: bytes) -> None:
-        """Note whether the last bytes of a connection are a proof."""
+        """Record whether the last bytes of a connection are a delivery proof."""
         if data.startswith(b"GET " + names.REPORT_PATH.encode()) and self._released.is_set():
             self._proving.add(caller)
             return
--- a/testing/latereplica.py
+++ b/testing/latereplica.py
@@ -1,8 +1,8 @@
-"""A model of a replica whose calls are lost, answered late or take effect late; in memory.
+"""An in-memory model of a replica whose calls are lost, stay unanswered or take effect late.
 
-It checks each load itself: what staged beside it as it takes an order has to be whole and of the
-version ordered, but for chunks that turned bad within the last 3 s. All is drawn from one
-generator, so that a seed plays again. Times are trio's.
+It checks every load: when an order takes effect, the staged chunks must be complete and of the
+ordered version, except for chunks that were corrupted within the last 3 s. All randomness comes
+from one generator, so a seed reproduces a run. Times are those of the trio clock.
 """
 
 import random
@@ -25,8 +25,8 @@
 LOAD_SECONDS: Final = 0.3
 
 
-class Fate(Enum):
-    """What becomes of one call."""
+class CallResult(Enum):
+    """The result of one call: whether it takes effect, and whether it is answered."""
 
     ANSWERED = "answered"
     LOST = "lost"
@@ -36,21 +36,25 @@
 
 @dataclass(frozen=True)
 class FaultRates:
-    """How often each kind of fault_rates comes: parts of the calls, and events a second."""
+    """Rates of injected faults.
+
+    `lost`, `unanswered` and `late` are shares of the calls; `corruption`, `crash` and `power`
+    (power loss) are events per second.
+    """
 
     lost: float = 0.0
     unanswered: float = 0.0
     late: float = 0.0
-    rot: float = 0.0
+    corruption: float = 0.0
     crash: float = 0.0
     power: float = 0.0
-    slow_seconds: float = 0.0  # the longest time that a call takes
+    slow_seconds: float = 0.0  # longest duration of a call
     orders_only: bool = False  # whether all calls but orders are answered
 
 
 @dataclass(frozen=True)
 class CorruptedChunk:
-    """A chunk that turned bad."""
+    """The time of a chunk's corruption and its bytes before."""
 
     at: float
     before: bytes
@@ -62,16 +66,16 @@
 
 
 class LateReplica:
-    """One replica, through several lives."""
+    """A replica over several incarnations."""
 
-    # Loads of mixed, missing or long corrupted chunks.
+    # Chunks that were wrong, missing or corrupted for over 3 s when a load was ordered.
     violations: list[str]
     loaded: int
     loaded_at: float
     loads: int
-    # Whether what it holds was whole as it was loaded.
+    # Whether the staged chunks were correct when the loaded version was ordered.
     whole: bool
-    # Words of its daemon that called a load confirmed that was not whole.
+    # Loads with wrong chunks that its daemon nevertheless confirmed.
     false_confirmations: list[str]
 
     def __init__(
@@ -90,36 +94,36 @@
         self._corrupted: dict[int, CorruptedChunk] = {}
         self._orders = 0
         self._loading = False
-        self._life = 1
+        self._incarnation = 1
         self._reports_start = generator.random() < 0.5
 
-    # What befalls it.
+    # Fault injection.
 
     async def inject_faults(self) -> None:
-        """Have chunks turn bad and lives end at random, for ever."""
+        """Corrupt chunks and end incarnations at random until cancelled."""
         step = 0.1
         while True:
             await trio.sleep(step)
-            if self._generator.random() < self.fault_rates.rot * step:
+            if self._generator.random() < self.fault_rates.corruption * step:
                 self.corrupt_chunk()
             if self._generator.random() < self.fault_rates.crash * step:
-                self.end_life(power=False)
+                self.end_incarnation(power=False)
             if self._generator.random() < self.fault_rates.power * step:
-                self.end_life(power=True)
+                self.end_incarnation(power=True)
 
     def corrupt_chunk(self) -> None:
-        """Have a chunk turn bad."""
+        """Corrupt a random staged chunk."""
         if self._staged:
             index = self._generator.choice(sorted(self._staged))
-            # One that is bad already has been so since it was corrupted first.
+            # A chunk that is corrupted twice counts as bad since the first time.
             self._corrupted.setdefault(
                 index, CorruptedChunk(trio.current_time(), self._staged[index])
             )
             self._staged[index] = b"bad"
 
-    def end_life(self, *, power: bool) -> None:
-        """Begin another life, which holds nothing; what is staged outlasts a crash only."""
-        self._life += 1
+    def end_incarnation(self, *, power: bool) -> None:
+        """Begin an incarnation without weights; staged chunks survive a crash only."""
+        self._incarnation += 1
         self._orders = 0
         self.loaded = 0
         self.whole = True
@@ -128,62 +132,62 @@
             self._staged.clear()
             self._corrupted.clear()
 
-    # Calls of the daemon.
+    # Calls from the daemon.
 
     async def report(self) -> Ok[ReplicaReport] | Failure:
-        """Return its state."""
-        if not await self._answers():
+        """Return the state of the replica."""
+        if not await self._is_answered():
             return Failure(LINK_LOST, "no answer")
         held = (LoadedModel(MODEL, self.loaded),) if self.loaded else ()
-        started = self._life if self._reports_start else None
+        started = self._incarnation if self._reports_start else None
         return Ok(
             ReplicaReport(held, self._loading, self._orders, 0, 0, 0, 1, 1.0, started_ms=started)
         )
 
     async def staged_chunks(self, model: str) -> Ok[frozenset[int]] | Failure:
-        """Return which chunks lie there."""
-        if not await self._answers():
+        """Return the numbers of the staged chunks."""
+        if not await self._is_answered():
             return Failure(LINK_LOST, "no answer")
         return Ok(frozenset(self._staged))
 
     async def read_chunk(self, model: str, index: int) -> Ok[bytes | None] | Failure:
-        """Return a chunk."""
-        if not await self._answers():
+        """Return a staged chunk, None if it is not staged."""
+        if not await self._is_answered():
             return Failure(LINK_LOST, "no answer")
         return Ok(self._staged.get(index))
 
     async def stage_chunk(self, model: str, index: int, data: bytes) -> Ok[None] | Failure:
-        """Put a chunk."""
+        """Stage a chunk."""
 
         def store_chunk() -> None:
             self._staged[index] = data
             self._corrupted.pop(index, None)
 
-        fate = Fate.ANSWERED if self.fault_rates.orders_only else self._draw()
-        if await self._carry_out(store_chunk, fate):
+        result = CallResult.ANSWERED if self.fault_rates.orders_only else self._draw_result()
+        if await self._execute(store_chunk, result):
             return Ok(None)
         return Failure(LINK_LOST, "no answer")
 
     async def open_line(self) -> Ok[OrderLine] | Failure:
-        """Open a line to the present life."""
+        """Open an order line to the current incarnation."""
         if self._generator.random() < self.fault_rates.lost / 2:
             return Failure(CONNECT_FAILED, "refused")
-        return Ok(_Line(self, self._life))
+        return Ok(_Line(self, self._incarnation))
 
     # Orders.
 
     async def take_order(
-        self, life: int, version: int, expected: ReplicaReport
+        self, incarnation: int, version: int, expected: ReplicaReport
     ) -> Ok[OrderTaken | OrderRefused] | Failure:
-        """Take an order that came over a line to a life."""
-        if life != self._life:
+        """Take an order that was sent over a line to an incarnation."""
+        if incarnation != self._incarnation:
             return Ok(OrderRefused("not sent: another life"))
         outcomes: list[OrderTaken | OrderRefused] = []
 
         def take() -> None:
             outcomes.append(self._take(version, expected.order_sequence))
 
-        if not await self._carry_out(take, self._draw()):
+        if not await self._execute(take, self._draw_result()):
             return Failure(ORDER_FAILED, "no answer")
         return Ok(outcomes[0])
 
@@ -196,19 +200,19 @@
         self.loads += 1
         whole = self._check(version)
         self._loading = True
-        self._nursery.start_soon(self._load, version, self._life, whole)
+        self._nursery.start_soon(self._load, version, self._incarnation, whole)
         return OrderTaken(done=False)
 
-    async def _load(self, version: int, life: int, whole: bool) -> None:
+    async def _load(self, version: int, incarnation: int, whole: bool) -> None:
         await trio.sleep(LOAD_SECONDS)
-        if life == self._life:
+        if incarnation == self._incarnation:
             self._loading = False
             self.loaded = version
             self.loaded_at = trio.current_time()
             self.whole = whole
 
     def _check(self, version: int) -> bool:
-        """Check what staged there as an order is taken; return whether it is whole."""
+        """Check the staged chunks against a version; return whether they are correct."""
         now = trio.current_time()
         before = len(self.violations)
         for index in range(CHUNKS):
@@ -222,68 +226,71 @@
             self.violations.append(f"{now:.2f}: version {version}, chunk {index} is {staged!r}")
         return len(self.violations) == before
 
-    # Fates.
+    # Results of calls.
 
-    async def _answers(self) -> bool:
-        """Let a call that changes nothing take its time; return whether it is answered.
+    async def _is_answered(self) -> bool:
+        """Delay a read-only call; return whether it is answered.
 
-        Few are lost: a read-back needs all chunks answered, and without one nothing is loaded.
+        The loss rate is divided by the number of chunks: reading back needs an answer for every
+        chunk, and nothing is loaded unless the chunks were read back.
         """
-        life = self._life
+        incarnation = self._incarnation
         await trio.sleep(self._generator.uniform(0, self.fault_rates.slow_seconds))
         lost = 0.0 if self.fault_rates.orders_only else self.fault_rates.lost / CHUNKS
         if self._generator.random() < lost:
             await trio.sleep(SILENT_SECONDS)
             return False
-        return life == self._life
+        return incarnation == self._incarnation
 
-    async def _carry_out(self, effect: Callable[[], None], fate: Fate) -> bool:
-        """Let a call take its time and effect; return whether it is answered."""
-        life = self._life
-        if fate is Fate.LATE:
+    async def _execute(self, effect: Callable[[], None], result: CallResult) -> bool:
+        """Delay a call and apply its effect; return whether it is answered."""
+        incarnation = self._incarnation
+        if result is CallResult.LATE:
             delay = self._generator.uniform(0, LATE_SECONDS)
-            self._nursery.start_soon(self._later, life, delay, effect)
+            self._nursery.start_soon(self._apply_later, incarnation, delay, effect)
         await trio.sleep(self._generator.uniform(0, self.fault_rates.slow_seconds))
-        if life != self._life:
+        if incarnation != self._incarnation:
             return False
-        if fate in (Fate.ANSWERED, Fate.UNANSWERED):
+        if result in (CallResult.ANSWERED, CallResult.UNANSWERED):
             effect()
-        if fate is Fate.ANSWERED:
+        if result is CallResult.ANSWERED:
             return True
         await trio.sleep(SILENT_SECONDS)
         return False
 
-    async def _later(self, life: int, delay: float, effect: Callable[[], None]) -> None:
+    async def _apply_later(
+        self, incarnation: int, delay: float, effect: Callable[[], None]
+    ) -> None:
         await trio.sleep(delay)
-        if life == self._life:
+        if incarnation == self._incarnation:
             effect()
 
-    def _draw(self) -> Fate:
-        drawn = self._generator.random()
+    def _draw_result(self) -> CallResult:
+        number = self._generator.random()
         fault_rates = self.fault_rates
-        for fate, part in (
-            (Fate.LOST, fault_rates.lost),
-            (Fate.UNANSWERED, fault_rates.unanswered),
-            (Fate.LATE, fault_rates.late),
+        for result, part in (
+            (CallResult.LOST, fault_rates.lost),
+            (CallResult.UNANSWERED, fault_rates.unanswered),
+            (CallResult.LATE, fault_rates.late),
         ):
-            if drawn < part:
-                return fate
-            drawn -= part
-        return Fate.ANSWERED
+            if number < part:
+                return result
+            number -= part
+        return CallResult.ANSWERED
 
 
 class _Line:
-    """A line to one life of the replica."""
+    """An order line to one incarnation of the replica."""
 
-    def __init__(self, replica: LateReplica, life: int) -> None:
+    def __init__(self, replica: LateReplica, incarnation: int) -> None:
         self._replica = replica
-        self._life = life
+        self._incarnation = incarnation
 
     async def start(
         self, model: str, version: int, expected: ReplicaReport, *, break_off: bool
     ) -> Ok[OrderTaken | OrderRefused] | Failure:
-        """Give an order to that life."""
-        return await self._replica.take_order(self._life, version, expected)
+        """Send an order to that incarnation."""
+        return await self._replica.take_order(self._incarnation, version, expected)
 
     async def close(self) -> None:
-        """Close the line."""
+        """Do nothing: the line holds no resources."""
--- a/testing/machinecaller.py
+++ b/testing/machinecaller.py
@@ -1,4 +1,4 @@
-"""A caller on the new machines: sends requests to an entry and keeps what came back."""
+"""A client for tests with `testing.machines`: sends requests and records the answers."""
 
 import itertools
 from dataclasses import dataclass, field
@@ -16,18 +16,18 @@
 
 @dataclass
 class Reply:
-    """What a caller got."""
+    """The outcome of a request."""
 
     id: str
-    status: int = 0  # 0 when there was no answer at all
+    status: int = 0  # 0 if there was no answer
     headers: dict[str, str] = field(default_factory=dict)
     body: bytes = b""
-    whole: bool = False  # the answer ended as it should
+    whole: bool = False  # the answer was received to its end
     seconds: float = 0.0
 
     @property
     def sealed(self) -> bool:
-        """Whether it bears a replica's signature."""
+        """Whether the answer has a replica's seal."""
         return names.SEAL in self.headers
 
     @property
@@ -38,7 +38,7 @@
 
 
 def new_request_id() -> str:
-    """Return an id that no request had."""
+    """Return a request id that is unique in this process."""
     return f"req-{next(_numbers):06d}"
 
 
@@ -54,7 +54,7 @@
     headers: Headers | None = None,
     seconds: float = 20.0,
 ) -> Reply:
-    """Send one request on a connection of its own and read the whole answer."""
+    """Send a request on a connection of its own and read the answer to the end."""
     reply = Reply(request_id or new_request_id())
     head: Headers = [
         ("host", HOST),
--- a/testing/machinedemo.py
+++ b/testing/machinedemo.py
@@ -1,8 +1,8 @@
-"""The demo of the new machines: six replicas in three zones move to new weights under requests.
+"""Demo of the platform gateway: six replicas in three zones load new weights under load.
 
-Real processes with the links of those machines; the platform is stood in for. Ends with one JSON
-line on standard output; the exit code is 0 only if every replica serves the new version and no
-answer was lost, doubled or broken.
+It runs real processes with the link rates of the hosts, and a fake platform. It prints one JSON
+line to standard output and exits with 0 only if every replica serves the new version and no
+request was lost or run twice.
 """
 
 import json
@@ -30,7 +30,7 @@
 
 
 class LoadGenerator:
-    """Callers that ask at a steady rate and come back once when they are told to."""
+    """Sends requests at a constant rate; a request refused with 503 is repeated once."""
 
     def __init__(self, site: Machines) -> None:
         self.replies: list[Reply] = []
@@ -39,7 +39,7 @@
         self._site = site
 
     async def run(self) -> None:
-        """Ask until told to stop."""
+        """Send requests until `stopped` is set."""
         entries = [
             name for name, machine in self._site.machines.items() if machine.role == "entry"
         ]
@@ -59,7 +59,7 @@
 
 
 async def run_demo(directory: Path) -> bool:
-    """Run the demo; return whether all went well."""
+    """Run the demo; return whether no request was lost or run twice."""
     async with small_site(
         directory,
         models=REPLICAS,
@@ -97,7 +97,7 @@
 
 
 def report(site: Machines, load_generator: LoadGenerator, taken: list[float]) -> bool:
-    """Print the figures; return whether nothing went wrong."""
+    """Print the figures; return whether no request was lost or run twice."""
     runs: Counter[tuple[str, str | None]] = Counter()
     for replica in replicas_of(site, MODEL_SERVICE):
         runs.update((run.id, run.headers.get("last-event-id")) for run in replica.runs)
--- a/testing/machinelayout.py
+++ b/testing/machinelayout.py
@@ -1,4 +1,4 @@
-"""The layout of the machines' stand-in: ports, names, a process's settings, a configuration."""
+"""Constants of `testing.machines`: ports, names, a settings template and a configuration."""
 
 from typing import Any, Final
 
--- a/testing/origin.py
+++ b/testing/origin.py
@@ -1,4 +1,4 @@
-"""A stand-in of the origin (and of the weight store): files in memory behind a limited link."""
+"""A fake origin (or weight store) that serves files from memory over a rate-limited link."""
 
 import json
 
@@ -11,7 +11,7 @@
 
 
 def make_weights(data: bytes, chunk_bytes: int) -> tuple[bytes, str]:
-    """Return the manifest of a version with one file, and its digest."""
+    """Return the manifest of a version with a single file, and the manifest's digest."""
     chunks = [
         digest_of(data[offset : offset + chunk_bytes])
         for offset in range(0, len(data), chunk_bytes)
@@ -29,7 +29,7 @@
 
 
 class FakeOrigin:
-    """Serves versions by name and counts what it sends."""
+    """Serves versions by name; counts requests and bytes sent."""
 
     def __init__(self, bytes_per_second: float = 0.0) -> None:
         self.link = LinkRate(bytes_per_second, 64 * 1024)
@@ -38,8 +38,8 @@
         self.ranges = 0
         self.requests: dict[tuple[str, str], int] = {}
         self.down = False
-        self.corrupt_next = 0  # so many ranges are damaged
-        self.limited_every = 0  # every so many-th range is refused as over the rate
+        self.corrupt_next = 0  # how many of the next ranges to corrupt
+        self.limited_every = 0  # refuses every nth range with status 429; 0 for none
 
     def add(self, name: str, data: bytes, chunk_bytes: int) -> str:
         """Add a version; return the digest of its manifest."""
@@ -48,7 +48,7 @@
         return digest
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one read."""
+        """Answer a read of a manifest or a range."""
         if self.down:
             await exchange.respond(500, [], b"down")
             return
--- a/testing/plainservice.py
+++ b/testing/plainservice.py
@@ -1,4 +1,4 @@
-"""A stand-in of a plain service: answers with what it was sent and keeps a ledger."""
+"""A fake plain service that echoes requests and records their ids."""
 
 import trio
 from headcross_wire.httpserver import Exchange
@@ -13,7 +13,7 @@
         self.answer_seconds = 0.0
 
     async def handle(self, exchange: Exchange) -> None:
-        """Answer one request."""
+        """Answer with the request's body, or with its target if there is none."""
         request = exchange.request
         self.runs.append(request.header("headcross-request") or "")
         await trio.sleep(self.answer_seconds)
--- a/testing/platformorigin.py
+++ b/testing/platformorigin.py
@@ -1,4 +1,4 @@
-"""A stand-in for the platform's origin of weights."""
+"""A fake of the platform's origin of weights."""
 
 import hashlib
 from collections import Counter
@@ -14,23 +14,23 @@
 
 @dataclass
 class FakePlatformOrigin:
-    """The service that hands out weights."""
+    """Serves chunk digests and chunks of versions from memory, with fault injection."""
 
     chunk_bytes: int
     versions: dict[int, list[bytes]] = field(default_factory=dict)
     sent: Counter[tuple[int, int]] = field(default_factory=Counter)  # by version and chunk
-    corrupt_next: int = 0
-    corrupt_digests: int = 0  # answers with digests that are not right
+    corrupt_next: int = 0  # how many of the next chunks to corrupt
+    corrupt_digests: int = 0  # how many of the next lists of digests to corrupt
     down: bool = False
     seconds_per_chunk: float = 0.0
 
     @property
     def sent_chunks(self) -> int:
-        """Return how many chunks it sent."""
+        """How many chunks were sent."""
         return sum(self.sent.values())
 
     async def serve_connection(self, stream: trio.SocketStream) -> None:
-        """Serve one connection until it ends."""
+        """Serve one connection until it closes."""
         connection = h11.Connection(h11.SERVER)
         try:
             while not self.down:
--- a/testing/rawhttp.py
+++ b/testing/rawhttp.py
@@ -1,4 +1,4 @@
-"""HTTP of a stand-in that may misbehave: requests read by library, answers written by hand."""
+"""HTTP for fakes that inject faults: requests are parsed by h11, responses built by hand."""
 
 import socket
 import struct
@@ -17,7 +17,11 @@
 
 
 async def sleep_while_connected(stream: trio.SocketStream, seconds: float) -> None:
-    """Sleep; raise if the caller leaves meanwhile."""
+    """Sleep for some seconds.
+
+    Raises:
+        CallerDisconnected: The caller closed the connection meanwhile.
+    """
     if seconds <= 0:
         return
     with trio.move_on_after(seconds):
@@ -28,7 +32,7 @@
 async def read_request(
     connection: h11.Connection, stream: trio.SocketStream
 ) -> tuple[h11.Request, bytes] | None:
-    """Return the next request and its body; None once the caller is gone or sends no HTTP."""
+    """Return the next request and its body; None if the caller has closed the connection."""
     head: h11.Request | None = None
     body = bytearray()
     while True:
@@ -46,7 +50,7 @@
 
 
 def next_cycle(connection: h11.Connection) -> h11.Connection:
-    """Return a connection for the next request; answers are written past the library."""
+    """Return an h11 connection for the next request, since h11 does not see the responses."""
     fresh = h11.Connection(h11.SERVER)
     rest = connection.trailing_data[0]
     if rest:
@@ -55,7 +59,7 @@
 
 
 async def reset(stream: trio.SocketStream) -> bool:
-    """Reset the connection, if it is still open."""
+    """Reset the connection if it is still open; return False, as it cannot be reused."""
     with suppress(OSError):
         stream.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     await trio.aclose_forcefully(stream)
@@ -63,21 +67,21 @@
 
 
 def head_bytes(status: int, headers: list[tuple[str, str]]) -> bytes:
-    """Return the head of an answer."""
+    """Return the status line and headers of a response."""
     lines = [f"HTTP/1.1 {status} Answer", *(f"{name}: {value}" for name, value in headers)]
     return "\r\n".join([*lines, "", ""]).encode()
 
 
 def response_bytes(status: int, headers: list[tuple[str, str]], body: bytes) -> bytes:
-    """Return an answer with a length."""
+    """Return a response with a content length."""
     return head_bytes(status, [*headers, ("content-length", str(len(body)))]) + body
 
 
 def json_bytes(status: int, value: object, headers: list[tuple[str, str]] | None = None) -> bytes:
-    """Return an answer whose body is a value in JSON."""
+    """Return a response with a value as its JSON body."""
     return response_bytes(status, headers or [], msgspec.json.encode(value))
 
 
 def chunk_bytes(data: bytes) -> bytes:
-    """Return one chunk of a body that is sent in chunks."""
+    """Return data as one chunk of the chunked transfer coding."""
     return b"%x\r\n%s\r\n" % (len(data), data)
--- a/testing/small.py
+++ b/testing/small.py
@@ -1,4 +1,4 @@
-"""A small fleet for tests: a few hosts, small weights, one pool and one plain service."""
+"""A small fleet for tests: a few hosts, 256 KiB of weights, one pool and one plain service."""
 
 import random
 from collections.abc import AsyncIterator
@@ -18,7 +18,7 @@
 
 @dataclass
 class FleetText:
-    """The fleet file of a small fleet, ready to be changed."""
+    """The fleet file of a small fleet; tests change its attributes and publish it again."""
 
     digests: dict[str, str] = field(default_factory=dict)
     version: str = "v1"
@@ -55,17 +55,17 @@
 
 @dataclass
 class SmallFleet:
-    """A running small fleet."""
+    """A running small fleet with its fleet file."""
 
     fleet: Fleet
     text: FleetText
 
     def entry(self, index: int = 0) -> Address:
-        """Return where callers reach an entry."""
+        """Return the address of an entry's HTTP listener."""
         return self.fleet.nodes[f"entry{index}"].address(HTTP)
 
     async def move_to(self, version: str) -> str:
-        """Publish another version; return its digest."""
+        """Publish a fleet file with another version; return the version's digest."""
         self.text.version = version
         self.fleet.publish_fleet(str(self.text))
         return self.text.digests[version]
@@ -87,7 +87,7 @@
     checks_fences: bool = True,
     serving: bool = True,
 ) -> AsyncIterator[SmallFleet]:
-    """Run a small fleet; with `serving`, wait until all its hosts serve v1."""
+    """Run a small fleet; with `serving`, wait until all its model hosts serve v1."""
     seed = random.randrange(1 << 30)
     print(f"seed {seed}")
     random.seed(seed)
--- a/tests/conftest.py
+++ b/tests/conftest.py
@@ -1,8 +1,8 @@
-"""What holds for all tests: how hypothesis plays its examples."""
+"""Settings for all tests: the hypothesis profile."""
 
 from hypothesis import settings
 
-# No time limit for an example: a process that a busy machine keeps still for 0.3 s failed a test
-# by the usual one of 0.2 s. What failed is printed in a form that plays it again.
+# No deadline per example: on a busy machine a process can be paused for 0.3 s, which exceeds the
+# default of 0.2 s. A failure prints a blob that reproduces it.
 settings.register_profile("headcross", deadline=None, print_blob=True)
 settings.load_profile("headcross")
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -215,7 +215,7 @@
         lost=some(0.2),
         unanswered=some(0.2),
         late=some(0.3),
-        rot=some(1.0),
+        corruption=some(1.0),
         crash=some(0.15),
         power=some(0.1),
         slow_seconds=some(0.2),
@@ -245,10 +245,10 @@
     async with trio.open_nursery() as nursery:
         fault_rates = history.fault_rates or draw_fault_rates(generator)
         restarts = history.restarts or generator.choice([0.0, 0.0, RESTARTS])
-        if fault_rates.rot and history.narrowed:
+        if fault_rates.corruption and history.narrowed:
             fault_rates = replace(fault_rates, orders_only=True)
         restarted = Restarts(restarts)
-        if fault_rates.rot and history.narrowed:
+        if fault_rates.corruption and history.narrowed:
             restarted = Restarts(restarts, min_uptime=4.0, longest_pause=0.5)
         replica = LateReplica(generator, nursery, fault_rates)
         nursery.start_soon(replica.inject_faults)
@@ -341,7 +341,7 @@
     "stages too early": (FaultRates(late=0.3), None),
     "forgets an earlier process": (FaultRates(late=0.2), 0.3),
     "lets turn bad what an earlier process ordered": (
-        FaultRates(late=0.3, rot=1.0, orders_only=True),
+        FaultRates(late=0.3, corruption=1.0, orders_only=True),
         0.3,
     ),
     "forgets the puts of an earlier process": (FaultRates(late=0.3), 0.3),
@@ -375,7 +375,7 @@
     monkeypatch.setattr(Recovery, "_keep_whole", never_done)
     if not reads_back:
         monkeypatch.setattr(Confirmation, "note_read_back", lambda self, *about: self._confirm())
-    fault_rates = FaultRates(late=0.3, rot=1.0, orders_only=True)
+    fault_rates = FaultRates(late=0.3, corruption=1.0, orders_only=True)
     played = [run_history(History(seed, fault_rates, 0.3, ends=False)) for seed in range(60)]
     assert any(replica.violations for replica in played)
     assert any(replica.false_confirmations for replica in played) != reads_back
