--- a/testing/answeringpeers.py
+++ b/testing/answeringpeers.py
@@ -23,7 +23,7 @@
 
 ANSWER_SECONDS = 0.01  # delay of each answer
 ORIGIN_COPIES = 1
-NO_BOUND = 0.0  # bytes a second
+NO_BOUND = 0.0  # bytes per second
 STORE_BYTES = 1 << 30
 
 
--- a/testing/engine.py
+++ b/testing/engine.py
@@ -156,15 +156,15 @@
         if request.header("if-match") != f'"{held}"':
             await exchange.respond(412, [], b"")
             return
-        asked = msgspec.json.decode(request.body, type=Generate)
+        parameters = msgspec.json.decode(request.body, type=Generate)
         first = int(request.header("resume-from") or "0")
-        run = Run(request.header("headcross-request") or "", asked.prompt, first)
+        run = Run(request.header("headcross-request") or "", parameters.prompt, first)
         self.runs.append(run)
         self.running += 1
         try:
             async with self.slots:
-                await self._prefill(asked.prompt)
-                await self._answer(exchange, asked, digest, first)
+                await self._prefill(parameters.prompt)
+                await self._answer(exchange, parameters, digest, first)
             run.finished = True
         finally:
             self.running -= 1
@@ -182,19 +182,21 @@
         while len(self._prefixes) > self.cached_prefixes:
             del self._prefixes[next(iter(self._prefixes))]
 
-    async def _answer(self, exchange: Exchange, asked: Generate, digest: str, first: int) -> None:
-        if not asked.stream:
-            await trio.sleep(self.token_seconds * asked.max_tokens)
-            tokens = [token(digest, asked.prompt, i) for i in range(asked.max_tokens)]
+    async def _answer(
+        self, exchange: Exchange, parameters: Generate, digest: str, first: int
+    ) -> None:
+        if not parameters.stream:
+            await trio.sleep(self.token_seconds * parameters.max_tokens)
+            tokens = [token(digest, parameters.prompt, i) for i in range(parameters.max_tokens)]
             await exchange.respond_json(200, {"tokens": tokens})
             return
         await exchange.start(200, [("content-type", "text/event-stream")])
-        for index in range(first, asked.max_tokens):
+        for index in range(first, parameters.max_tokens):
             if self.break_after is not None and index - first >= self.break_after:
                 self.break_after = None
                 raise CallerGone("stream cut by fault injection (break_after)")
             await trio.sleep(self.token_seconds)
-            text = token(digest, asked.prompt, index)
+            text = token(digest, parameters.prompt, index)
             await exchange.send(f"id: {index}\ndata: {text}\n\n".encode())
         await exchange.send(b"data: [DONE]\n\n")
         await exchange.finish()
--- a/testing/latereplica.py
+++ b/testing/latereplica.py
@@ -136,7 +136,7 @@
 
     async def report(self) -> Ok[ReplicaReport] | Failure:
         """Return the state of the replica."""
-        if not await self._is_answered():
+        if not await self._delay_read():
             return Failure(LINK_LOST, "no answer")
         held = (LoadedModel(MODEL, self.loaded),) if self.loaded else ()
         started = self._incarnation if self._reports_start else None
@@ -146,13 +146,13 @@
 
     async def staged_chunks(self, model: str) -> Ok[frozenset[int]] | Failure:
         """Return the numbers of the staged chunks."""
-        if not await self._is_answered():
+        if not await self._delay_read():
             return Failure(LINK_LOST, "no answer")
         return Ok(frozenset(self._staged))
 
     async def read_chunk(self, model: str, index: int) -> Ok[bytes | None] | Failure:
         """Return a staged chunk, None if it is not staged."""
-        if not await self._is_answered():
+        if not await self._delay_read():
             return Failure(LINK_LOST, "no answer")
         return Ok(self._staged.get(index))
 
@@ -164,7 +164,7 @@
             self._corrupted.pop(index, None)
 
         result = CallResult.ANSWERED if self.fault_rates.orders_only else self._draw_result()
-        if await self._execute(store_chunk, result):
+        if await self._apply(store_chunk, result):
             return Ok(None)
         return Failure(LINK_LOST, "no answer")
 
@@ -187,7 +187,7 @@
         def take() -> None:
             outcomes.append(self._take(version, expected.order_sequence))
 
-        if not await self._execute(take, self._draw_result()):
+        if not await self._apply(take, self._draw_result()):
             return Failure(ORDER_FAILED, "no answer")
         return Ok(outcomes[0])
 
@@ -228,7 +228,7 @@
 
     # Results of calls.
 
-    async def _is_answered(self) -> bool:
+    async def _delay_read(self) -> bool:
         """Delay a read-only call; return whether it is answered.
 
         The loss rate is divided by the number of chunks: reading back needs an answer for every
@@ -242,7 +242,7 @@
             return False
         return incarnation == self._incarnation
 
-    async def _execute(self, effect: Callable[[], None], result: CallResult) -> bool:
+    async def _apply(self, effect: Callable[[], None], result: CallResult) -> bool:
         """Delay a call and apply its effect; return whether it is answered."""
         incarnation = self._incarnation
         if result is CallResult.LATE:
--- a/testing/platformreplica.py
+++ b/testing/platformreplica.py
@@ -336,8 +336,8 @@
             await stream.send_all(json_bytes(421, {}, base))
             return True
         if self.rest is not None:
-            asked = [*base, (names.NOT_EXECUTED, "1"), (names.RETRY_AFTER, self.rest)]
-            await stream.send_all(json_bytes(503, {}, asked))
+            refusal_headers = [*base, (names.NOT_EXECUTED, "1"), (names.RETRY_AFTER, self.rest)]
+            await stream.send_all(json_bytes(503, {}, refusal_headers))
             return True
         fault = self.faults.popleft() if self.faults else None
         refuses = self.loading or (self.draining and not self.serves_draining)
