--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -169,7 +169,7 @@
             return
         self._stop_proxies(seat.seat.name)
         self.machines.crash_replica(seat.listed)
-        seat.listed.replica.kept_orders.clear()
+        seat.listed.replica.held_orders.clear()
 
     async def restart_replica(self, seat: SeatState, clock_step_ms: int) -> None:
         """Restart a running incarnation under its id; it keeps no state."""
