--- a/.ci/changed_checks.py
+++ b/.ci/changed_checks.py
@@ -1,4 +1,4 @@
-"""Prints what changed of the known failures and their checks since a commit.
+"""Lists the changes to known failures and their tests since a commit.
 
 Usage: changed_checks.py [COMMIT]
 
@@ -17,15 +17,15 @@
 
 from docopt import docopt
 
-LIST: Final = "KNOWN-RED.txt"
+KNOWN_FAILURES_FILE: Final = "KNOWN-RED.txt"
 LAST_LANDING: Final = Path(__file__).parent / "last-landing.txt"
 
-# Returns a file's text by its path, empty if there is none.
+# Returns the text of the file at a path, or an empty string if there is no such file.
 ReadFile = Callable[[str], str]
 
 
 def entries_of(text: str) -> dict[str, str]:
-    """Return the entries of the list by their tests.
+    """Return the entries of the list by test name.
 
     >>> entries_of("tests/a.py::test_b | why | issue 1")
     {'tests/a.py::test_b': 'why | issue 1'}
@@ -35,10 +35,10 @@
 
 
 def body_of(source: str, test: str) -> list[str] | None:
-    """Return a test's statements without its docstring, None if the module has no such test.
+    """Return a test's statements without its docstring, or None if there is no such test.
 
-    The module's constants belong to it, since its bounds may be among them. `test` is a name as
-    pytest tells it; a file that cannot be read as Python has no tests.
+    The module's constants are included, because they may contain the test's bounds. `test` is a
+    pytest node ID; a file that is not valid Python has no tests.
     """
     name = test.partition("::")[2].partition("[")[0]
     try:
@@ -55,8 +55,8 @@
 
 
 def changes(before: ReadFile, now: ReadFile) -> Iterator[str]:
-    """Return lines that tell what changed between two states of the repository."""
-    old, new = entries_of(before(LIST)), entries_of(now(LIST))
+    """Yield lines that describe the changes between two states of the repository."""
+    old, new = entries_of(before(KNOWN_FAILURES_FILE)), entries_of(now(KNOWN_FAILURES_FILE))
     for test in sorted(old.keys() | new.keys()):
         path = test.partition("::")[0]
         lines = [*_entry_changes(old.get(test), new.get(test))]
@@ -105,7 +105,7 @@
 
 
 def main() -> int:
-    """Print the changes; 2 if the commit is not in the history."""
+    """Print the changes; return 2 if the commit is not in the history, else 0."""
     commit = docopt(__doc__)["COMMIT"] or LAST_LANDING.read_text().strip()
     known = subprocess.run(["git", "cat-file", "-e", f"{commit}^{{commit}}"], capture_output=True)
     if known.returncode:
--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Everything a developer runs. `make demo` and `make test` set up all they need.
+# Development tasks. Targets install the dependencies that they need.
 VENV := .venv
 PY := $(VENV)/bin/python
 LIBS := base wire ports native facts fleet weights rollout routing gateway renewal daemon cli
@@ -36,7 +36,7 @@
 clean:
 	rm -rf $(VENV)
 
-# Benchmarks need matplotlib, which nothing else does.
+# Only benchmarks need matplotlib.
 BENCH_STAMP := $(VENV)/.bench-installed
 $(BENCH_STAMP): $(STAMP) requirements-bench.txt
 	$(PY) -m pip install --quiet -r requirements-bench.txt
--- a/bench/__init__.py
+++ b/bench/__init__.py
@@ -1,1 +1,1 @@
-"""Measurements; not shipped."""
+"""Benchmarks and load tests; not part of the product."""
--- a/bench/baselinehost.py
+++ b/bench/baselinehost.py
@@ -1,9 +1,9 @@
-"""One host of a baseline: fetches all chunks in order from one source, serves them to the next.
+"""A host of a baseline run: fetches all chunks in order from one source and serves them.
 
     python -m bench.baselinehost SOURCE LISTEN CHUNKS CHUNK_BYTES RATE
 
-SOURCE is the origin itself (every host from the origin) or the host before (a chain). The process
-writes one line when it has everything, and goes on serving until it is killed.
+SOURCE is the origin (every host fetches from the origin) or the previous host (a chain). The
+process prints one line when it holds all chunks and then serves until it is killed.
 """
 
 import sys
@@ -15,46 +15,46 @@
 from headcross_wire.httpserver import Exchange, HttpServer, ServerLimits
 from headcross_wire.linkrate import LinkRate
 
-WORKERS = 4
-RETRY_SECONDS = 0.02
-CALL_SECONDS = 120.0
+MAX_CONCURRENT_FETCHES = 4
+RETRY_DELAY_SECONDS = 0.02
+CALL_TIMEOUT_SECONDS = 120.0
 
 
 class BaselineHost:
-    """Chunks in, chunks out, both at the link's rate."""
+    """Fetches and serves chunks, both limited to the rate of its link."""
 
     def __init__(self, source: Address, chunks: int, chunk_bytes: int, rate: float) -> None:
         self.source = source
         self.chunk_bytes = chunk_bytes
         self.chunks: list[bytes | None] = [None] * chunks
-        self.todo = list(reversed(range(chunks)))
-        self.up = LinkRate(rate, 64 * 1024)
-        self.down = LinkRate(rate, 64 * 1024)
+        self.pending = list(reversed(range(chunks)))
+        self.uplink = LinkRate(rate, 64 * 1024)
+        self.downlink = LinkRate(rate, 64 * 1024)
 
     async def handle(self, exchange: Exchange) -> None:
-        """Serve one chunk, in the form the origin does; 503 while it is not here."""
+        """Serve one chunk as the origin does; answer 503 while the chunk is missing."""
         asked = (exchange.request.header("range") or "").removeprefix("bytes=")
         data = self.chunks[int(asked.partition("-")[0]) // self.chunk_bytes]
         if data is None:
             await exchange.respond(503, [], b"")
             return
-        await self.up.take(len(data))
+        await self.uplink.take(len(data))
         await exchange.respond(206, [], data)
 
     async def fetch(self) -> None:
-        """Fetch all chunks in order, a few at a time."""
+        """Fetch all chunks in order, uplink to MAX_CONCURRENT_FETCHES at a time."""
         async with trio.open_nursery() as nursery:
-            for _ in range(WORKERS):
-                nursery.start_soon(self._work)
+            for _ in range(MAX_CONCURRENT_FETCHES):
+                nursery.start_soon(self._fetch_pending)
 
-    async def _work(self) -> None:
-        while self.todo:
-            index = self.todo.pop()
-            await self.down.take(self.chunk_bytes)
+    async def _fetch_pending(self) -> None:
+        while self.pending:
+            index = self.pending.pop()
+            await self.downlink.take(self.chunk_bytes)
             while self.chunks[index] is None:
-                await self._try(index)
+                await self._fetch_chunk(index)
 
-    async def _try(self, index: int) -> None:
+    async def _fetch_chunk(self, index: int) -> None:
         first = index * self.chunk_bytes
         headers = [("range", f"bytes={first}-{first + self.chunk_bytes - 1}")]
         outcome = await call(
@@ -62,17 +62,17 @@
             "GET",
             "/weights/m-v1/files/weights.bin",
             headers=headers,
-            seconds=CALL_SECONDS,
+            seconds=CALL_TIMEOUT_SECONDS,
             max_bytes=self.chunk_bytes,
         )
         if isinstance(outcome, Ok) and outcome.value.status == 206:
             self.chunks[index] = outcome.value.body
         else:
-            await trio.sleep(RETRY_SECONDS)
+            await trio.sleep(RETRY_DELAY_SECONDS)
 
 
 async def run(source: str, listen: str, chunks: int, chunk_bytes: int, rate: float) -> None:
-    """Fetch, say so, serve on."""
+    """Serve while fetching, print a line when all chunks are held, and go on serving."""
     address = parse_address(listen)
     SOURCE_IP.set(address.ip)
     host = BaselineHost(parse_address(source), chunks, chunk_bytes, rate)
--- a/bench/baselinerun.py
+++ b/bench/baselinerun.py
@@ -1,4 +1,4 @@
-"""One baseline run: N hosts fill themselves from the origin, or in a chain."""
+"""Runs a baseline: N hosts fetch weights directly from the origin, or in a chain."""
 
 import random
 import subprocess
@@ -17,7 +17,7 @@
 
 
 async def run_baseline(setup: Setup, kind: Kind, directory: Path) -> dict[str, Any]:
-    """Run once and return the figures."""
+    """Run one baseline and return its results."""
     chunk_bytes = setup.weights_bytes // setup.chunks
     rate = setup.host_rate
     async with running_fleet(directory, [], origin_rate=2 * rate) as fleet:
@@ -35,7 +35,7 @@
         try:
             async with trio.open_nursery() as nursery:
                 for process in processes:
-                    nursery.start_soon(_wait_done, process, started, times)
+                    nursery.start_soon(_record_completion, process, started, times)
         finally:
             for process in processes:
                 process.kill()
@@ -51,7 +51,9 @@
         }
 
 
-async def _wait_done(process: subprocess.Popen[bytes], started: float, times: list[float]) -> None:
+async def _record_completion(
+    process: subprocess.Popen[bytes], started: float, times: list[float]
+) -> None:
     assert process.stdout is not None
     await trio.lowlevel.wait_readable(process.stdout)
     times.append(time.monotonic() - started)
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -1,4 +1,4 @@
-"""What choosing one chunk costs against the number of chunks missing, without any transfer.
+"""Measures the cost of selecting a chunk by the number of missing chunks, without any transfer.
 
 python -m bench.choice
 """
@@ -19,7 +19,7 @@
 
 
 def measure(chunks: int) -> dict[str, float]:
-    """Return milliseconds for one choice, and for one look for chunks that nobody offers."""
+    """Return the milliseconds of one selection and of one search for chunks nobody offers."""
     digests = [f"{index:064x}" for index in range(chunks)]
     manifest = Manifest(1, 1, [ManifestFile("f", chunks, digests)])
     stored = StoredArtifact("d", manifest, b"")
--- a/bench/entryvariant.py
+++ b/bench/entryvariant.py
@@ -1,4 +1,4 @@
-"""An entry daemon that picks upstreams by a baseline policy, named by HEADCROSS_BENCH_PICK."""
+"""Runs an entry daemon with the baseline routing policy that HEADCROSS_BENCH_PICK names."""
 
 import itertools
 import os
@@ -7,22 +7,22 @@
 from headcross_daemon.main import main
 from headcross_routing.picking import Candidate, Picker
 
-_turn = itertools.count()
+_counter = itertools.count()
 
 
 def pick_at_random(
     self: Picker, candidates: list[Candidate], prefix: str | None
 ) -> Candidate | None:
-    """Pick any candidate."""
+    """Pick a candidate at random."""
     return random.choice(candidates) if candidates else None
 
 
-def pick_in_turn(
+def pick_round_robin(
     self: Picker, candidates: list[Candidate], prefix: str | None
 ) -> Candidate | None:
-    """Pick the candidates one after another."""
+    """Pick the candidates in round-robin order."""
     ordered = sorted(candidates, key=lambda candidate: candidate.upstream)
-    return ordered[next(_turn) % len(ordered)] if ordered else None
+    return ordered[next(_counter) % len(ordered)] if ordered else None
 
 
 if __name__ == "__main__":
@@ -30,5 +30,5 @@
     if policy == "random":
         Picker.pick = pick_at_random  # type: ignore[method-assign]
     elif policy == "round-robin":
-        Picker.pick = pick_in_turn  # type: ignore[method-assign]
+        Picker.pick = pick_round_robin  # type: ignore[method-assign]
     main()
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -1,4 +1,4 @@
-"""Plays an experiment on the model of a replica pool: ways to decide, under ever more load.
+"""Compares overload settings on a simulated replica pool under increasing load.
 
 Usage:
   experiment FILE [--output=DIR]
@@ -24,17 +24,17 @@
 from docopt import docopt
 from hdrh.histogram import HdrHistogram
 
-from bench.pool.model import Tally, play
+from bench.pool.model import Tally, simulate
 from bench.pool.specs import ExperimentSpec, SpecError, VariantSpec, read_experiment
 
-# First events are recorded from 1 ms to 60 s with two digits.
-LEAST_MS: Final = 1
-MOST_MS: Final = 60_000
-DIGITS: Final = 2
+# Range and precision of the first-event histogram: 1 ms to 60 s with two digits.
+MIN_MS: Final = 1
+MAX_MS: Final = 60_000
+SIGNIFICANT_DIGITS: Final = 2
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """What became of the callers of one run, as shares of them."""
+    """The outcomes of one run; in_aim to gone are shares of its callers."""
 
     variant: str
     offered: float
@@ -45,9 +45,9 @@
     refused: float
     refused_again: float
     gone: float
-    held_in_vain_seconds: float  # a caller that came back and was refused again, in the mean
+    held_in_vain_seconds: float  # mean queueing time of a refused retry
     in_aim_per_second: float
-    worth: float  # earned of what was owed
+    worth: float  # share of the possible value
     first_event_p50_ms: float
     first_event_p95_ms: float
 
@@ -57,9 +57,9 @@
 ) -> RunResult:
     """Return a run's tally as shares and percentiles."""
     callers = max(1, tally.callers)
-    histogram = HdrHistogram(LEAST_MS, MOST_MS, DIGITS)
+    histogram = HdrHistogram(MIN_MS, MAX_MS, SIGNIFICANT_DIGITS)
     for seconds in tally.first_event_seconds:
-        histogram.record_value(max(LEAST_MS, min(MOST_MS, int(seconds * 1000))))
+        histogram.record_value(max(MIN_MS, min(MAX_MS, int(seconds * 1000))))
     return RunResult(
         variant=variant.name,
         offered=offered,
@@ -79,14 +79,14 @@
 
 
 def run_all(spec: ExperimentSpec, results: Path) -> list[RunResult]:
-    """Play every run; write and print each result as it comes."""
+    """Simulate every run; write and print each result as soon as it is known."""
     done: list[RunResult] = []
     counted = spec.seconds - spec.warm_up_seconds - spec.cool_down_seconds
     runs = [(o, v, s) for o in spec.offered for v in spec.variants for s in spec.seeds]
     with results.open("wb") as file:
         for number, (offered, variant, seed) in enumerate(runs, 1):
             started_at = time.monotonic()
-            tally = play(spec, variant.settings(), offered, seed)
+            tally = simulate(spec, variant.settings(), offered, seed)
             result = result_of(variant, offered, seed, tally, counted)
             done.append(result)
             file.write(msgspec.json.encode(result) + b"\n")
@@ -102,7 +102,7 @@
 
 
 def plot(spec: ExperimentSpec, results: Sequence[RunResult], path: Path) -> None:
-    """Draw answers in the aim a second and the refused share against the offered load."""
+    """Plot answers per second within the target time, and the refused share, by offered load."""
     import matplotlib
 
     matplotlib.use("Agg")
@@ -134,7 +134,7 @@
 
 
 def main() -> int:
-    """Play the experiment; return the exit code."""
+    """Run the experiment; return the exit code."""
     arguments = docopt(__doc__ or "")
     path = Path(arguments["FILE"])
     try:
--- a/bench/following.py
+++ b/bench/following.py
@@ -1,9 +1,10 @@
-"""Following the configuration at size: how long a change takes, what the service is asked.
+"""Measures the propagation of configuration changes in large fleets, and the load on the service.
 
     python -m bench.following [DAEMONS ...]
 
-Plain upstream daemons and two entries over three regions and seven zones. Times are read from the
-daemons' own logs. One change with all alive, then one with every reader of one zone just killed.
+Runs upstream daemons and two entries in three regions and seven zones. Times are read from the
+daemons' logs. One change is published while all daemons run, and one right after every reader of a
+zone was killed.
 """
 
 import json
@@ -24,13 +25,13 @@
 from testing.fleet import Fleet, Spec, running_fleet, wait_for
 
 ZONES = [f"z{index}" for index in range(7)]
-QUIET_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 FILE = "[services.s]\ndrain_seconds = {number}\n"
-START_AT_ONCE = 16
+START_BATCH_SIZE = 16
 
 
 async def run(daemons: int, directory: Path) -> dict[str, Any]:
-    """Measure one size."""
+    """Measure one fleet size and return its results."""
     specs = [Spec(f"entry{i}", "entry", ZONES[i], f"r{i % 3}") for i in range(2)]
     specs += [
         Spec(f"host{i}", "upstream", ZONES[i % 7], f"r{i % 7 % 3}", "s")
@@ -40,14 +41,14 @@
         fleet.publish_fleet(FILE.format(number=1))
         for index, name in enumerate(fleet.nodes):
             fleet.start(name)
-            if index % START_AT_ONCE == START_AT_ONCE - 1:
+            if index % START_BATCH_SIZE == START_BATCH_SIZE - 1:
                 await wait_for(partial(fleet.state, name), f"{name} up")
         await fleet.wait_settled()
         await trio.sleep(5)
         reads = fleet.config.reads
-        rates = await measure_rates(fleet, ["host0", "host1", "host2"], QUIET_SECONDS)
-        entry = await measure_rates(fleet, ["entry0"], QUIET_SECONDS)
-        reads_per_second = (fleet.config.reads - reads) / (2 * QUIET_SECONDS)
+        rates = await measure_rates(fleet, ["host0", "host1", "host2"], IDLE_SECONDS)
+        entry = await measure_rates(fleet, ["entry0"], IDLE_SECONDS)
+        reads_per_second = (fleet.config.reads - reads) / (2 * IDLE_SECONDS)
         alive = list(fleet.nodes)
         all_alive = await _time_change(fleet, alive, 2)
         killed = _kill_readers(fleet, "z3")
@@ -85,19 +86,19 @@
 
 
 async def _time_change(fleet: Fleet, alive: list[str], number: int) -> dict[str, float]:
-    """Publish a change; return the median and the slowest time to force, in seconds."""
+    """Publish a change; return the median and maximum seconds until it is in force."""
     published = time.time()
     revision = fleet.publish_fleet(FILE.format(number=number))
     times: dict[str, float] = {}
 
-    async def everyone() -> bool:
+    async def in_force_everywhere() -> bool:
         for name in alive:
             at = _in_force_at(fleet.directory / f"{name}.log", revision)
             if name not in times and at is not None:
                 times[name] = at - published
         return len(times) == len(alive)
 
-    await wait_for(everyone, "in force everywhere", 60, poll=0.5)
+    await wait_for(in_force_everywhere, "in force everywhere", 60, poll=0.5)
     ordered = sorted(times.values())
     return {"median": round(ordered[len(ordered) // 2], 3), "slowest": round(ordered[-1], 3)}
 
@@ -113,7 +114,7 @@
 
 
 def main() -> None:
-    """Measure the sizes given."""
+    """Measure the fleet sizes in the arguments and print one JSON line for each."""
     for daemons in [int(n) for n in sys.argv[1:]] or [50, 200]:
         with tempfile.TemporaryDirectory(prefix="headcross-bench-") as directory:
             print(json.dumps(trio.run(run, daemons, Path(directory))), flush=True)
--- a/bench/load.py
+++ b/bench/load.py
@@ -1,9 +1,9 @@
-"""make load: routing under load, beside random and round robin, in one run.
+"""make load: compares routing policies under load: headcross, random and round robin.
 
-Open loop and seeded: arrivals follow a Poisson process, and each latency counts from the moment
-the request was due, so a slow system cannot slow its own load down (no coordinated omission).
-Engines have a few slots and a cache of prompt prefixes; a prompt whose prefix is cached costs no
-prefill.
+The load is open loop and seeded: arrivals follow a Poisson process, and latency is measured from
+the time at which a request was due, so a slow system does not reduce its own load (no coordinated
+omission). Engines have a few slots and a cache of prompt prefixes; a prompt with a cached prefix
+needs no prefill.
 """
 
 import json
@@ -29,10 +29,11 @@
 TOKENS = 8
 TOKEN_SECONDS = 0.008
 PREFILL_SECONDS = 0.08
-PREFIXES, CACHED = 32, 12
+PREFIXES, CACHED_PREFIXES = 32, 12
 RUN_SECONDS = 12.0
-# With every prefix cached a slot serves so many requests a second; nobody reaches that.
-BEST_RATE = HOSTS * SLOTS / (TOKENS * TOKEN_SECONDS)
+# Requests per second of all slots if every prefix were cached: an upper bound that no policy
+# reaches.
+MAX_RATE_PER_SECOND = HOSTS * SLOTS / (TOKENS * TOKEN_SECONDS)
 POLICIES = ("headcross", "random", "round-robin")
 LOADS = (0.5, 0.9, 1.2)
 MICROSECONDS = 1_000_000
@@ -57,45 +58,45 @@
 
 @dataclass(frozen=True)
 class Scenario:
-    """What is wrong in a run."""
+    """The load of a run and what disturbs it."""
 
     name: str
-    load: float  # share of the best rate
-    slow: int = 0  # hosts four times as slow
-    dead: int = 0  # hosts whose daemon is killed at the start
-    flood: bool = False  # team t0 sends ten times its limit on top
+    load: float  # share of MAX_RATE_PER_SECOND
+    slow: int = 0  # number of hosts four times as slow
+    dead: int = 0  # number of hosts whose daemon is killed at the start
+    flood: bool = False  # team t0 sends ten times its fair share in addition
 
 
 class Load:
-    """One run of load against a fleet."""
+    """Sends the load of one run to a fleet and records outcomes and latencies."""
 
     def __init__(self, fleet: Fleet, scenario: Scenario) -> None:
         self.fleet = fleet
         self.scenario = scenario
         self.rng = random.Random(SEED)
-        self.first = HdrHistogram(1, 60 * MICROSECONDS, 3)
-        self.between = HdrHistogram(1, 60 * MICROSECONDS, 3)
-        self.told: Counter[str] = Counter()
+        self.first_token = HdrHistogram(1, 60 * MICROSECONDS, 3)
+        self.between_tokens = HdrHistogram(1, 60 * MICROSECONDS, 3)
+        self.outcomes: Counter[str] = Counter()
 
     async def run(self) -> None:
-        """Send requests as they are due, for the length of a run."""
-        rate = self.scenario.load * BEST_RATE
+        """Send requests at their due times for RUN_SECONDS."""
+        rate = self.scenario.load * MAX_RATE_PER_SECOND
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.send_all, nursery, rate, None)
             if self.scenario.flood:
-                nursery.start_soon(self.send_all, nursery, BEST_RATE, "t0")
+                nursery.start_soon(self.send_all, nursery, MAX_RATE_PER_SECOND, "t0")
 
     async def send_all(self, nursery: trio.Nursery, rate: float, team: str | None) -> None:
-        """Send one stream of requests, of one team or of all but t0 and t0's fair share."""
+        """Send a Poisson stream of requests, from one team or from all teams at random."""
         started = due = trio.current_time()
         while due < started + RUN_SECONDS:
             due += self.rng.expovariate(rate)
             await trio.sleep_until(due)
             sender = team or f"t{self.rng.randrange(TEAMS)}"
-            nursery.start_soon(self.ask, due, sender, team is None)
+            nursery.start_soon(self.send_request, due, sender, team is None)
 
-    async def ask(self, due: float, team: str, counted: bool) -> None:
-        """Send one request and note its times, unless it is part of a flood."""
+    async def send_request(self, due: float, team: str, counted: bool) -> None:
+        """Send one request and record its outcome and latencies unless it is part of a flood."""
         address = self.fleet.nodes["entry0"].address(HTTP)
         prefix = f"{int(self.rng.paretovariate(1.1)) % PREFIXES:03d}".ljust(500, "x")
         prompt = f"{prefix}:{self.rng.getrandbits(64):x}"
@@ -103,34 +104,34 @@
         outcome = await stream(address, team, prompt, times)
         if not counted or team == "t0" and self.scenario.flood:
             return
-        self.told[outcome] += 1
+        self.outcomes[outcome] += 1
         if outcome == "200" and times:
-            self.first.record_value(int((times[0] - due) * MICROSECONDS))
+            self.first_token.record_value(int((times[0] - due) * MICROSECONDS))
             for earlier, later in zip(times, times[1:], strict=False):
-                self.between.record_value(max(1, int((later - earlier) * MICROSECONDS)))
+                self.between_tokens.record_value(max(1, int((later - earlier) * MICROSECONDS)))
 
-    def figures(self) -> dict[str, Any]:
-        """Return what was measured."""
+    def results(self) -> dict[str, Any]:
+        """Return the results of the run."""
         engines = self.fleet.engines().values()
         runs = sum(len(engine.runs) for engine in engines)
         hits = sum(engine.prefix_hits for engine in engines)
         return {
-            "requests": sum(self.told.values()),
-            "told": dict(self.told),
-            "goodput_per_second": round(self.told["200"] / RUN_SECONDS, 1),
+            "requests": sum(self.outcomes.values()),
+            "told": dict(self.outcomes),
+            "goodput_per_second": round(self.outcomes["200"] / RUN_SECONDS, 1),
             "hit_rate": round(hits / runs, 3) if runs else 0.0,
-            "first_token_ms": _percentiles(self.first),
-            "between_tokens_ms": _percentiles(self.between),
+            "first_token_ms": _percentiles(self.first_token),
+            "between_tokens_ms": _percentiles(self.between_tokens),
         }
 
 
 def _percentiles(histogram: HdrHistogram) -> list[float]:
-    """Return the 50th, 95th and 99th percentile in milliseconds."""
+    """Return the 50th, 95th and 99th percentiles in milliseconds."""
     return [round(histogram.get_value_at_percentile(p) / 1000, 1) for p in (50, 95, 99)]
 
 
 async def stream(address: Address, team: str, prompt: str, times: list[float]) -> str:
-    """Read one stream; note when each piece came; return the status."""
+    """Send a request, append the arrival time of each piece to times, and return the status."""
     body = json.dumps({"prompt": prompt, "max_tokens": TOKENS}).encode()
     try:
         async with closing(await connect(address)) as connection:
@@ -144,14 +145,14 @@
 
 
 async def run_scenario(scenario: Scenario, policy: str, directory: Path) -> dict[str, Any]:
-    """Run one scenario under one policy."""
+    """Run one scenario under one policy and return its results."""
     os.environ["HEADCROSS_BENCH_PICK"] = policy
     upstream = f"max_concurrent = {SLOTS}\nmax_queued = {4 * SLOTS}\n"
     specs = [Spec("entry0", "entry", "z0", "r0", module="bench.entryvariant")]
     specs += [Spec(f"host{i}", "upstream", "z0", "r0", upstream=upstream) for i in range(HOSTS)]
     async with running_fleet(directory, specs) as fleet:
         digest = fleet.origin.add("m-v1", b"x" * 1024, 1024)
-        share = BEST_RATE / TEAMS * 1.5
+        share = MAX_RATE_PER_SECOND / TEAMS * 1.5
         teams = "".join(TEAM.format(number=n, rate=share) for n in range(TEAMS))
         fleet.publish_fleet(FLEET_FILE.format(digest=digest, hosts=HOSTS) + teams)
         for index, engine in enumerate(fleet.engines().values()):
@@ -159,7 +160,7 @@
             engine.slots = trio.CapacityLimiter(SLOTS)
             engine.token_seconds = TOKEN_SECONDS * slow
             engine.prefill_seconds = PREFILL_SECONDS * slow
-            engine.cached_prefixes = CACHED
+            engine.cached_prefixes = CACHED_PREFIXES
         for name in fleet.nodes:
             fleet.start(name)
         await fleet.wait_settled()
@@ -169,18 +170,18 @@
         load = Load(fleet, scenario)
         await load.run()
         state = await fleet.state("entry0")
-        attempts = state["attempts"] / max(1, sum(load.told.values()))
+        attempts = state["attempts"] / max(1, sum(load.outcomes.values()))
         return {
             "policy": policy,
             "scenario": scenario.name,
             "load": scenario.load,
-            **load.figures(),
+            **load.results(),
             "attempts_per_request": round(attempts, 3),
         }
 
 
 def main() -> None:
-    """Run every scenario, or those named in SCENARIOS, under every policy it is meant for."""
+    """Run all scenarios, or those that SCENARIOS names, under each policy that applies."""
     scenarios = [Scenario(f"load {load}", load) for load in LOADS]
     scenarios += [
         Scenario("one slow", 0.4, slow=1),
--- a/bench/lostworth.py
+++ b/bench/lostworth.py
@@ -1,4 +1,4 @@
-"""Where the worth of played days is lost, from the reports that the users' bench writes.
+"""Breaks down where simulated days lost worth, from the reports of the users' bench.
 
 Usage:
   lostworth REPORT...
@@ -16,15 +16,15 @@
 
 from docopt import docopt
 
-# Prices below this share of the day are left out.
-LEAST_PRICE: Final = 0.0005
-# Windows that lost less than so many hundredths are left out.
-LEAST_LOSS: Final = 0.05
+# Prices below this share of the day's worth are not printed.
+MIN_PRICE: Final = 0.0005
+# Windows that lost less than this, in hundredths of the worth owed, are not printed.
+MIN_LOSS_HUNDREDTHS: Final = 0.05
 
 
 @dataclass(frozen=True)
 class WindowLoss:
-    """What the requests of one window lost, in hundredths of all that the day owed."""
+    """The losses of one window's requests, in hundredths of the worth owed in the day."""
 
     start: str  # seconds since the start of the traffic
     refused: float
@@ -33,12 +33,12 @@
 
     @property
     def total(self) -> float:
-        """Everything that was lost in the window."""
+        """The sum of all losses of the window."""
         return self.refused + self.failed + self.late
 
 
 def window_losses(windows: list[dict[str, Any]]) -> list[WindowLoss]:
-    """Return what was lost in each window.
+    """Return the losses of each window.
 
     >>> window = {"name": "0", "n": 12, "not_owed": 2, "refused": 2, "failed": 1, "worth": 0.5}
     >>> window_losses([window])
@@ -48,7 +48,8 @@
     losses = []
     for window in windows:
         lost = (1 - window["worth"]) * (window["n"] - window["not_owed"])
-        # Sizes weigh in the worth, not in the counts: together they may not exceed what was lost.
+        # The worth is weighted by request size and the counts are not, so the counts are capped:
+        # together they must not exceed the loss.
         refused = min(window["refused"], lost)
         failed = min(window["failed"], lost - refused)
         shares = [100 * part / owed for part in (refused, failed, lost - refused - failed)]
@@ -57,23 +58,23 @@
 
 
 def print_report(path: Path) -> None:
-    """Print one report's budget."""
+    """Print the parts, prices and losses of one report."""
     report = json.loads(path.read_text())
     print(f"{path.name}: worth {report['G']:.3f}, served {report['served']:.3f}")
     for name, weight, value in report["parts"]:
         print(f"  part   {name:44} {value:.3f}  weight {weight}")
     for name, _, price in report["prices"]:
-        if price >= LEAST_PRICE:
+        if price >= MIN_PRICE:
             print(f"  price  {name:44} {price:.4f}")
     losses = window_losses(report["windows"])
-    for loss in [each for each in losses if each.total >= LEAST_LOSS]:
+    for loss in [each for each in losses if each.total >= MIN_LOSS_HUNDREDTHS]:
         parts = f"refused {loss.refused:.2f}  failed {loss.failed:.2f}  late {loss.late:.2f}"
         print(f"  from {loss.start:>3} s  {loss.total:.2f}  {parts}")
     print(f"  lost by requests, in all: {sum(loss.total for loss in losses):.2f} hundredths")
 
 
 def main() -> int:
-    """Print the budgets; return the exit code."""
+    """Print every report; return the exit code."""
     arguments = docopt(__doc__ or "")
     for name in arguments["REPORT"]:
         try:
--- a/bench/peerstress.py
+++ b/bench/peerstress.py
@@ -1,4 +1,4 @@
-"""Looks for crashes of native code on the channel between processes.
+"""Stress test that looks for crashes of native code in the peer channel between processes.
 
 Usage:
   peerstress [--seconds N] [--nodes N] [--heartbeat MS] [--port PORT] [--seed N]
@@ -41,37 +41,37 @@
 from headcross_wire.peermessages import Chunk, Subscribe
 from headcross_wire.peernode import IncomingMessage, PeerNode
 
-# A peer that answers none of so many heartbeats is given up, as in the product.
-HEARTBEATS_TO_GIVE_UP: Final = 3
+# A link is closed if a peer answers none of this many heartbeats, as in the product.
+HEARTBEATS_TO_TIMEOUT: Final = 3
 PART_BYTES: Final = 8192
 CHUNK_BYTES: Final = 32768
-QUEUE: Final = 32
+QUEUE_MESSAGES: Final = 32
 MAX_PAYLOAD_BYTES: Final = 1 << 20
 RESET_SHARE: Final = 0.05
-ASKED_AT_ONCE: Final = 4
-# In each step one process may be killed or stopped, with these shares.
+MAX_MESSAGES_PER_ROUND: Final = 4
+# Probabilities that a step kills or stops one process.
 STEP_SECONDS: Final = 0.1
 KILL_SHARE: Final = 0.15
 STOP_SHARE: Final = 0.25
-STOP_SECONDS: Final = (0.2, 1.5)
+STOP_DURATION_RANGE_SECONDS: Final = (0.2, 1.5)
 STDERR_TAIL_BYTES: Final = 2000
 
 
 async def run_node(own: Address, peers: list[Address]) -> None:
-    """Ask others for chunks, and send what is asked for, until killed."""
+    """Request chunks from peers and answer requests for chunks until killed."""
 
     def handle(incoming: IncomingMessage) -> None:
         if isinstance(incoming.message, Subscribe):
-            for index in range(random.randrange(ASKED_AT_ONCE)):
+            for index in range(random.randrange(MAX_MESSAGES_PER_ROUND)):
                 chunk = Chunk(str(own), "a" * 64, index, 0, CHUNK_BYTES)
                 incoming.reply(chunk, os.urandom(PART_BYTES))
 
-    node = PeerNode(own, handle, QUEUE, MAX_PAYLOAD_BYTES)
+    node = PeerNode(own, handle, QUEUE_MESSAGES, MAX_PAYLOAD_BYTES)
     async with trio.open_nursery() as nursery:
         nursery.start_soon(node.run)
         await trio.testing.wait_all_tasks_blocked()
         while True:
-            for peer in random.sample(peers, min(ASKED_AT_ONCE, len(peers))):
+            for peer in random.sample(peers, min(MAX_MESSAGES_PER_ROUND, len(peers))):
                 node.send(peer, Subscribe(str(own)))
             if random.random() < RESET_SHARE:
                 node.reset(random.choice(peers))
@@ -80,7 +80,7 @@
 
 @dataclass
 class Stress:
-    """The processes of one run."""
+    """Starts, kills and stops the processes of one run."""
 
     addresses: list[str]
     heartbeat: str
@@ -88,56 +88,58 @@
     processes: dict[str, subprocess.Popen[bytes]] = field(default_factory=dict)
     stopped_until: dict[str, float] = field(default_factory=dict)
     kills: int = 0
-    own_ends: int = 0
+    crashes: int = 0
 
     def start(self, address: str) -> None:
-        """Start a process; what it writes to standard error is kept."""
+        """Start a process with its standard error written to a file."""
         peers = ",".join(other for other in self.addresses if other != address)
         command = [sys.executable, "-m", "bench.peerstress", "--node", address]
         command += ["--peers", peers, "--heartbeat", self.heartbeat]
-        with self._errors(address).open("wb") as errors:
+        with self._stderr_path(address).open("wb") as errors:
             self.processes[address] = subprocess.Popen(command, stderr=errors)
 
     def step(self) -> None:
-        """Wake whoever was stopped long enough, replace the dead, and harm one."""
+        """Resume stopped processes when due, restart ended ones, and maybe kill or stop one."""
         for address in list(self.stopped_until):
             if time.monotonic() > self.stopped_until[address]:
                 del self.stopped_until[address]
                 self.processes[address].send_signal(signal.SIGCONT)
         for address in self.addresses:
-            self._replace_dead(address)
+            self._restart_if_ended(address)
         victim = random.choice(self.addresses)
         chance = random.random()
         if chance < KILL_SHARE:
             self.kills += 1
             self.processes[victim].kill()
         elif chance < KILL_SHARE + STOP_SHARE and victim not in self.stopped_until:
-            self.stopped_until[victim] = time.monotonic() + random.uniform(*STOP_SECONDS)
+            self.stopped_until[victim] = time.monotonic() + random.uniform(
+                *STOP_DURATION_RANGE_SECONDS
+            )
             self.processes[victim].send_signal(signal.SIGSTOP)
 
     def end(self) -> None:
-        """End every process that was started here."""
+        """Kill every process of the run."""
         for process in self.processes.values():
             process.kill()
             process.wait()
 
-    def _replace_dead(self, address: str) -> None:
+    def _restart_if_ended(self, address: str) -> None:
         code = self.processes[address].poll()
         if code is None:
             return
         self.stopped_until.pop(address, None)
         if code != -signal.SIGKILL:
-            self.own_ends += 1
-            tail = self._errors(address).read_bytes()[-STDERR_TAIL_BYTES:]
+            self.crashes += 1
+            tail = self._stderr_path(address).read_bytes()[-STDERR_TAIL_BYTES:]
             print(f"{address} ended with {code}: {tail.decode(errors='replace')}", flush=True)
         self.start(address)
 
-    def _errors(self, address: str) -> Path:
+    def _stderr_path(self, address: str) -> Path:
         return self.directory / f"{address.replace(':', '-')}.txt"
 
 
-def drive(arguments: Mapping[str, Any]) -> int:
-    """Run the stress; return the exit code."""
+def run_stress(arguments: Mapping[str, Any]) -> int:
+    """Run the stress test; return the exit code."""
     seed = int(arguments["--seed"] or random.randrange(1 << 30))
     random.seed(seed)
     first = int(arguments["--port"])
@@ -153,20 +155,20 @@
                 stress.step()
         finally:
             stress.end()
-    line = {"seed": seed, "kills": stress.kills, "own_ends": stress.own_ends}
+    line = {"seed": seed, "kills": stress.kills, "own_ends": stress.crashes}
     print(json.dumps({**line, "heartbeat_ms": int(arguments["--heartbeat"])}))
-    return 1 if stress.own_ends else 0
+    return 1 if stress.crashes else 0
 
 
 def main() -> int:
-    """Run one node, or all of the stress; return the exit code."""
+    """Run one node, or the whole stress test; return the exit code."""
     arguments = docopt(__doc__ or "")
     if arguments["--node"] is None:
-        return drive(arguments)
+        return run_stress(arguments)
     faulthandler.enable()
     heartbeat = int(arguments["--heartbeat"])
     zmqsocket.HEARTBEAT_MS = heartbeat  # type: ignore[misc]
-    zmqsocket.HEARTBEAT_TIMEOUT_MS = heartbeat * HEARTBEATS_TO_GIVE_UP  # type: ignore[misc]
+    zmqsocket.HEARTBEAT_TIMEOUT_MS = heartbeat * HEARTBEATS_TO_TIMEOUT  # type: ignore[misc]
     peers = [parse_address(text) for text in arguments["--peers"].split(",")]
     trio.run(run_node, parse_address(arguments["--node"]), peers)
     return 0
--- a/bench/pool/__init__.py
+++ b/bench/pool/__init__.py
@@ -1,1 +1,1 @@
-"""A model of a replica pool under load, in virtual time, around the real decisions of an entry."""
+"""Simulates a replica pool under load in virtual time, with the product's own overload control."""
--- a/bench/pool/engine.py
+++ b/bench/pool/engine.py
@@ -1,7 +1,7 @@
-"""A replica that batches continuously, in virtual time.
+"""Simulates a replica with continuous batching in virtual time.
 
-Each pass reads the prompts of what was let in and then writes one event for every request in the
-batch, as the users' pages describe their engines: a step takes a fixed time and a little for each
+Each pass reads the prompts of newly admitted requests and then writes one event for every request
+in the batch. As in the engines that it models, a step takes a fixed time plus a small time per
 request, prompts are read between steps, and an event holds several tokens.
 """
 
@@ -13,12 +13,12 @@
 
 
 class EngineSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """What one replica can do; times in milliseconds."""
+    """The capacity and speed of one replica; times in milliseconds."""
 
-    slots: int = 12  # requests at once
+    slots: int = 12  # concurrent requests
     step_ms: float = 6.73
     step_ms_per_request: float = 0.0219
-    stride: int = 7  # steps, and tokens in one event
+    stride: int = 7  # steps per pass, and tokens per event
     prompt_tokens_per_ms: float = 30.6
     first_ms: float = 12.0
 
@@ -29,15 +29,15 @@
 
     prompt_tokens: int
     events_left: int
-    first_event_at: float = 0.0  # when its caller had its first event (trio's clock)
+    first_event_at: float = 0.0  # when the caller received the first event (trio's clock)
     began: trio.Event = field(default_factory=trio.Event)
     ended: trio.Event = field(default_factory=trio.Event)
 
 
 class BatchReplica:
-    """One replica."""
+    """A replica that serves requests in one batch and queues the rest."""
 
-    # Requests that run, and those that wait for a slot.
+    # Requests in the batch, and those that wait for a slot.
     running: list[Job]
     queued: deque[Job]
 
@@ -45,44 +45,44 @@
         self.running = []
         self.queued = deque()
         self._spec = spec
-        self._unread = 0  # prompt tokens of what was let in last
-        self._news = trio.Event()
+        self._unread_prompt_tokens = 0  # of the requests admitted last
+        self._submitted = trio.Event()
 
     def submit(self, job: Job) -> None:
-        """Take a request."""
+        """Queue a request."""
         self.queued.append(job)
-        self._news.set()
+        self._submitted.set()
 
     def drop(self, job: Job) -> None:
-        """Forget a request whose caller has left."""
+        """Remove a request whose caller has disconnected."""
         if job in self.queued:
             self.queued.remove(job)
         elif job in self.running:
             self.running.remove(job)
 
     async def run(self) -> None:
-        """Work until cancelled."""
+        """Serve requests until cancelled."""
         while True:
-            self._let_in()
+            self._fill_batch()
             if not self.running:
-                self._news = trio.Event()
-                await self._news.wait()
+                self._submitted = trio.Event()
+                await self._submitted.wait()
                 continue
             await trio.sleep(self._pass_seconds())
             for job in list(self.running):
                 self._write_event(job)
 
-    def _let_in(self) -> None:
-        self._unread = 0
+    def _fill_batch(self) -> None:
+        self._unread_prompt_tokens = 0
         while self.queued and len(self.running) < self._spec.slots:
             job = self.queued.popleft()
             self.running.append(job)
-            self._unread += job.prompt_tokens
+            self._unread_prompt_tokens += job.prompt_tokens
 
     def _pass_seconds(self) -> float:
         spec = self._spec
         step = spec.step_ms + spec.step_ms_per_request * len(self.running)
-        reading = self._unread / spec.prompt_tokens_per_ms
+        reading = self._unread_prompt_tokens / spec.prompt_tokens_per_ms
         return (spec.stride * step + reading) / 1000
 
     def _write_event(self, job: Job) -> None:
--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -1,8 +1,8 @@
-"""Callers, entries and replicas of one pool, in virtual time.
+"""Simulates callers, entries and replicas of one pool in virtual time.
 
-The entries are the product's own: its list of replicas, its choice among them, its queue and its
-decisions under overload. Callers come whether or not others are served (open loop), return once
-when they are refused, as told, and leave when nothing comes for long.
+The entries use the gateway's own code: its replica directory, replica selection, admission queue
+and overload control. Callers arrive independently of the service (open loop), retry once after the
+Retry-After time if they are refused, and disconnect if the first event takes too long.
 """
 
 import itertools
@@ -32,34 +32,35 @@
 
 SERVICE: Final = "lm"
 MODEL: Final = "m"
-# A caller leaves when nothing came for so long.
-PATIENCE_SECONDS: Final = 2.4
-# Callers honour up to this part of their time limit.
-MOST_HONOURED: Final = 1 / 3
-# Entries measure, and tell one another what they refused, this often.
-OVERLOAD_SECONDS: Final = 0.2
-# The largest prompts and answers, in means (from the users' sheet: 52 events with a mean of 21).
-LARGEST_SIZE: Final = 2.5
+# A caller disconnects if its first event has not arrived by then.
+FIRST_EVENT_TIMEOUT_SECONDS: Final = 2.4
+# Callers wait before a retry for at most this fraction of their time limit.
+MAX_RETRY_DELAY_SHARE: Final = 1 / 3
+# Interval at which entries measure overload and exchange fingerprints of refused requests.
+OVERLOAD_INTERVAL_SECONDS: Final = 0.2
+# The largest prompts and answers as a multiple of the mean (52 events with a mean of 21 in the
+# design load).
+MAX_SIZE_IN_MEANS: Final = 2.5
 
 
 @dataclass
 class Tally:
-    """What became of the callers that count."""
+    """The outcomes of the counted callers."""
 
     in_aim: int = 0
     late: int = 0
-    refused: int = 0  # in the end, tries of one caller counted once
-    refused_again: int = 0  # of these, those that came back
-    gone: int = 0  # left, or ran out of time
-    # How long callers that came back waited in all before their last refusal.
+    refused: int = 0  # in the end; all attempts of one caller count once
+    refused_again: int = 0  # of these, after a retry
+    gone: int = 0  # disconnected, or reached their time limit
+    # The total time that retries waited in queues before they were refused.
     held_in_vain_seconds: float = 0.0
     worth: float = 0.0
     owed: float = 0.0
-    first_event_seconds: list[float] = field(default_factory=list)  # from the first try
+    first_event_seconds: list[float] = field(default_factory=list)  # since the first attempt
 
     @property
     def callers(self) -> int:
-        """How many came."""
+        """The number of counted callers."""
         return self.in_aim + self.late + self.refused + self.gone
 
 
@@ -72,7 +73,7 @@
 
 
 class PoolModel:
-    """One run."""
+    """Simulates one run: callers, entries and replicas."""
 
     tally: Tally
 
@@ -119,23 +120,23 @@
         return _Entry(zone, directory, Admission(picker, overload.reserved_share), overload)
 
     async def run(self) -> None:
-        """Play the whole run."""
+        """Simulate the run to its end."""
         async with trio.open_nursery() as nursery:
             for replica in self._listed:
                 nursery.start_soon(self._replicas[replica.id].run)
-                nursery.start_soon(self._tell, replica)
+                nursery.start_soon(self._report_load, replica)
             for entry in self._entries:
-                nursery.start_soon(self._keep_house, entry)
-            nursery.start_soon(self._tell_refused)
+                nursery.start_soon(self._measure_overload, entry)
+            nursery.start_soon(self._share_refusals)
             async with trio.open_nursery() as callers:
                 for kind in self._spec.kinds:
-                    callers.start_soon(self._send, kind, callers)
+                    callers.start_soon(self._generate_callers, kind, callers)
             nursery.cancel_scope.cancel()
 
     # Entries.
 
-    async def _tell(self, listed: Replica) -> None:
-        """Tell every entry a replica's load, as it was a moment ago."""
+    async def _report_load(self, listed: Replica) -> None:
+        """Report a replica's load to every entry, delayed by the report lag."""
         fleet = self._spec.fleet
         replica = self._replicas[listed.id]
         sequence = 0
@@ -162,14 +163,14 @@
             await trio.sleep(max(0.01, fleet.tell_seconds - fleet.report_lag_seconds))
 
     @staticmethod
-    async def _keep_house(entry: _Entry) -> None:
+    async def _measure_overload(entry: _Entry) -> None:
         while True:
-            await trio.sleep(OVERLOAD_SECONDS)
+            await trio.sleep(OVERLOAD_INTERVAL_SECONDS)
             entry.overload.measure(trio.current_time())
 
-    async def _tell_refused(self) -> None:
+    async def _share_refusals(self) -> None:
         while True:
-            await trio.sleep(OVERLOAD_SECONDS)
+            await trio.sleep(OVERLOAD_INTERVAL_SECONDS)
             for entry in self._entries:
                 refused = entry.overload.refused.take_pending()
                 for other in self._entries:
@@ -178,10 +179,10 @@
 
     # Callers.
 
-    async def _send(self, kind: KindSpec, callers: trio.Nursery) -> None:
-        most = kind.per_second * self._offered
+    async def _generate_callers(self, kind: KindSpec, callers: trio.Nursery) -> None:
+        peak_rate = kind.per_second * self._offered
         while True:
-            await trio.sleep(self._random.expovariate(most))
+            await trio.sleep(self._random.expovariate(peak_rate))
             if self._random.random() > self._spec.load_at(trio.current_time()):
                 continue
             if trio.current_time() >= self._spec.seconds - self._spec.cool_down_seconds:
@@ -189,7 +190,7 @@
             callers.start_soon(self._call, kind)
 
     async def _call(self, kind: KindSpec) -> None:
-        """Ask, and once more if refused; note what became of it."""
+        """Send a request, retry once if it is refused, and count the outcome."""
         first_at = trio.current_time()
         counts = first_at >= self._spec.warm_up_seconds
         zone = self._random.choice(self._zones)
@@ -198,74 +199,80 @@
             self._draw_size(kind.prompt_tokens),
             self._draw_size(kind.events),
         )
-        told = await self._try(kind, job, zone, fingerprint, kind.deadline_seconds)
-        returned = told is not None
-        if told is not None:
-            await trio.sleep(min(told, MOST_HONOURED * kind.deadline_seconds))
+        retry_after = await self._send_attempt(kind, job, zone, fingerprint, kind.deadline_seconds)
+        returned = retry_after is not None
+        if retry_after is not None:
+            await trio.sleep(min(retry_after, MAX_RETRY_DELAY_SHARE * kind.deadline_seconds))
             left = kind.deadline_seconds - (trio.current_time() - first_at)
-            told = await self._try(kind, job, zone, fingerprint, left)
+            retry_after = await self._send_attempt(kind, job, zone, fingerprint, left)
         if counts:
-            self._note(kind, job, first_at, refused=told is not None, returned=returned)
+            self._count_outcome(
+                kind, job, first_at, refused=retry_after is not None, returned=returned
+            )
 
     def _draw_size(self, mean: float) -> int:
-        """Return a size that is exponentially distributed up to a limit."""
-        return max(1, round(min(LARGEST_SIZE * mean, self._random.expovariate(1 / mean))))
+        """Return an exponentially distributed size, capped at MAX_SIZE_IN_MEANS."""
+        return max(1, round(min(MAX_SIZE_IN_MEANS * mean, self._random.expovariate(1 / mean))))
 
-    async def _try(
+    async def _send_attempt(
         self, kind: KindSpec, job: Job, zone: str, fingerprint: int, seconds_left: float
     ) -> float | None:
-        """Ask one entry; return when to come back if it refuses, None if it does not."""
+        """Send a request to one entry; return the Retry-After seconds if refused, else None."""
         entry = self._random.choice([each for each in self._entries if each.zone == zone])
         now = trio.current_time()
         returning = entry.overload.refused.was_refused(fingerprint, now)
         entry.overload.note_request(SERVICE, returning=returning)
-        last = entry.overload.queues_last(returning=returning)
+        queue_last = entry.overload.queues_last(returning=returning)
         aim = kind.aim_seconds
         wait = entry.overload.wait_seconds(aim, any_serves=True)
         if returning:
             wait = entry.overload.returning_wait_seconds(
                 SERVICE, aim, seconds_left, any_serves=True
             )
-        place = await entry.admission.acquire_slot(
+        replica_state = await entry.admission.acquire_slot(
             Requirements(SERVICE, MODEL, None, (), True),
             self._configuration,
-            QueueOrder(kind.priority, last, now + seconds_left),
+            QueueOrder(kind.priority, queue_last, now + seconds_left),
             now + wait,
             returning=returning,
         )
-        if place is None:
+        if replica_state is None:
             entry.overload.note_refused(SERVICE, returning=returning)
             if returning and now >= self._spec.warm_up_seconds:
                 self.tally.held_in_vain_seconds += trio.current_time() - now
             entry.overload.refused.note(fingerprint, trio.current_time())
             return entry.overload.retry_after_seconds(SERVICE)
         fleet = self._spec.fleet
-        way = fleet.way_seconds if place.replica.zone == zone else fleet.far_way_seconds
-        placed_at = trio.current_time()
+        one_way_seconds = (
+            fleet.way_seconds if replica_state.replica.zone == zone else fleet.far_way_seconds
+        )
+        acquired_at = trio.current_time()
         try:
-            await trio.sleep(way)
-            await self._be_served(self._replicas[place.replica.id], job, way, seconds_left)
+            await trio.sleep(one_way_seconds)
+            await self._serve(
+                self._replicas[replica_state.replica.id], job, one_way_seconds, seconds_left
+            )
         finally:
-            entry.admission.release_slot(place)
+            entry.admission.release_slot(replica_state)
         if job.ended.is_set():
-            entry.overload.note_answer(SERVICE, trio.current_time() - placed_at)
+            entry.overload.note_answer(SERVICE, trio.current_time() - acquired_at)
         return None
 
-    async def _be_served(
-        self, replica: BatchReplica, job: Job, way: float, seconds_left: float
+    async def _serve(
+        self, replica: BatchReplica, job: Job, one_way_seconds: float, seconds_left: float
     ) -> None:
         replica.submit(job)
         with trio.move_on_after(seconds_left):
-            with trio.move_on_after(PATIENCE_SECONDS):
+            with trio.move_on_after(FIRST_EVENT_TIMEOUT_SECONDS):
                 await job.began.wait()
-                await trio.sleep(way + self._spec.engine.first_ms / 1000)
+                await trio.sleep(one_way_seconds + self._spec.engine.first_ms / 1000)
                 job.first_event_at = trio.current_time()
             if job.began.is_set():
                 await job.ended.wait()
         if not job.ended.is_set():
             replica.drop(job)
 
-    def _note(
+    def _count_outcome(
         self, kind: KindSpec, job: Job, first_at: float, *, refused: bool, returned: bool
     ) -> None:
         tally = self.tally
@@ -286,7 +293,7 @@
 
 @contextmanager
 def virtual_time() -> Iterator[None]:
-    """Have the product's clock follow trio's during the block."""
+    """Make the product's clock follow trio's inside the block."""
     real = time.clock_gettime
     time.clock_gettime = lambda _: trio.current_time()
     try:
@@ -295,9 +302,9 @@
         time.clock_gettime = real
 
 
-def play(spec: ExperimentSpec, settings: OverloadSettings, offered: float, seed: int) -> Tally:
-    """Return what became of the callers of one run."""
-    random.seed(seed)  # the product's own chances
+def simulate(spec: ExperimentSpec, settings: OverloadSettings, offered: float, seed: int) -> Tally:
+    """Simulate one run and return its outcomes."""
+    random.seed(seed)  # the product draws from the global generator
     clock = trio.testing.MockClock(autojump_threshold=0)
 
     async def run() -> Tally:
--- a/bench/pool/specs.py
+++ b/bench/pool/specs.py
@@ -1,4 +1,4 @@
-"""What an experiment on the model plays, as its TOML file says."""
+"""Defines and reads the TOML file of an experiment on the simulated replica pool."""
 
 import tomllib
 from pathlib import Path
@@ -10,46 +10,46 @@
 
 
 class KindSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One kind of request."""
+    """A kind of request: its rate, sizes, value and time limits."""
 
     name: str
-    per_second: float  # at an offered load of 1
+    per_second: float  # requests at an offered load of 1
     prompt_tokens: float  # mean
     events: float  # mean
-    worth: float  # of an answer within the aim
-    late_worth: float
+    worth: float  # value of an answer within the target time
+    late_worth: float  # value of a later answer
     priority: int = 1
     aim_seconds: float = 0.405
     deadline_seconds: float = 6.0
 
 
 class FleetSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """How many there are of what."""
+    """The numbers of zones, entries and replicas, and the delays between them."""
 
     zones: int = 3
     entries: int = 13
     replicas: int = 24
-    # How old the load is that an entry is told, and how often it is told.
+    # The age of a load report when an entry receives it, and the interval between reports.
     report_lag_seconds: float = 0.1
     tell_seconds: float = 0.2
-    # One way, within a zone and between zones.
+    # One-way network delay within a zone and between zones.
     way_seconds: float = 0.001
     far_way_seconds: float = 0.003
 
 
 class VariantSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """One way to decide."""
+    """A named set of overload settings to compare."""
 
     name: str
     fresh_first: bool = True
-    # Zero or less: no places are kept free.
+    # Zero or less reserves no slots.
     full_reservation_share: float = 1.0
     wait_part: float = 0.1
     returning_wait_seconds: float = 1.0
     least_reserved_share: float = 0.25
 
     def settings(self) -> OverloadSettings:
-        """Return it as the product takes it."""
+        """Return the variant as overload settings of the gateway."""
         share = self.full_reservation_share
         return OverloadSettings(
             self.fresh_first,
@@ -61,40 +61,40 @@
 
 
 class LoadStep(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """A change of the load during a run."""
+    """A change of the offered load during a run."""
 
     from_second: float
     part: float  # 0 to 1
 
 
 class ExperimentSpec(msgspec.Struct, frozen=True, forbid_unknown_fields=True):
-    """An experiment: every variant under every offered load, with every seed."""
+    """An experiment: runs each variant under each offered load with each seed."""
 
     kinds: tuple[KindSpec, ...]
     variants: tuple[VariantSpec, ...]
-    offered: tuple[float, ...] = (1.0,)  # times the rates of the kinds
+    offered: tuple[float, ...] = (1.0,)  # factors for the rates of the kinds
     seeds: tuple[int, ...] = (1,)
     seconds: float = 20.0
-    # The first seconds do not count, nor do callers that come in the last ones.
+    # Callers that arrive in the first seconds are not counted; in the last ones none arrive.
     warm_up_seconds: float = 4.0
     cool_down_seconds: float = 4.0
-    # The part of the offered load that comes from each second on; all of it by default.
+    # The fraction of the offered load from each second on; the whole load by default.
     steps: tuple[LoadStep, ...] = ()
     fleet: FleetSpec = FleetSpec()
     engine: EngineSpec = EngineSpec()
 
     def load_at(self, second: float) -> float:
-        """Return which part of the offered load comes at a moment."""
+        """Return the fraction of the offered load at a second of the run."""
         parts = [step.part for step in self.steps if step.from_second <= second]
         return parts[-1] if parts else 1.0
 
 
 class SpecError(Exception):
-    """An experiment's file that cannot be played; the text names file and field."""
+    """Raised for an invalid experiment file; the message names the file and the field."""
 
 
 def read_experiment(path: Path) -> ExperimentSpec:
-    """Return the experiment that a file describes; raise SpecError."""
+    """Read and validate an experiment file; raise SpecError if it is invalid."""
     try:
         table = tomllib.loads(path.read_text())
         spec = msgspec.convert(table, ExperimentSpec)
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -1,4 +1,4 @@
-"""What a process costs: memory, processor time and control bytes, read from outside."""
+"""Measures a daemon's memory, processor time and control traffic from outside the process."""
 
 from dataclasses import dataclass
 from pathlib import Path
@@ -15,25 +15,25 @@
 
 @dataclass(frozen=True)
 class Sample:
-    """One process at one moment."""
+    """Resource use of one process at one time."""
 
-    rss_bytes: int  # resident, shared pages counted whole
-    private_bytes: int  # resident and shared with no other process
+    rss_bytes: int  # resident set, with shared pages counted in full
+    private_bytes: int  # resident pages not shared with any other process
     cpu_seconds: float
-    control_bytes: int  # sent and received on the control channel, payload of ZeroMQ
+    control_bytes: int  # ZeroMQ payload sent and received on the control channel
 
 
 @dataclass(frozen=True)
 class Line:
-    """A fitted line and how well it fits."""
+    """A line fitted to points and its largest residual."""
 
     slope: float
     intercept: float
-    residual: float  # largest distance of a point from the line, as a share of the mean
+    residual: float  # largest vertical distance of a point from the line, as a share of the mean
 
 
 def fit(points: list[tuple[float, float]]) -> Line:
-    """Fit a line to points.
+    """Fit a line to points by least squares.
 
     >>> fit([(1, 3), (2, 5), (3, 7)])
     Line(slope=2.0, intercept=1.0, residual=0.0)
@@ -45,7 +45,7 @@
 
 
 async def take_sample(fleet: Fleet, name: str) -> Sample:
-    """Sample one daemon."""
+    """Sample the resource use of one daemon."""
     process = fleet.nodes[name].process
     assert process is not None
     rollup = _read_sizes(Path(f"/proc/{process.pid}/smaps_rollup"))
@@ -60,7 +60,7 @@
 
 
 async def measure_rates(fleet: Fleet, names: list[str], seconds: float) -> dict[str, float]:
-    """Return mean memory, and control bytes and processor seconds a second, over some daemons."""
+    """Return mean memory, and control bytes and processor seconds per second, of some daemons."""
     before = {name: await take_sample(fleet, name) for name in names}
     started = trio.current_time()
     await trio.sleep(seconds)
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -1,7 +1,8 @@
-"""make slopes: what each daemon costs per peer, change, chunk, request and token.
+"""make slopes: measures the cost of each daemon per peer, change, chunk, request and token.
 
 Each slope is fitted to three sizes measured in one run; the residual is the largest distance of a
-point from its line as a share of the mean. docs/CAPACITY.md multiplies them by letter 1's size.
+point from its line as a share of the mean. docs/CAPACITY.md extrapolates the slopes to the size of
+the target deployment.
 """
 
 import json
@@ -28,13 +29,13 @@
 CHUNKS = (64, 128, 256)
 TOKENS = (4, 32, 96)
 REQUESTS = (100, 200, 400)
-QUIET_SECONDS = 10.0
+IDLE_SECONDS = 10.0
 MIB = 1024 * 1024
-CONCURRENT = 8
+MAX_CONCURRENT = 8
 
 
 async def measure_peers(directory: Path, points: Points) -> None:
-    """Memory, control bytes and processor time of a quiet daemon against the number of others."""
+    """Measure memory, control bytes and processor time of idle daemons by number of peers."""
     for peers in PEERS:
         specs = [Spec("entry0", "entry", "z0", "r0"), Spec("entry1", "entry", "z1", "r0")]
         specs += [Spec(f"host{i}", "upstream", f"z{i % 3}", "r0", "s") for i in range(peers)]
@@ -45,20 +46,21 @@
             await fleet.wait_settled()
             await trio.sleep(4)
             for role, names in (("entry", ["entry0"]), ("upstream", ["host0", "host1"])):
-                rates = await measure_rates(fleet, names, QUIET_SECONDS)
+                rates = await measure_rates(fleet, names, IDLE_SECONDS)
                 for figure, value in rates.items():
-                    # An entry's traffic follows its heartbeats, whose period grows with the fleet.
-                    beats = role == "entry" and figure in (
+                    # An entry's traffic is proportional to its heartbeats, whose period grows with
+                    # the fleet.
+                    per_heartbeat = role == "entry" and figure in (
                         "control_bytes_per_second",
                         "core_share",
                     )
-                    unit = "heartbeat a second" if beats else "upstream daemon"
-                    size = peers / heartbeat_period(peers) if beats else peers
+                    unit = "heartbeat a second" if per_heartbeat else "upstream daemon"
+                    size = peers / heartbeat_period(peers) if per_heartbeat else peers
                     points.setdefault(f"{role} {figure} per {unit}", []).append((size, value))
 
 
 async def measure_changes(directory: Path, points: Points) -> None:
-    """Control bytes and processor time of one daemon against the number of changes."""
+    """Measure control bytes and processor time of send_one daemon by the number of changes."""
     async with small_fleet(directory, hosts=6) as small:
         for changes in CHANGES:
             before = await take_sample(small.fleet, "host0")
@@ -73,7 +75,7 @@
 
 
 async def measure_chunks(directory: Path, points: Points) -> None:
-    """Processor time and control bytes of a transfer against the number of chunks."""
+    """Measure processor time and swarm overhead of a transfer by the number of chunks."""
     for chunks in CHUNKS:
         setup = Setup(8, 1, 8 * MIB, 8.0, chunks=chunks, regions=2)
         figures = await run_swarm(setup, directory)
@@ -84,60 +86,60 @@
 
 
 async def measure_requests(directory: Path, points: Points) -> None:
-    """Processor time of entry and daemon against requests, and against tokens of an answer."""
+    """Measure processor time of entry and upstream daemon by requests, and by tokens."""
     async with small_fleet(directory, hosts=1, zones=1) as small:
         for engine in small.fleet.engines().values():
             engine.token_seconds = 0
         for requests in REQUESTS:
-            await _charge(
+            await _measure_cpu(
                 small.fleet,
                 points,
                 "request",
                 requests,
-                partial(_ask, small.fleet, requests, 1),
+                partial(_send_requests, small.fleet, requests, 1),
             )
         for tokens in TOKENS:
-            await _charge(
+            await _measure_cpu(
                 small.fleet,
                 points,
                 "token",
                 tokens * 100,
-                partial(_ask, small.fleet, 100, tokens),
+                partial(_send_requests, small.fleet, 100, tokens),
             )
 
 
-async def _charge(
+async def _measure_cpu(
     fleet: Fleet,
     points: Points,
     unit: str,
     count: int,
-    act: Callable[[], Awaitable[None]],
+    run_load: Callable[[], Awaitable[None]],
 ) -> None:
     names = {"entry": "entry0", "upstream": "host0"}
     before = {role: await take_sample(fleet, name) for role, name in names.items()}
-    await act()
+    await run_load()
     for role, name in names.items():
         after = await take_sample(fleet, name)
         spent = after.cpu_seconds - before[role].cpu_seconds
         points.setdefault(f"{role} cpu_seconds per {unit}", []).append((count, spent))
 
 
-async def _ask(fleet: Fleet, requests: int, tokens: int) -> None:
+async def _send_requests(fleet: Fleet, requests: int, tokens: int) -> None:
     address = fleet.nodes["entry0"].address(HTTP)
-    limit = trio.CapacityLimiter(CONCURRENT)
+    limit = trio.CapacityLimiter(MAX_CONCURRENT)
 
-    async def one() -> None:
+    async def send_one() -> None:
         async with limit:
             reply, _ = await generate(address, POOL_PATH, tokens=tokens)
             assert reply.status == 200, reply
 
     async with trio.open_nursery() as nursery:
         for _ in range(requests):
-            nursery.start_soon(one)
+            nursery.start_soon(send_one)
 
 
 async def measure_all(directory: Path) -> dict[str, Any]:
-    """Measure everything; return points and lines by slope."""
+    """Measure all slopes; return the points and the fitted line of each."""
     points: Points = {}
     for measure in (measure_peers, measure_changes, measure_chunks, measure_requests):
         await measure(directory, points)
@@ -147,7 +149,7 @@
 
 
 def main() -> None:
-    """Measure and print one JSON line a slope."""
+    """Measure and print send_one JSON line for each slope."""
     with tempfile.TemporaryDirectory(prefix="headcross-slopes-") as directory:
         for name, line in trio.run(measure_all, Path(directory)).items():
             print(json.dumps({"name": name, **line}))
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -1,7 +1,7 @@
-"""make bench: the swarm beside its baselines at several sizes, in one run.
+"""make bench: compares swarm distribution with baselines at several fleet sizes.
 
-Writes JSON lines and a plot to out/, and prints a table. Options by environment: SIZES (numbers of
-hosts), MIB (size of the weights), WINDOW (seconds of the burst window).
+Writes JSON lines and a plot to out/, and prints a table. Environment variables: SIZES (numbers of
+hosts), MIB (size of the weights), WINDOW (length of the burst window in seconds).
 """
 
 import json
@@ -18,20 +18,21 @@
 from bench.swarmrun import Setup, run_swarm
 
 MIB = 1024 * 1024
-OUT = Path("out")
-FAST_COPIES = 3
-# Every host from the origin takes N quarters of a window; beyond this size it is only worked out.
-ORIGIN_MOST = 24
+OUTPUT_DIRECTORY = Path("out")
+FAST_ORIGIN_COPIES = 3
+# Fetching by all N hosts directly from the origin takes N / 4 windows, so the times of
+# larger fleets are calculated instead of measured.
+MAX_ORIGIN_HOSTS = 24
 
 
 def main() -> None:
-    """Run all sizes and modes."""
+    """Measure all sizes and modes, and write the results, the table and the plot."""
     sizes = [int(n) for n in os.environ.get("SIZES", "6 12 24 48").split()]
     weights = int(os.environ.get("MIB", "16")) * MIB
     window = float(os.environ.get("WINDOW", "16"))
-    OUT.mkdir(exist_ok=True)
+    OUTPUT_DIRECTORY.mkdir(exist_ok=True)
     rows: list[dict[str, Any]] = []
-    with (OUT / "swarm.jsonl").open("w") as lines:
+    with (OUTPUT_DIRECTORY / "swarm.jsonl").open("w") as lines:
         for hosts in sizes:
             for mode in ("thrifty", "fast", "chain", "origin"):
                 row = measure(mode, hosts, weights, window)
@@ -40,14 +41,14 @@
                     print(json.dumps(row), file=lines, flush=True)
                     print(json.dumps(row), file=sys.stderr, flush=True)
     print_table(rows)
-    plot(rows, OUT / "swarm.png")
+    plot(rows, OUTPUT_DIRECTORY / "swarm.png")
 
 
 def measure(mode: str, hosts: int, weights: int, window: float) -> dict[str, Any] | None:
-    """Measure one mode at one size; None where it would take too long."""
-    copies = min(hosts, FAST_COPIES) if mode == "fast" else 1
+    """Measure one mode at one size; return None if it would take too long."""
+    copies = min(hosts, FAST_ORIGIN_COPIES) if mode == "fast" else 1
     setup = Setup(hosts, copies, weights, window)
-    if mode == "origin" and hosts > ORIGIN_MOST:
+    if mode == "origin" and hosts > MAX_ORIGIN_HOSTS:
         return None
     with tempfile.TemporaryDirectory(prefix="headcross-bench-") as directory:
         if mode in ("origin", "chain"):
@@ -61,7 +62,7 @@
 
 
 def print_table(rows: list[dict[str, Any]]) -> None:
-    """Print the figures as a Markdown table."""
+    """Print the results as a Markdown table."""
     columns = [
         ("mode", "mode"),
         ("hosts", "hosts"),
@@ -81,16 +82,16 @@
 
 
 def plot(rows: list[dict[str, Any]], path: Path) -> None:
-    """Draw time and origin copies against the number of hosts."""
+    """Plot time and origin copies by the number of hosts."""
     from matplotlib.figure import Figure
 
     figure = Figure(figsize=(9, 4))
     times, origins = figure.subplots(1, 2)
     for mode in dict.fromkeys(row["mode"] for row in rows):
-        mine = [row for row in rows if row["mode"] == mode]
-        hosts = [row["hosts"] for row in mine]
-        times.plot(hosts, [row["floor_ratio"] for row in mine], marker="o", label=mode)
-        origins.plot(hosts, [row["origin_copies"] for row in mine], marker="o", label=mode)
+        mode_rows = [row for row in rows if row["mode"] == mode]
+        hosts = [row["hosts"] for row in mode_rows]
+        times.plot(hosts, [row["floor_ratio"] for row in mode_rows], marker="o", label=mode)
+        origins.plot(hosts, [row["origin_copies"] for row in mode_rows], marker="o", label=mode)
     times.axhline(1.25, linestyle=":", color="grey")
     times.set(xlabel="hosts", ylabel="time of the slowest / floor", yscale="log")
     origins.set(xlabel="hosts", ylabel="copies sent by the origin", yscale="log")
--- a/bench/swarmrun.py
+++ b/bench/swarmrun.py
@@ -1,7 +1,8 @@
-"""One swarm run: N upstream daemons fill themselves with one version; its figures.
+"""Runs one swarm distribution: N upstream daemons fetch one version.
 
-Links are limited as in the brief: in the burst window the origin's link carries four copies and a
-host's link two, so the floor is half the window for any N, plus the engine's load.
+Link rates are those of the target deployment: within the burst window the origin's link carries
+four copies and a host's link two, so the lower bound of the time is half the window for any N,
+plus the load time of the engine.
 """
 
 import random
@@ -16,7 +17,7 @@
 from testing.fleet import Fleet, Spec, running_fleet, wait_for
 
 LOAD_SECONDS = 0.2
-ZONES_OF_REGION = 2
+ZONES_PER_REGION = 2
 FLEET_FILE = """
 [models.m.versions.v1]
 digest = "{digest}"
@@ -33,7 +34,7 @@
 
 @dataclass(frozen=True)
 class Setup:
-    """One run's size."""
+    """The size of one run."""
 
     hosts: int
     origin_copies: int
@@ -44,24 +45,24 @@
 
     @property
     def host_rate(self) -> float:
-        """A host's link, bytes a second."""
+        """The rate of a host's link in bytes per second."""
         return 2 * self.weights_bytes / self.window_seconds
 
     @property
     def floor_seconds(self) -> float:
-        """One copy over a host's link, plus the engine's load."""
+        """The lower bound: the time of one copy over a host's link plus the engine's load time."""
         return self.window_seconds / 2 + LOAD_SECONDS
 
     def zones(self) -> list[tuple[str, str]]:
-        """Return (region, zone) pairs."""
+        """Return the (region, zone) pairs, at most one for each host."""
         pairs = [
-            (f"r{r}", f"r{r}-{z}") for z in range(ZONES_OF_REGION) for r in range(self.regions)
+            (f"r{r}", f"r{r}-{z}") for z in range(ZONES_PER_REGION) for r in range(self.regions)
         ]
         return pairs[: max(1, min(len(pairs), self.hosts))]
 
 
 async def run_swarm(setup: Setup, directory: Path) -> dict[str, Any]:
-    """Run once and return the figures."""
+    """Run one distribution and return its results."""
     zones = setup.zones()
     specs = [Spec("entry0", "entry", zones[0][1], zones[0][0])]
     for index in range(setup.hosts):
@@ -77,10 +78,10 @@
             fleet.start(name)
         data = random.randbytes(setup.weights_bytes)
         digest = fleet.origin.add("m-v1", data, setup.weights_bytes // setup.chunks)
-        # An empty fleet file first, so that every daemon is up and settled when the burst begins.
+        # Publish an empty fleet file first, so that every daemon is running when the burst begins.
         fleet.publish_fleet("")
         await fleet.wait_revision(1)
-        before = await _sum_control(fleet)
+        before = await _sum_resource_use(fleet)
         names = ", ".join(f'"{zone}"' for _, zone in zones)
         started = time.monotonic()
         fleet.publish_fleet(
@@ -97,11 +98,11 @@
             return len(times) == setup.hosts
 
         await wait_for(all_loaded, "all loaded", 20 * setup.window_seconds, poll=0.02)
-        after = await _sum_control(fleet)
-        return await _figures(fleet, setup, sorted(times.values()), after - before)
+        after = await _sum_resource_use(fleet)
+        return await _collect_results(fleet, setup, sorted(times.values()), after - before)
 
 
-async def _figures(
+async def _collect_results(
     fleet: Fleet, setup: Setup, times: list[float], control: Counter[str]
 ) -> dict[str, Any]:
     size = setup.weights_bytes
@@ -138,14 +139,14 @@
     }
 
 
-async def _sum_control(fleet: Fleet) -> Counter[str]:
-    """Return bytes and processor time of all upstream daemons so far."""
+async def _sum_resource_use(fleet: Fleet) -> Counter[str]:
+    """Return the total bytes and processor time of all upstream daemons so far."""
     total: Counter[str] = Counter()
 
-    async def look(name: str) -> None:
+    async def add_state(name: str) -> None:
         state = await fleet.state(name)
         total["bytes"] += state["control"]["sent_bytes"] + state["control"]["received_bytes"]
-        # Each host counts what it received, so that every frame is counted once.
+        # Only received bytes are summed, so that every frame is counted once.
         total["swarm_bytes"] += state["swarm"]["node"]["received_bytes"]
         process = fleet.nodes[name].process
         assert process is not None
@@ -153,11 +154,11 @@
 
     async with trio.open_nursery() as nursery:
         for name in fleet.names("upstream"):
-            nursery.start_soon(look, name)
+            nursery.start_soon(add_state, name)
     return total
 
 
 def cpu_seconds(pid: int) -> float:
-    """Return the processor time of a process so far, user and system."""
+    """Return the user and system processor time of a process so far."""
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
--- a/deploy/start.py
+++ b/deploy/start.py
@@ -1,7 +1,7 @@
-"""Starts headcross on the machines of the platform.
+"""Starts a headcross process on a host of the platform.
 
-Puts the project's libraries on the path, which the build leaves where they are, and hands the
-settings file and the platform's adapter to the product.
+Adds the project's libraries to the module path, because the build does not install them, and runs
+the process with the settings file and the platform's adapter.
 """
 
 import os
@@ -14,7 +14,7 @@
 
 
 def main() -> int:
-    """Run the process of this machine."""
+    """Run the process of this host; return the exit code."""
     sys.path[:0] = [str(path) for path in (ROOT / "libs").glob("*/src")]
     sys.path.insert(0, str(ROOT / "platform" / "src"))
     from headcross_daemon.machinemain import run
--- a/misc/__init__.py
+++ b/misc/__init__.py
@@ -1,1 +1,1 @@
-"""Maintainers' scripts; not shipped."""
+"""Maintainers' scripts; not part of the product."""
--- a/misc/capacity.py
+++ b/misc/capacity.py
@@ -1,9 +1,9 @@
-"""Work out the tables of docs/CAPACITY.md from the output of `make slopes`.
+"""Calculates the table of docs/CAPACITY.md from the output of `make slopes`.
 
     python -m misc.capacity SLOPES_FILE
 
-Every figure is a measured line taken to the size of letter 1; the table shows the line, its
-residual and the largest size it was measured at.
+Every value is a fitted line extrapolated to the size of the target deployment; the table shows the
+line, its residual and the largest size at which it was measured.
 """
 
 import json
@@ -15,31 +15,31 @@
 from headcross_fleet.membership import heartbeat_period
 
 ENTRIES, UPSTREAM_DAEMONS = 40, 300
-CHANGES_A_DAY = 620
-REQUESTS, TOKENS = 2_600, 1_200_000
-# A version of 140 GB in chunks of 16 MiB, as an example of a large model.
-CHUNKS = 140 * 10**9 // (16 * 2**20)
+CHANGES_PER_DAY = 620
+REQUESTS_PER_SECOND, TOKENS_PER_SECOND = 2_600, 1_200_000
+# An example of a large model: 140 GB in chunks of 16 MiB.
+CHUNKS_PER_VERSION = 140 * 10**9 // (16 * 2**20)
 DAY_SECONDS = 86_400
 MB = 10**6
 
 
 @dataclass(frozen=True)
 class Row:
-    """One line of the table."""
+    """One row of the table."""
 
     role: str
-    what: str
+    figure: str
     slope_name: str
     size: float  # in the unit of the slope
-    scale: float  # from the slope's unit to the one shown
-    shown: str  # unit shown
+    scale: float  # factor from the slope's unit to the unit in the table
+    unit: str  # unit in the table
 
 
 def rows() -> list[Row]:
-    """Return what the table shows."""
-    beats = UPSTREAM_DAEMONS / heartbeat_period(UPSTREAM_DAEMONS)
+    """Return the rows of the table."""
+    heartbeats_per_second = UPSTREAM_DAEMONS / heartbeat_period(UPSTREAM_DAEMONS)
     daemons = UPSTREAM_DAEMONS
-    per_day = CHANGES_A_DAY / DAY_SECONDS
+    changes_per_second = CHANGES_PER_DAY / DAY_SECONDS
     up, entry = "upstream daemon", "entry"
     return [
         Row(
@@ -62,14 +62,28 @@
             "KB/s",
         ),
         Row(up, "core, quiet", "upstream core_share per upstream daemon", daemons, 100, "%"),
-        Row(up, "core, changes", "upstream cpu_seconds per change", per_day, 100, "%"),
-        Row(up, "bytes, changes", "upstream control_bytes per change", per_day, 1e-3, "KB/s"),
-        Row(up, "core time, one transfer", "upstream cpu_seconds per chunk", CHUNKS, 1, "s"),
+        Row(up, "core, changes", "upstream cpu_seconds per change", changes_per_second, 100, "%"),
+        Row(
+            up,
+            "bytes, changes",
+            "upstream control_bytes per change",
+            changes_per_second,
+            1e-3,
+            "KB/s",
+        ),
+        Row(
+            up,
+            "core time, one transfer",
+            "upstream cpu_seconds per chunk",
+            CHUNKS_PER_VERSION,
+            1,
+            "s",
+        ),
         Row(
             up,
             "bytes beside chunks, one transfer",
             "upstream swarm_overhead_bytes per chunk",
-            CHUNKS,
+            CHUNKS_PER_VERSION,
             1 / MB,
             "MB",
         ),
@@ -88,20 +102,39 @@
             entry,
             "control bytes, heartbeats",
             "entry control_bytes_per_second per heartbeat a second",
-            beats,
+            heartbeats_per_second,
             1e-3,
             "KB/s",
         ),
-        Row(entry, "core, heartbeats", "entry core_share per heartbeat a second", beats, 100, "%"),
         Row(
-            "all entries", "cores, requests", "entry cpu_seconds per request", REQUESTS, 1, "cores"
+            entry,
+            "core, heartbeats",
+            "entry core_share per heartbeat a second",
+            heartbeats_per_second,
+            100,
+            "%",
+        ),
+        Row(
+            "all entries",
+            "cores, requests",
+            "entry cpu_seconds per request",
+            REQUESTS_PER_SECOND,
+            1,
+            "cores",
+        ),
+        Row(
+            "all entries",
+            "cores, tokens",
+            "entry cpu_seconds per token",
+            TOKENS_PER_SECOND,
+            1,
+            "cores",
         ),
-        Row("all entries", "cores, tokens", "entry cpu_seconds per token", TOKENS, 1, "cores"),
         Row(
             "all upstream daemons",
             "cores, requests",
             "upstream cpu_seconds per request",
-            REQUESTS,
+            REQUESTS_PER_SECOND,
             1,
             "cores",
         ),
@@ -109,7 +142,7 @@
             "all upstream daemons",
             "cores, tokens",
             "upstream cpu_seconds per token",
-            TOKENS,
+            TOKENS_PER_SECOND,
             1,
             "cores",
         ),
@@ -117,22 +150,22 @@
 
 
 def print_row(row: Row, lines: dict[str, dict[str, Any]]) -> None:
-    """Print one line of the Markdown table."""
+    """Print one row of the Markdown table."""
     line = lines[row.slope_name]
-    steady = row.slope_name.split(" per ")[1] in ("upstream daemon", "heartbeat a second")
-    start = line["intercept"] if steady else 0.0
-    # A slope below nothing is noise around none.
+    has_fixed_part = row.slope_name.split(" per ")[1] in ("upstream daemon", "heartbeat a second")
+    start = line["intercept"] if has_fixed_part else 0.0
+    # A negative slope is noise around zero.
     value = (start + max(0.0, line["slope"]) * row.size) * row.scale
     largest = max(x for x, _ in line["points"])
-    slope = f"{line['slope']:.4g}" + (f" + {line['intercept']:.4g}" if steady else "")
+    slope = f"{line['slope']:.4g}" + (f" + {line['intercept']:.4g}" if has_fixed_part else "")
     print(
-        f"| {row.role} | {row.what} | {slope} | {line['residual']:.1%} | {largest:g} "
-        f"| {row.size:.4g} | **{value:.3g} {row.shown}** |"
+        f"| {row.role} | {row.figure} | {slope} | {line['residual']:.1%} | {largest:g} "
+        f"| {row.size:.4g} | **{value:.3g} {row.unit}** |"
     )
 
 
 def main() -> None:
-    """Print the table."""
+    """Print the Markdown table."""
     found = [json.loads(x) for x in Path(sys.argv[1]).read_text().splitlines() if x[:1] == "{"]
     lines = {line["name"]: line for line in found}
     print("| role | figure | slope + start | residual | measured to | size | at that size |")
--- a/tests/test_changed_checks.py
+++ b/tests/test_changed_checks.py
@@ -1,4 +1,4 @@
-"""CI tells which known failures, and which of their checks, changed since the last landing."""
+"""Tests the CI script that reports changes to known failures and their tests since a commit."""
 
 import subprocess
 import sys
@@ -14,7 +14,7 @@
 SOURCE = 'BOUND = 2.0\n\ndef test_b():\n    """Story."""\n    assert 1 < BOUND\n'
 
 
-def script() -> ModuleType:
+def load_script() -> ModuleType:
     spec = spec_from_file_location("changed_checks", SCRIPT)
     assert spec is not None and spec.loader is not None
     module = module_from_spec(spec)
@@ -23,40 +23,43 @@
 
 
 def changes(before: dict[str, str], now: dict[str, str]) -> list[str]:
-    return list(script().changes(lambda p: before.get(p, ""), lambda p: now.get(p, "")))
+    return list(load_script().changes(lambda p: before.get(p, ""), lambda p: now.get(p, "")))
 
 
-def listed(entry: str, source: str = SOURCE) -> dict[str, str]:
+def repository_state(entry: str, source: str = SOURCE) -> dict[str, str]:
     return {"KNOWN-RED.txt": entry, "tests/a.py": source}
 
 
 @pytest.mark.parametrize(
-    ("now", "told"),
+    ("now", "expected"),
     [
-        (listed(f"{TEST} | why | issue 1"), []),
-        (listed(f"{TEST} | why | issue 1", SOURCE.replace("Story", "Other")), []),
-        (listed(""), [TEST, "  taken off the list"]),
-        (listed(f"{TEST} | other | issue 1"), [TEST, "  reworded"]),
+        (repository_state(f"{TEST} | why | issue 1"), []),
+        (repository_state(f"{TEST} | why | issue 1", SOURCE.replace("Story", "Other")), []),
+        (repository_state(""), [TEST, "  taken off the list"]),
+        (repository_state(f"{TEST} | other | issue 1"), [TEST, "  reworded"]),
         (
-            listed(f"{TEST} | why | issue 1", SOURCE.replace("2.0", "3.0")),
+            repository_state(f"{TEST} | why | issue 1", SOURCE.replace("2.0", "3.0")),
             [TEST, "  -BOUND = 2.0", "  +BOUND = 3.0"],
         ),
         (
-            listed("", SOURCE.replace("assert 1", "assert 0")),
+            repository_state("", SOURCE.replace("assert 1", "assert 0")),
             [TEST, "  taken off the list", "  -    assert 1 < BOUND", "  +    assert 0 < BOUND"],
         ),
-        (listed("", ""), [TEST, "  taken off the list", "  THE TEST IS GONE"]),
-        (listed(f"{TEST} | why | issue 1", "not python ("), [TEST, "  THE TEST IS GONE"]),
+        (repository_state("", ""), [TEST, "  taken off the list", "  THE TEST IS GONE"]),
+        (
+            repository_state(f"{TEST} | why | issue 1", "not python ("),
+            [TEST, "  THE TEST IS GONE"],
+        ),
     ],
 )
-def test_each_change_of_an_entry_and_of_its_check_is_told(
-    now: dict[str, str], told: list[str]
+def test_changes_of_an_entry_and_of_its_test_are_reported(
+    now: dict[str, str], expected: list[str]
 ) -> None:
-    assert changes(listed(f"{TEST} | why | issue 1"), now) == told
+    assert changes(repository_state(f"{TEST} | why | issue 1"), now) == expected
 
 
-def test_a_new_entry_is_told() -> None:
-    assert changes(listed(""), listed(f"{TEST}[x-1] | why | issue 1")) == [
+def test_a_new_entry_is_reported() -> None:
+    assert changes(repository_state(""), repository_state(f"{TEST}[x-1] | why | issue 1")) == [
         f"{TEST}[x-1]",
         "  listed",
     ]
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -26,7 +26,7 @@
 from headcross_ports.published import Replica
 from headcross_ports.requests import RequestFacts
 
-from bench.pool.model import Tally, play
+from bench.pool.model import Tally, simulate
 from bench.pool.specs import ExperimentSpec, FleetSpec, KindSpec, SpecError, read_experiment
 from tests.test_gateway_rules import rules
 
@@ -88,15 +88,15 @@
 def test_under_overload_first_tries_are_answered_within_their_target_time(seed: int) -> None:
     """Without priority for first tries, caller retries take the slots and answers are late."""
     spec = small_overload()
-    before, worth_before = shares(play(spec, BY_DEADLINE, 1.2, seed))
-    after, worth_after = shares(play(spec, OverloadSettings(), 1.2, seed))
+    before, worth_before = shares(simulate(spec, BY_DEADLINE, 1.2, seed))
+    after, worth_after = shares(simulate(spec, OverloadSettings(), 1.2, seed))
     print(f"in the aim {before:.3f} -> {after:.3f}, worth {worth_before:.3f} -> {worth_after:.3f}")
     assert after > before + 0.1
     assert worth_after > worth_before + 0.05
 
 
 def test_without_overload_no_request_is_refused_and_answers_are_in_time() -> None:
-    tally = play(small_overload(), OverloadSettings(), 0.5, 11)
+    tally = simulate(small_overload(), OverloadSettings(), 0.5, 11)
     assert not tally.refused and not tally.gone
     assert shares(tally)[0] > 0.98
 
@@ -178,7 +178,7 @@
 
 def test_under_lasting_overload_few_callers_wait_before_a_refusal() -> None:
     """Half of the retries that were refused had waited for 0.98 s or longer."""
-    tally = play(small_overload(), OverloadSettings(), 1.5, 11)
+    tally = simulate(small_overload(), OverloadSettings(), 1.5, 11)
     assert tally.refused_again > 50
     held = tally.held_in_vain_seconds / tally.refused_again
     print(f"held in vain {held:.3f} s in the mean, {tally.refused_again} callers")
