--- a/bench/baselinehost.py
+++ b/bench/baselinehost.py
@@ -33,8 +33,8 @@
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one chunk as the origin does; answer 503 while the chunk is missing."""
-        asked = (exchange.request.header("range") or "").removeprefix("bytes=")
-        data = self.chunks[int(asked.partition("-")[0]) // self.chunk_bytes]
+        requested_range = (exchange.request.header("range") or "").removeprefix("bytes=")
+        data = self.chunks[int(requested_range.partition("-")[0]) // self.chunk_bytes]
         if data is None:
             await exchange.respond(503, [], b"")
             return
@@ -42,7 +42,7 @@
         await exchange.respond(206, [], data)
 
     async def fetch(self) -> None:
-        """Fetch all chunks in order, uplink to MAX_CONCURRENT_FETCHES at a time."""
+        """Fetch all chunks in order, up to MAX_CONCURRENT_FETCHES at a time."""
         async with trio.open_nursery() as nursery:
             for _ in range(MAX_CONCURRENT_FETCHES):
                 nursery.start_soon(self._fetch_pending)
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -29,13 +29,13 @@
     started = time.perf_counter()
     for _ in range(REPEATS):
         choose_chunk(stored, views, set(), LARGE_WEIGHTS.requests_in_flight)
-    chosen = time.perf_counter()
+    selected = time.perf_counter()
     sorted(stored.missing - offered_chunks(views))
-    looked = time.perf_counter()
+    searched = time.perf_counter()
     return {
         "chunks": chunks,
-        "choose_ms": round((chosen - started) / REPEATS * 1000, 4),
-        "look_ms": round((looked - chosen) * 1000, 3),
+        "choose_ms": round((selected - started) / REPEATS * 1000, 4),
+        "look_ms": round((searched - selected) * 1000, 3),
     }
 
 
--- a/bench/peerstress.py
+++ b/bench/peerstress.py
@@ -49,7 +49,7 @@
 MAX_PAYLOAD_BYTES: Final = 1 << 20
 RESET_SHARE: Final = 0.05
 MAX_MESSAGES_PER_ROUND: Final = 4
-# Probabilities that a step kills or stops one process.
+# Each step kills or stops at most one process, with these probabilities.
 STEP_SECONDS: Final = 0.1
 KILL_SHARE: Final = 0.15
 STOP_SHARE: Final = 0.25
--- a/bench/pool/engine.py
+++ b/bench/pool/engine.py
@@ -53,7 +53,7 @@
         self.queued.append(job)
         self._submitted.set()
 
-    def drop(self, job: Job) -> None:
+    def cancel(self, job: Job) -> None:
         """Remove a request whose caller has disconnected."""
         if job in self.queued:
             self.queued.remove(job)
--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -187,12 +187,12 @@
                 continue
             if trio.current_time() >= self._spec.seconds - self._spec.cool_down_seconds:
                 return
-            callers.start_soon(self._call, kind)
+            callers.start_soon(self._run_caller, kind)
 
-    async def _call(self, kind: KindSpec) -> None:
+    async def _run_caller(self, kind: KindSpec) -> None:
         """Send a request, retry once if it is refused, and count the outcome."""
-        first_at = trio.current_time()
-        counts = first_at >= self._spec.warm_up_seconds
+        started_at = trio.current_time()
+        is_counted = started_at >= self._spec.warm_up_seconds
         zone = self._random.choice(self._zones)
         fingerprint = next(self._numbers)
         job = Job(
@@ -200,14 +200,14 @@
             self._draw_size(kind.events),
         )
         retry_after = await self._send_attempt(kind, job, zone, fingerprint, kind.deadline_seconds)
-        returned = retry_after is not None
+        retried = retry_after is not None
         if retry_after is not None:
             await trio.sleep(min(retry_after, MAX_RETRY_DELAY_SHARE * kind.deadline_seconds))
-            left = kind.deadline_seconds - (trio.current_time() - first_at)
+            left = kind.deadline_seconds - (trio.current_time() - started_at)
             retry_after = await self._send_attempt(kind, job, zone, fingerprint, left)
-        if counts:
+        if is_counted:
             self._count_outcome(
-                kind, job, first_at, refused=retry_after is not None, returned=returned
+                kind, job, started_at, refused=retry_after is not None, retried=retried
             )
 
     def _draw_size(self, mean: float) -> int:
@@ -270,20 +270,20 @@
             if job.began.is_set():
                 await job.ended.wait()
         if not job.ended.is_set():
-            replica.drop(job)
+            replica.cancel(job)
 
     def _count_outcome(
-        self, kind: KindSpec, job: Job, first_at: float, *, refused: bool, returned: bool
+        self, kind: KindSpec, job: Job, started_at: float, *, refused: bool, retried: bool
     ) -> None:
         tally = self.tally
         tally.owed += kind.worth
         if refused:
             tally.refused += 1
-            tally.refused_again += returned
+            tally.refused_again += retried
         elif not job.ended.is_set():
             tally.gone += 1
         else:
-            seconds = job.first_event_at - first_at
+            seconds = job.first_event_at - started_at
             tally.first_event_seconds.append(seconds)
             in_aim = seconds <= kind.aim_seconds
             tally.in_aim += in_aim
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -60,7 +60,7 @@
 
 
 async def measure_changes(directory: Path, points: Points) -> None:
-    """Measure control bytes and processor time of send_one daemon by the number of changes."""
+    """Measure control bytes and processor time of one daemon by the number of changes."""
     async with small_fleet(directory, hosts=6) as small:
         for changes in CHANGES:
             before = await take_sample(small.fleet, "host0")
@@ -149,7 +149,7 @@
 
 
 def main() -> None:
-    """Measure and print send_one JSON line for each slope."""
+    """Measure and print one JSON line for each slope."""
     with tempfile.TemporaryDirectory(prefix="headcross-slopes-") as directory:
         for name, line in trio.run(measure_all, Path(directory)).items():
             print(json.dumps({"name": name, **line}))
