--- a/bench/choice.py
+++ b/bench/choice.py
@@ -1,4 +1,4 @@
-"""What choosing one chunk costs against the number of chunks missing, without any transfer.
+"""Measures the cost of selecting a chunk by the number of missing chunks, without any transfer.
 
 python -m bench.choice
 """
@@ -19,7 +19,7 @@
 
 
 def measure(chunks: int) -> dict[str, float]:
-    """Return milliseconds for one choice, and for one look for chunks that nobody offers."""
+    """Return the milliseconds of one selection and of one search for chunks nobody offers."""
     digests = [f"{index:064x}" for index in range(chunks)]
     manifest = Manifest(1, 1, [ManifestFile("f", chunks, digests)])
     stored = StoredArtifact("d", manifest, b"")
@@ -29,13 +29,13 @@
     started = time.perf_counter()
     for _ in range(REPEATS):
         choose_chunk(stored, views, set(), LARGE_WEIGHTS.requests_in_flight)
-    chosen = time.perf_counter()
+    selected = time.perf_counter()
     sorted(stored.missing - offered_chunks(views))
-    looked = time.perf_counter()
+    searched = time.perf_counter()
     return {
         "chunks": chunks,
-        "choose_ms": round((chosen - started) / REPEATS * 1000, 4),
-        "look_ms": round((looked - chosen) * 1000, 3),
+        "choose_ms": round((selected - started) / REPEATS * 1000, 4),
+        "look_ms": round((searched - selected) * 1000, 3),
     }
 
 
