--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -118,8 +118,13 @@
         assert (await site.state("entry0"))["configuration"] == 2
 
 
-@pytest.mark.parametrize("mood", [StoreCondition.BUSY, StoreCondition.LIMITED, StoreCondition.RESET, StoreCondition.SILENT])
-async def test_the_store_is_followed_again_after_an_outage(tmp_path: Path, mood: StoreCondition) -> None:
+@pytest.mark.parametrize(
+    "mood",
+    [StoreCondition.BUSY, StoreCondition.LIMITED, StoreCondition.RESET, StoreCondition.SILENT],
+)
+async def test_the_store_is_followed_again_after_an_outage(
+    tmp_path: Path, mood: StoreCondition
+) -> None:
     async with small_site(tmp_path, models=0) as site:
         site.store.set_condition(mood)
         site.change()
@@ -130,7 +135,9 @@
 
 
 @pytest.mark.parametrize("mood", [StoreCondition.BUSY, StoreCondition.SILENT])
-async def test_a_process_whose_calls_fail_reads_from_peers(tmp_path: Path, mood: StoreCondition) -> None:
+async def test_a_process_whose_calls_fail_reads_from_peers(
+    tmp_path: Path, mood: StoreCondition
+) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         rejected_ip = site.machines["entry0"].ip
         site.store.set_condition(mood, [rejected_ip])
