--- a/libs/cli/src/headcross_cli/main.py
+++ b/libs/cli/src/headcross_cli/main.py
@@ -16,7 +16,7 @@
   watch     Show how far the fleet is: a table on a terminal, else JSON lines.
   dump      Show a process's whole state, or one page of its administration API.
   manifest  Write the manifest of a directory of weights and print its digest.
-  explain   Tell the trace of one request from the log files of any processes.
+  explain   Tell the story of one request from the log files of any processes.
 
 Options:
   --admin ADDRESS    Administration address (IP:PORT) of a daemon; for watch, of an entry.
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -231,5 +231,5 @@
     while (piece := await connection.receive_piece()) is not None:
         body += piece
         if len(body) > MAX_ERROR_BYTES:
-            raise LinkLostError("the error body is too long")
+            raise LinkLostError("an error that is too long")
     return bytes(body)
