--- a/libs/facts/src/headcross_facts/following.py
+++ b/libs/facts/src/headcross_facts/following.py
@@ -4,9 +4,9 @@
 second, while the daemon's link is narrow: it watches the named versions and lists the
 configuration on demand only.
 
-A watch without an answer does not show that there was no change: the store may have been silent
-for a moment, have answered everyone else since, and never answer this one call. So each watch is
-short, and shorter still after a failed call (see `entry_polling`). A failed call is retried after
+A watch without an answer does not show that there was no change: after a short outage the store
+may answer all new calls and never answer this one. So each watch is short, and shorter still after
+a failed call (see `entry_polling`). A failed call is retried after
 a growing pause, and meanwhile peers are asked (see `peerfacts`). After a pause of the process the
 watch is cancelled, since its connection may be dead, and a new call is made at once.
 """
@@ -96,13 +96,13 @@
         return pause * random.uniform(1 - RETRY_SPREAD, 1 + RETRY_SPREAD)
 
 
-# Part of a bound that remains when the next call begins. It covers the pause after a first failure
+# Time that remains of a bound when the next call begins. It covers the pause after a first failure
 # (0.2 s), a slow answer of the store (0.24 s, sixty times its usual 4 ms), and the time to apply a
 # document of hundreds of kilobytes.
-NEWS_MARGIN_SECONDS: Final = 0.8
+CHANGE_MARGIN_SECONDS: Final = 0.8
 # Two hundred times the 4 ms in which the store is specified to answer. After a failure the store
-# may be slow rather than silent, so its answer gets more time and the watch itself ends almost at
-# once.
+# may be slow rather than unavailable, so its answer gets more time, and the watch itself ends
+# almost at once.
 ANSWER_SECONDS: Final = 0.8
 LOST_ANSWER_SECONDS: Final = 1.2
 LOST_WAIT_SECONDS: Final = 0.1
@@ -127,11 +127,11 @@
 def entry_polling(bounds: FactBounds) -> PollingSettings:
     """Return the polling settings of an entry: as few calls as the bounds allow.
 
-    Calls are few since each call to the store has a cost. A call that begins just before a silent
-    store answers again gets no answer. Once the store has answered for `reached` seconds, the
-    bound applies to everything published since its return: the two times run in parallel. So the
-    next call has to begin before the longer of them is over. Watches of 3 s with 1.5 s for the
-    answer let an entry use an old configuration for 3.9 s.
+    Calls are few since each call to the store has a cost. A call that begins just before the end
+    of an outage of the store gets no answer. The bounds apply once the store has answered for
+    `reached` seconds, to everything published since the end of the outage, so both times run in
+    parallel. The next call therefore has to begin before the longer of them is over. Watches of
+    3 s with 1.5 s for the answer let an entry use an old configuration for 3.9 s.
 
     >>> entry_polling(FactBounds()).watch
     WatchLimits(wait=1.4, answer=0.8)
@@ -165,9 +165,9 @@
 
 
 def longest_call(bounds: FactBounds) -> float:
-    """Return how many seconds a call may last that misses the return of a silent store."""
+    """Return the maximum duration of a call in seconds, since the store may never answer it."""
     shortest = min(bounds.configuration, bounds.leaving)
-    return max(bounds.reached, shortest) - NEWS_MARGIN_SECONDS
+    return max(bounds.reached, shortest) - CHANGE_MARGIN_SECONDS
 
 
 class Follower:
@@ -246,9 +246,9 @@
 
     async def _follow_by_listing(self, topic: Topic) -> None:
         while True:
-            asked = trio.Event()
-            self._listing_requests[topic] = asked
-            await asked.wait()
+            requested = trio.Event()
+            self._listing_requests[topic] = requested
+            await requested.wait()
             del self._listing_requests[topic]
             listed = False
             while not listed:
--- a/libs/facts/src/headcross_facts/peerfacts.py
+++ b/libs/facts/src/headcross_facts/peerfacts.py
@@ -52,8 +52,8 @@
 MAX_TRANSFER_SECONDS: Final = 5.0
 # A peer's answer does not count as fresh if the store last answered that peer longer ago.
 STALE_SECONDS: Final = 2.0
-# A process that is asked for a topic that it lists on demand lists it again, unless its state is
-# no older than this.
+# A process that lists a topic on demand lists it again when a peer asks for its revision, unless
+# its state is no older than this.
 FRESH_SECONDS: Final = 0.7
 
 logger = logging.getLogger(__name__)
--- a/libs/fleet/src/headcross_fleet/documents.py
+++ b/libs/fleet/src/headcross_fleet/documents.py
@@ -152,7 +152,7 @@
         held.fresh_at = max(held.fresh_at, monotonic() - age)
 
     def _take_last_good(self, held: HeldDocument, revision: int, body: bytes) -> bool:
-        """Put a document in force that is older than a rejected one; return if it is valid."""
+        """Put a document older than a rejected one in force; return whether it is valid."""
         if self._put_in_force(held, revision, body) is not None:
             return False
         self._journal.record("document-accepted", f"{held.key}@{revision}", "last good one")
--- a/libs/fleet/src/headcross_fleet/fleetfile.py
+++ b/libs/fleet/src/headcross_fleet/fleetfile.py
@@ -1,4 +1,4 @@
-"""Parses and validates the fleet file, the TOML file that says what should run where.
+"""Parses and validates the fleet file, which defines pools, services, teams and routes in TOML.
 
 The types below are the file's schema. `parse_fleet_file` is a pure function of the bytes, so every
 process accepts or rejects a file alike; anything that depends on the current hosts (such as too
--- a/libs/fleet/src/headcross_fleet/following.py
+++ b/libs/fleet/src/headcross_fleet/following.py
@@ -5,12 +5,12 @@
 * start: ask the service and the peers for their newest documents; `settled` is set when both
   answered or `SETTLE_SECONDS` are over, and the daemon takes no work and issues no orders before;
 * watch: if this host is a reader of a key (see `topology`), keep a long poll on it;
-* hint: on a change, send key, revision and digest to the neighbours at once; they ask for the
-  body. Repeated hints also spread the readers' freshness;
+* notice: on a change, send key, revision and digest to the neighbours at once; they ask for the
+  body. Repeated notices also spread the readers' freshness;
 * fallback: when the document has not been confirmed as fresh for too long, read the service, with
   jitter and backoff.
 
-A change reaches everyone within `FRESH_SECONDS` + jitter + a read even if every hint is lost and
+A change reaches everyone within `FRESH_SECONDS` + jitter + a read even if every notice is lost and
 all readers are dead; while they are alive it takes a few message delays.
 """
 
@@ -33,10 +33,10 @@
 # Duration of a reader's long poll, and so the interval at which it confirms freshness. With 42
 # watches the service gets 21 calls a second.
 WATCH_SECONDS: Final = 2.0
-# Minimum interval between hints that only improve freshness.
-HINT_SECONDS: Final = 1.5
-# An improvement of freshness by less than this causes no hint.
-HINT_GAIN_SECONDS: Final = 1.0
+# Minimum interval between notices that only improve freshness.
+NOTICE_INTERVAL_SECONDS: Final = 1.5
+# An improvement of freshness by less than this causes no notice.
+MIN_NOTICE_GAIN_SECONDS: Final = 1.0
 # A process reads the service itself if its document is older than this. With a jitter of 1 s and a
 # read of at most 2 s, that is just within the 8 s allowed for a change to reach everyone.
 FRESH_SECONDS: Final = 5.0
@@ -46,7 +46,7 @@
 # Time that a starting process waits for answers of both the service and the peers.
 SETTLE_SECONDS: Final = 10.0
 SETTLE_RETRY_SECONDS: Final = 0.5
-# Time to wait for an answer of any peer when peers are asked in place of the service.
+# Time to wait for an answer of any peer when peers are asked instead of the service.
 PEER_ANSWER_SECONDS: Final = 2.0
 
 
@@ -75,9 +75,9 @@
         self._service_answered: set[str] = set()
         self._peer_answered: set[str] = set()
         self._documents_received = dict.fromkeys(KEYS, 0)
-        self._hinted_at = {key: float("-inf") for key in KEYS}
-        self._hinted_fresh_at = {key: float("-inf") for key in KEYS}
-        self._hinted_revision = {key: NO_REVISION for key in KEYS}
+        self._notified_at = {key: float("-inf") for key in KEYS}
+        self._notified_fresh_at = {key: float("-inf") for key in KEYS}
+        self._notified_revision = {key: NO_REVISION for key in KEYS}
 
     async def run(self) -> None:
         """Follow all documents until cancelled."""
@@ -86,13 +86,13 @@
             for key in KEYS:
                 nursery.start_soon(self._watch, key)
                 nursery.start_soon(self._read_when_stale, key)
-                nursery.start_soon(self._repeat_hints, key)
+                nursery.start_soon(self._repeat_notices, key)
 
     def handle(self, message: PeerMessage, reply: Reply) -> bool:
         """Handle a message of the control channel; return whether it was about a document."""
         match message:
             case DocumentNotice(key=key) if key in KEYS:
-                self._handle_hint(message, reply)
+                self._handle_notice(message, reply)
             case AskDocument(key=key) if key in KEYS:
                 self._answer(key, reply)
             case Document(key=key) if key in KEYS:
@@ -123,22 +123,22 @@
     def is_reader(self, key: str) -> bool:
         """Return whether this host should watch a key."""
         readers = readers_of(self._documents.hosts, self._zone, key)
-        # A host that is not listed yet is nobody's neighbour and gets no hints.
+        # A host that is not listed yet is no host's neighbour and gets no notices.
         return self._host in readers or self._documents.hosts.find(self._host) is None
 
     # Messages from peers.
 
-    def _handle_hint(self, hint: DocumentNotice, reply: Reply) -> None:
-        self._peer_answered.add(hint.key)
-        held = self._documents.held(hint.key)
-        if hint.revision > held.revision or hint.accepted > held.accepted_revision:
-            reply(AskDocument(hint.key), None)
-        elif hint.revision < held.revision:
+    def _handle_notice(self, notice: DocumentNotice, reply: Reply) -> None:
+        self._peer_answered.add(notice.key)
+        held = self._documents.held(notice.key)
+        if notice.revision > held.revision or notice.accepted > held.accepted_revision:
+            reply(AskDocument(notice.key), None)
+        elif notice.revision < held.revision:
             # The peer has an older revision.
-            reply(self._make_hint(hint.key), None)
+            reply(self._make_notice(notice.key), None)
         else:
-            self._documents.confirm(hint.key, hint.revision, hint.digest, hint.age)
-            self._send_hint_if_due(hint.key)
+            self._documents.confirm(notice.key, notice.revision, notice.digest, notice.age)
+            self._send_notice_if_due(notice.key)
 
     def _handle_document(self, document: Document) -> None:
         self._peer_answered.add(document.key)
@@ -147,12 +147,12 @@
             return
         self._documents_received[document.key] += 1
         self._documents.offer(document.key, document.revision, document.body, document.age)
-        self._send_hint_if_due(document.key)
+        self._send_notice_if_due(document.key)
 
     def _answer(self, key: str, reply: Reply) -> None:
         held = self._documents.held(key)
         if held.revision == NO_REVISION:
-            reply(self._make_hint(key), None)
+            reply(self._make_notice(key), None)
             return
         if held.accepted_revision not in (NO_REVISION, held.revision):
             # The newest revision was rejected; a starting process also needs the last valid one.
@@ -160,37 +160,37 @@
             reply(Document(key, *last_good, held.accepted_body), None)
         reply(Document(key, held.revision, held.digest, held.age(), held.body), None)
 
-    def _make_hint(self, key: str) -> DocumentNotice:
+    def _make_notice(self, key: str) -> DocumentNotice:
         held = self._documents.held(key)
         return DocumentNotice(key, held.revision, held.digest, held.accepted_revision, held.age())
 
-    # Hints to neighbours.
+    # Notices to neighbours.
 
-    def _send_hint_if_due(self, key: str) -> None:
-        """Send a hint at once for a new revision, and at intervals for improved freshness."""
+    def _send_notice_if_due(self, key: str) -> None:
+        """Send a notice at once for a new revision, and at intervals for improved freshness."""
         held = self._documents.held(key)
-        if held.revision > self._hinted_revision[key]:
-            self._send_hint(key)
+        if held.revision > self._notified_revision[key]:
+            self._send_notice(key)
             return
-        due = monotonic() - self._hinted_at[key] >= HINT_SECONDS
-        if due and held.fresh_at - self._hinted_fresh_at[key] >= HINT_GAIN_SECONDS:
-            self._send_hint(key)
+        due = monotonic() - self._notified_at[key] >= NOTICE_INTERVAL_SECONDS
+        if due and held.fresh_at - self._notified_fresh_at[key] >= MIN_NOTICE_GAIN_SECONDS:
+            self._send_notice(key)
 
-    def _send_hint(self, key: str) -> None:
+    def _send_notice(self, key: str) -> None:
         held = self._documents.held(key)
-        self._hinted_at[key] = monotonic()
-        self._hinted_fresh_at[key] = held.fresh_at
-        self._hinted_revision[key] = held.revision
-        hint = self._make_hint(key)
+        self._notified_at[key] = monotonic()
+        self._notified_fresh_at[key] = held.fresh_at
+        self._notified_revision[key] = held.revision
+        notice = self._make_notice(key)
         for address in self._peer_addresses():
-            self._node.send(address, hint)
+            self._node.send(address, notice)
 
-    async def _repeat_hints(self, key: str) -> None:
-        """Repeat hints to make up for lost ones and for network partitions that have ended."""
+    async def _repeat_notices(self, key: str) -> None:
+        """Repeat notices to make up for lost ones and for network partitions that have ended."""
         while True:
-            await trio.sleep(HINT_SECONDS * random.uniform(1.5, 2.5))
-            if monotonic() - self._hinted_at[key] >= HINT_SECONDS:
-                self._send_hint(key)
+            await trio.sleep(NOTICE_INTERVAL_SECONDS * random.uniform(1.5, 2.5))
+            if monotonic() - self._notified_at[key] >= NOTICE_INTERVAL_SECONDS:
+                self._send_notice(key)
 
     def _peer_addresses(self) -> list[Address]:
         me = self._own_host()
@@ -243,7 +243,7 @@
             self._documents.confirm(key, held.revision, held.digest, 0.0)
         else:
             self._documents.offer(key, answer.revision, answer.body, 0.0)
-        self._send_hint_if_due(key)
+        self._send_notice_if_due(key)
 
     # Starting.
 
--- a/libs/fleet/src/headcross_fleet/topology.py
+++ b/libs/fleet/src/headcross_fleet/topology.py
@@ -1,8 +1,8 @@
 """Chooses which hosts watch the service and which hosts each one notifies of changes.
 
-All functions are pure functions of the host list. A few readers in each availability zone, picked
-by rendezvous hash, watch the service. Changes spread along a graph of bounded degree over all
-daemons: each notifies its successors on a ring of its zone, so that every zone is connected, and
+All functions are pure and depend only on the host list. A few readers in each availability zone,
+picked by rendezvous hash, watch the service. Changes spread along a graph of bounded degree over
+all daemons: each notifies its successors on a ring of its zone, so that every zone is connected, and
 some hosts of its own and other zones picked by hash, so that paths are short and do not depend on
 one host.
 """
@@ -12,7 +12,7 @@
 from headcross_base.hashing import rendezvous_order
 from headcross_native.hostlist import Host, HostList
 
-# Readers of each key in each zone. With three, one is left when two die at once; with 7 zones and
+# Readers of each key in each zone. With three, one remains if two fail at once; with 7 zones and
 # two keys they use 42 of the two thousand watches that the service allows.
 READERS_PER_ZONE: Final = 3
 RING_NEIGHBOURS: Final = 2
@@ -39,8 +39,8 @@
 def _ring_successors(zone: list[Host], me: Host) -> list[Host]:
     by_name = {host.name: host for host in zone}
     ring = rendezvous_order("ring", [*by_name, me.name])
-    place = ring.index(me.name)
-    after = (ring[place + 1 :] + ring[:place])[:RING_NEIGHBOURS]
+    position = ring.index(me.name)
+    after = (ring[position + 1 :] + ring[:position])[:RING_NEIGHBOURS]
     return [by_name[name] for name in after]
 
 
--- a/libs/native/src/headcross_native/__init__.py
+++ b/libs/native/src/headcross_native/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the platform; the only place that assumes anything about external protocols."""
+"""Adapters to the platform; the only library that depends on its protocols."""
--- a/libs/native/src/headcross_native/hostlist.py
+++ b/libs/native/src/headcross_native/hostlist.py
@@ -1,4 +1,4 @@
-"""Parses the platform's list of live and leaving hosts, which lags behind reality.
+"""Parses the platform's list of live and leaving hosts, which lags behind their actual state.
 
 Assumed format (the real one is not specified yet): a JSON document of the configuration service,
 validated by msgspec. It lists every host that runs a daemon with the daemon's addresses and, for
@@ -44,7 +44,7 @@
 
     @property
     def is_mirror(self) -> bool:
-        """Whether it holds weights only to upload them, over a link no other host waits for."""
+        """Whether it stores weights only to upload them; its link carries no other traffic."""
         return self.role == "entry" and bool(self.swarm)
 
     @property
--- a/libs/ports/src/headcross_ports/configuration.py
+++ b/libs/ports/src/headcross_ports/configuration.py
@@ -113,9 +113,9 @@
     _team_by_key: dict[str, Team] = field(init=False, repr=False, compare=False)
 
     def __post_init__(self) -> None:
-        places = {(route.host, route.prefix): route for route in self.routes}
+        routes = {(route.host, route.prefix): route for route in self.routes}
         keys = {key: team for team in self.teams for key in team.keys}
-        object.__setattr__(self, "_routes_by_place", places)
+        object.__setattr__(self, "_routes_by_place", routes)
         object.__setattr__(self, "_team_by_key", keys)
 
     def find_route(self, host: str, path: str) -> Route | None:
--- a/libs/rollout/src/headcross_rollout/orders.py
+++ b/libs/rollout/src/headcross_rollout/orders.py
@@ -1,9 +1,9 @@
 """Fenced orders to one engine, sent only while the process's documents are current.
 
-A process that was suspended resumes with outdated documents and cannot tell by itself. `issue`
-therefore checks the clock for a pause before each order. After a pause, or if neither the
-configuration service nor a peer was heard from recently, it re-reads the documents first, and the
-caller decides again on the result. An engine that checks fences refuses an outdated order that
+A process that was suspended resumes with outdated documents without noticing. `issue` therefore
+checks the clock for a pause before each order. After a pause, or if there was no recent contact
+with the configuration service or a peer, it re-reads the documents first, and the caller decides
+again on the result. An engine that checks fences refuses an outdated order that
 still gets through. For an engine that does not, the port bound for its upstream keeps a second
 daemon out, and a repeated order does no harm because orders set a state.
 """
@@ -18,8 +18,8 @@
 from headcross_fleet.following import ConfigFollower
 from headcross_native.engine import Engine, EngineState, Fence, Order, WeightsOrder
 
-# If neither the configuration service nor a peer was heard from within this time, documents are
-# re-read before an order.
+# If the last contact with the configuration service or a peer is longer ago, documents are re-read
+# before an order.
 MAX_CONTACT_AGE_SECONDS: Final = 10.0
 
 
--- a/libs/rollout/src/headcross_rollout/runner.py
+++ b/libs/rollout/src/headcross_rollout/runner.py
@@ -3,8 +3,8 @@
 The steps are: find the target, stage its weights while the old version still serves, wait for
 permission to stop serving, drain, send the order, check what the engine reports, serve. Each step
 reads the documents anew, so a newer fleet file cancels a transfer at once and redirects an
-upstream that waits. Without current information an upstream keeps the weights that it has: it
-never stops serving because it lacks news.
+upstream that waits. Without current documents an upstream keeps the weights that it has and
+continues to serve.
 
 Only weights whose digest the engine itself reports are ever served.
 """
@@ -181,12 +181,12 @@
         if not await self._stage(target):
             return RETRY_DELAY_SECONDS
         if self._gate.state == SERVING:
-            view = self._context.documents.revisions
+            revisions = self._context.documents.revisions
             turn = await self._ask_turn(target)
             self._record_decision("turn" if turn.now else "wait-turn", turn.reason)
             if not turn.now:
                 return self._turn_poll_delay(turn)
-            if not await self._stop_serving(view):
+            if not await self._stop_serving(revisions):
                 return 0.0
             if self._gate.digest == target.digest:
                 # The new pool has the same weights: nothing to load.
@@ -207,8 +207,8 @@
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._cancel_if_superseded, target, nursery.cancel_scope)
             for artifact in target.artifacts:
-                wanting = self._context.targets.hosts_needing(artifact)
-                outcome = await swarm.fetch(artifact, wanting, target.origin_copies)
+                host_names = self._context.targets.hosts_needing(artifact)
+                outcome = await swarm.fetch(artifact, host_names, target.origin_copies)
                 if isinstance(outcome, Failure):
                     self._record_decision(outcome.reason.code, outcome.detail)
                     break
@@ -228,7 +228,7 @@
     def _current_target(self, target: Target) -> Target | None:
         """Return the target of this upstream now; None if it no longer has one.
 
-        For a spare this is what the pool of `target` asks for.
+        For a spare this is the current target of the pool of `target`.
         """
         targets = self._context.targets
         assigned = targets.of_upstream(self._gate.name)
@@ -257,16 +257,16 @@
         at_once = pool.max_unavailable if pool is not None else 1
         return min(TURN_POLL_MAX_SECONDS, TURN_POLL_SECONDS * max(1.0, turn.before / at_once))
 
-    async def _stop_serving(self, view: DocumentRevisions) -> bool:
+    async def _stop_serving(self, revisions: DocumentRevisions) -> bool:
         """Refuse new requests and wait until running ones end or continue at another upstream.
 
-        `view` holds the document versions by which the turn was granted. Returns False if other
-        versions are in force by now; the upstream then keeps serving.
+        `revisions` are those of the documents by which the turn was granted. Returns False if
+        others are in force by now; the upstream then keeps serving.
         """
         if not await self._orders.ensure_current_documents():
             self._record_decision(FACTS_OLD.code, "decide anew before leaving")
             return False
-        if view != self._context.documents.revisions:
+        if revisions != self._context.documents.revisions:
             return False
         served = self._gate.pool
         pool = self._context.targets.pool(served)
@@ -328,12 +328,12 @@
     async def _unload(self, state: EngineState) -> float:
         """Stop serving when permitted, then empty the engine of an upstream without a target."""
         if self._gate.state == SERVING:
-            view = self._context.documents.revisions
+            revisions = self._context.documents.revisions
             turn = await self._ask_turn(None)
             self._record_decision("turn" if turn.now else "wait-turn", turn.reason)
             if not turn.now:
                 return self._turn_poll_delay(turn)
-            if not await self._stop_serving(view):
+            if not await self._stop_serving(revisions):
                 return 0.0
         elif self._gate.state != EMPTY:
             self._gate.set_state(EMPTY, "")
--- a/libs/rollout/src/headcross_rollout/turnclient.py
+++ b/libs/rollout/src/headcross_rollout/turnclient.py
@@ -65,9 +65,9 @@
 
         Waits up to ANSWER_TIMEOUT_SECONDS; without any answer the result is a refusal.
         """
-        versions = self._documents.revisions
+        revisions = self._documents.revisions
         number = next(self._numbers)
-        message = AskTurn(number, kind, upstream, pool, digest, versions.fleet, versions.hosts)
+        message = AskTurn(number, kind, upstream, pool, digest, revisions.fleet, revisions.hosts)
         entries = self._choose_entries()
         question = self._questions[number] = _Question(len(entries))
         self.asked += 1
--- a/libs/rollout/src/headcross_rollout/turnresponder.py
+++ b/libs/rollout/src/headcross_rollout/turnresponder.py
@@ -29,9 +29,9 @@
         return TurnAnswer(question.question, turn.now, turn.reason, turn.before)
 
     def _decide(self, question: AskTurn) -> Turn:
-        view = DocumentRevisions(question.revision, question.hosts_revision)
+        revisions = DocumentRevisions(question.revision, question.hosts_revision)
         pool = self._targets.pool(question.pool)
-        if view != self._documents.revisions or pool is None:
+        if revisions != self._documents.revisions or pool is None:
             return Turn(False, "the entry has other documents in force")
         placement = self._targets.placement.pools[question.pool]
         rows = self._statuses.pool_rows(question.pool)
@@ -39,9 +39,9 @@
         match question.kind:
             case "swap":
                 order = _rank_order_with(upstream, placement)
-                return may_swap(upstream, pool, order, rows, question.digest, view)
+                return may_swap(upstream, pool, order, rows, question.digest, revisions)
             case "leave":
-                return may_leave(upstream, pool, placement.assigned, rows, view)
+                return may_leave(upstream, pool, placement.assigned, rows, revisions)
             case "stand-in":
                 return self._decide_stand_in(upstream, pool, placement)
 
--- a/libs/rollout/src/headcross_rollout/turns.py
+++ b/libs/rollout/src/headcross_rollout/turns.py
@@ -6,13 +6,14 @@
 
 * Only rows that are fresh, and whose daemon has the same fleet file and host list in force, count
   as serving. Such a daemon follows the same order as this one.
-* A swap in place goes in rank order: an upstream may stop serving only while fewer than
-  `max_unavailable` of the upstreams ranked before it have yet to serve the new version.
+* Upstreams that swap weights within a pool follow the rank order: an upstream may stop serving
+  only while fewer than `max_unavailable` of the upstreams ranked before it have yet to serve the
+  new version.
 * For an upstream that leaves a pool, all leaving upstreams that come before it by name count as
-  gone already.
+  having left.
 
-A silent upstream does not free its place at once: it counts as unavailable, and the order skips it
-only after `stand_in_seconds`.
+A silent upstream is not replaced at once: it counts as unavailable, and the order skips it only
+after `stand_in_seconds`.
 """
 
 from collections.abc import Mapping
@@ -32,7 +33,7 @@
 
     now: bool
     reason: str
-    before: int = 0  # number of upstreams that go before this one
+    before: int = 0  # number of upstreams whose turn is earlier
 
 
 def may_swap(
@@ -41,13 +42,15 @@
     assigned: list[str],
     rows: Rows,
     digest: str,
-    view: DocumentRevisions,
+    revisions: DocumentRevisions,
 ) -> Turn:
     """Return whether an assigned upstream may stop serving to load another version of its pool."""
-    serving = {name for name in assigned if _counts_as_serving(rows.get(name), view)}
+    serving = {name for name in assigned if _counts_as_serving(rows.get(name), revisions)}
     ranked_before = assigned[: assigned.index(upstream)]
     pending = [
-        name for name in ranked_before if not _needs_no_turn(rows.get(name), pool, digest, view)
+        name
+        for name in ranked_before
+        if not _needs_no_turn(rows.get(name), pool, digest, revisions)
     ]
     if len(pending) >= pool.max_unavailable:
         return Turn(False, f"{pending[0]} goes before", len(pending))
@@ -59,17 +62,17 @@
 
 
 def may_leave(
-    upstream: str, pool: Pool, assigned: list[str], rows: Rows, view: DocumentRevisions
+    upstream: str, pool: Pool, assigned: list[str], rows: Rows, revisions: DocumentRevisions
 ) -> Turn:
     """Return whether an upstream that is no longer assigned to a pool may stop serving it."""
     required = min(pool.replicas, len(assigned))
     taking_over = sum(
-        _counts_as_serving(rows.get(name), view) for name in assigned if name != upstream
+        _counts_as_serving(rows.get(name), revisions) for name in assigned if name != upstream
     )
     leavers = sorted(
         name
         for name, row in rows.items()
-        if name not in assigned and _counts_as_serving(row, view)
+        if name not in assigned and _counts_as_serving(row, revisions)
     )
     staying = sum(name > upstream for name in leavers)
     if taking_over + staying < required:
@@ -89,21 +92,23 @@
     return Turn(False, "spare")
 
 
-def _counts_as_serving(row: PoolRow | None, view: DocumentRevisions) -> bool:
+def _counts_as_serving(row: PoolRow | None, revisions: DocumentRevisions) -> bool:
     """Return whether a row counts as serving for a daemon with these documents in force."""
     if row is None or row.silent:
         return False
-    same_view = (row.revision, row.hosts_revision) == (view.fleet, view.hosts)
-    return row.state == SERVING and same_view
+    same_revisions = (row.revision, row.hosts_revision) == (revisions.fleet, revisions.hosts)
+    return row.state == SERVING and same_revisions
 
 
-def _needs_no_turn(row: PoolRow | None, pool: Pool, digest: str, view: DocumentRevisions) -> bool:
+def _needs_no_turn(
+    row: PoolRow | None, pool: Pool, digest: str, revisions: DocumentRevisions
+) -> bool:
     """Return whether an upstream no longer holds back those ranked after it."""
     if row is None:
         return False
     if _is_replaceable(row, pool):
         return True
-    return _counts_as_serving(row, view) and row.digest == digest
+    return _counts_as_serving(row, revisions) and row.digest == digest
 
 
 def _is_replaceable(row: PoolRow | None, pool: Pool) -> bool:
--- a/libs/routing/src/headcross_routing/entryhandler.py
+++ b/libs/routing/src/headcross_routing/entryhandler.py
@@ -2,8 +2,8 @@
 
 The steps are: read the request's metadata; check the team's limit; claim the idempotency key if
 the request must not be repeated; then make attempts, each at another upstream, as far as the retry
-rules, the retry budget and the deadline allow. When no further attempt is allowed, the caller is
-told the verdict at once.
+rules, the retry budget and the deadline allow. When no further attempt is allowed, the caller
+gets the verdict at once.
 """
 
 import logging
--- a/libs/routing/src/headcross_routing/fairqueue.py
+++ b/libs/routing/src/headcross_routing/fairqueue.py
@@ -3,8 +3,8 @@
 At most `slots` requests are handed over at once. The others wait in one queue per team; a free
 slot goes to the team that received the least relative to its weight (start-time fair queueing).
 When the queue is full, the newest request of the team with the longest queue relative to its
-weight is refused, even if it has just arrived, so a flood from one team does not keep the others
-out.
+weight is refused, even if it has just arrived, so a flood from one team does not block the
+others.
 """
 
 from collections import deque
--- a/libs/routing/src/headcross_routing/ledger.py
+++ b/libs/routing/src/headcross_routing/ledger.py
@@ -2,8 +2,8 @@
 
 The request ledger guarantees the verdict "not run" for a single submission. A daemon hands a
 request over only if its id is neither handed over nor revoked in this ledger. An entry that lost
-its link may revoke an id and is told whether the revocation came in time. Both records outlive any
-message that may still be in transit.
+its link may revoke an id; the answer states whether the revocation came in time. Both records
+outlive any message that may still be in transit.
 
 The key ledger ensures that a request with a key runs at most once across several submissions. The
 owner of a key is an upstream daemon, chosen by rendezvous hashing over the host list and
--- a/libs/routing/src/headcross_routing/picking.py
+++ b/libs/routing/src/headcross_routing/picking.py
@@ -146,7 +146,7 @@
         state.reported_at = monotonic()
 
     def remove_absent(self, upstreams: set[str]) -> None:
-        """Discard the state of upstreams that are gone, unless attempts are in flight there."""
+        """Discard the state of absent upstreams, unless attempts are in flight there."""
         for name in list(self._states):
             if name not in upstreams and not self._states[name].in_flight:
                 del self._states[name]
--- a/libs/routing/src/headcross_routing/upstreamhandler.py
+++ b/libs/routing/src/headcross_routing/upstreamhandler.py
@@ -4,8 +4,8 @@
 the upstream is local and serves what the entry expects; wait for a slot; check again, since the
 state may change while the request waits; record the id as handed over unless it was revoked;
 connect; send. After the record a failed request may have run, except that the record is removed if
-no connection could be opened or the engine refuses for want of the weights. Retries are left to
-the entry: a daemon hands a request over once.
+no connection could be opened or the engine refuses because it lacks the weights. Retries are left
+to the entry: a daemon hands a request over once.
 """
 
 import logging
--- a/libs/weights/src/headcross_weights/chunkchoice.py
+++ b/libs/weights/src/headcross_weights/chunkchoice.py
@@ -75,11 +75,11 @@
 
 def chunks_in_flight(views: Views) -> dict[int, list[float]]:
     """Return the times at which each chunk in flight was requested, by chunk index."""
-    asked: dict[int, list[float]] = {}
+    requested_at: dict[int, list[float]] = {}
     for view in views.values():
         for index, at in view.in_flight.items():
-            asked.setdefault(index, []).append(at)
-    return asked
+            requested_at.setdefault(index, []).append(at)
+    return requested_at
 
 
 def offered_chunks(views: Views) -> set[int]:
@@ -106,7 +106,7 @@
     for view in ready:
         late = DUPLICATE_FACTOR * view.latency or DEFAULT_DUPLICATE_SECONDS
         for index in view.has & stored.missing & in_flight.keys():
-            asked_at = in_flight[index]
-            if len(asked_at) == 1 and now - asked_at[0] > late:
+            requested_at = in_flight[index]
+            if len(requested_at) == 1 and now - requested_at[0] > late:
                 return view, index
     return None
--- a/libs/weights/src/headcross_weights/importduties.py
+++ b/libs/weights/src/headcross_weights/importduties.py
@@ -6,7 +6,7 @@
 that it names, so that a host that is busy but alive is waited for, however long the origin takes.
 It does so only where this host may fetch the chunk from the host that answers: a copy in another
 region is of no use here. A host that answers without naming any chunk does not know of the
-artifact yet, because hosts learn of it at different times; it is waited for longer. Nobody can be
+artifact yet, because hosts learn of it at different times; it is waited for longer. No host can be
 asked about a chunk before the manifest is known, so the wait starts then.
 """
 
@@ -16,8 +16,8 @@
 from headcross_base.clocks import monotonic
 from headcross_wire.peermessages import AskIntent, Intent
 
-from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
 from headcross_weights.sourcing import MANIFEST_INDEX, ChunkDuty, ImportOrder
+from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 
 # The first host of a region without an importing host waits this many takeover times before it
 # reads from the origin itself, so that the hosts in the origin's order go first.
@@ -29,13 +29,13 @@
 class ImportDuties:
     """The import duties of one host in one transfer."""
 
-    def __init__(self, order: ImportOrder, pace: SwarmPace = LARGE_WEIGHTS) -> None:
+    def __init__(self, order: ImportOrder, settings: SwarmSettings = LARGE_WEIGHTS) -> None:
         self._order = order
-        self._pace = pace
+        self._settings = settings
         # Start of the wait for hosts that have not answered.
         self._silence_since = monotonic()
         self._taken_over: set[int] = set()
-        # When a host before this one last said that it has a chunk or is importing it.
+        # When a host before this one last stated that it has a chunk or is importing it.
         self._last_intent_at: dict[int, float] = {}
         # When each host last answered any question.
         self._answered_at: dict[str, float] = {}
@@ -82,14 +82,14 @@
 
     def intent_queries(self, indexes: Iterable[int]) -> dict[IntentTarget, list[int]]:
         """Return the hosts to ask about chunks that no neighbour offers, with their chunks."""
-        asked: dict[IntentTarget, list[int]] = {}
+        queries: dict[IntentTarget, list[int]] = {}
         for index in indexes:
             duty = self._order.duty(index)
             if self.should_import(index):
                 continue
             for host in duty.predecessors:
-                asked.setdefault((host, duty.rank == 0), []).append(index)
-        return asked
+                queries.setdefault((host, duty.rank == 0), []).append(index)
+        return queries
 
     def take_over(self, indexes: Iterable[int]) -> list[int]:
         """Take over and return the chunks whose importing hosts were silent for too long."""
@@ -101,10 +101,10 @@
         """Return the seconds to wait for other hosts before importing the manifest."""
         duty = self._order.duty(MANIFEST_INDEX)
         if duty.rank is None:
-            return self._pace.stuck_seconds
+            return self._settings.stuck_seconds
         if duty.from_peer:
-            return self._pace.takeover_seconds * (duty.rank + CROSS_REGION_TAKEOVERS)
-        return self._pace.takeover_seconds * duty.rank
+            return self._settings.takeover_seconds * (duty.rank + CROSS_REGION_TAKEOVERS)
+        return self._settings.takeover_seconds * duty.rank
 
     def manifest_predecessors(self) -> tuple[str, ...]:
         """Return the hosts before this one in the import order of the manifest."""
@@ -116,10 +116,10 @@
             return False
         now = monotonic()
         silent_seconds = now - self._last_intent_at.get(index, self._silence_since)
-        wait_seconds = self._pace.takeover_seconds * (duty.rank or CROSS_REGION_TAKEOVERS)
-        # An answer without the chunk is evidence only from the first host: the hosts behind it
-        # are waiting as well.
+        wait_seconds = self._settings.takeover_seconds * (duty.rank or CROSS_REGION_TAKEOVERS)
+        # An answer without the chunk is evidence only from the first host: those after it in
+        # the order are waiting as well.
         first = duty.predecessors[0] if duty.predecessors else ""
-        if now - self._answered_at.get(first, float("-inf")) < self._pace.takeover_seconds:
-            wait_seconds *= self._pace.responsive_takeover_factor
+        if now - self._answered_at.get(first, float("-inf")) < self._settings.takeover_seconds:
+            wait_seconds *= self._settings.responsive_takeover_factor
         return silent_seconds >= wait_seconds
--- a/libs/weights/src/headcross_weights/imports.py
+++ b/libs/weights/src/headcross_weights/imports.py
@@ -17,7 +17,7 @@
 from headcross_wire.linkrate import LinkRate
 
 from headcross_weights.manifest import ChunkLocation
-from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
+from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 
 logger = logging.getLogger(__name__)
 
@@ -51,13 +51,13 @@
         self,
         sources: Sequence[WeightSource],
         downlink: LinkRate,
-        pace: SwarmPace = LARGE_WEIGHTS,
+        settings: SwarmSettings = LARGE_WEIGHTS,
     ) -> None:
         self.received_bytes = Counter()
         self.failures = Counter()
         self.corrupt = Counter()
         self._sources = sources
-        self._pace = pace
+        self._settings = settings
         self._downlink = downlink
         self._paused_until = {source.name: 0.0 for source in sources}
 
@@ -78,14 +78,14 @@
             return Failure(SOURCE_FAILED, "every source is paused")
         await self._downlink.take(location.size)
         outcome = await source.read_range(
-            weights, location.path, location.offset, location.size, self._pace.read_seconds
+            weights, location.path, location.offset, location.size, self._settings.read_seconds
         )
         return self._record_outcome(source, outcome)
 
     def report_corrupt(self, source: WeightSource, detail: str) -> None:
         """Count a failed verification of bytes from a source and pause the source."""
         self.corrupt[source.name] += 1
-        self._paused_until[source.name] = monotonic() + self._pace.corrupt_pause_seconds
+        self._paused_until[source.name] = monotonic() + self._settings.corrupt_pause_seconds
         logger.error("corrupt bytes", extra={"source": source.name, "detail": detail})
 
     def _choose(self) -> WeightSource | None:
@@ -105,5 +105,5 @@
                 return Failure(SOURCE_FAILED, f"{source.name} is at its limit")
             case Failure():
                 self.failures[source.name] += 1
-                self._paused_until[source.name] = monotonic() + self._pace.failed_pause_seconds
+                self._paused_until[source.name] = monotonic() + self._settings.failed_pause_seconds
                 return Failure(SOURCE_FAILED, f"{source.name}: {outcome.detail}")
--- a/libs/weights/src/headcross_weights/neighbourview.py
+++ b/libs/weights/src/headcross_weights/neighbourview.py
@@ -6,16 +6,16 @@
 from headcross_base.clocks import monotonic
 from headcross_wire.peermessages import PeerMessage
 
-from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
+from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 
 # Requests in flight to one host: one chunk being sent and one queued behind it.
 REQUESTS_PER_HOST: Final = 2
-# A request times out after this many times the average latency, within the bounds of the pace.
-# The host is then not asked for a backoff time that doubles with each failure.
+# A request times out after this many times the average latency, within the bounds of the settings.
+# The host then gets no requests for a backoff time that doubles with each failure.
 TIMEOUT_FACTOR: Final = 4.0
 # A chunk that has not arrived after this time is not expected any more.
 MAX_ARRIVAL_SECONDS: Final = 6.0
-# A host that sent this many corrupt chunks of one artifact is not asked for it again.
+# No more chunks of an artifact are requested from a host that sent this many corrupt ones.
 QUARANTINE_CORRUPT_CHUNKS: Final = 2
 # After this many failures in a row a host may be dead and counts as unusable.
 UNUSABLE_AFTER_FAILURES: Final = 2
@@ -38,7 +38,7 @@
     on_time_at: float
     # Average seconds from a request to the chunk, 0 before the first.
     latency: float
-    # Whether it sent a join message in this transfer, so that it is not asked to join again.
+    # Whether it sent a join message in this transfer, so that it need not be joined again.
     joined: bool
     # Its bitmap, until the manifest is known.
     bitmap: bytes
@@ -53,7 +53,7 @@
         self,
         host: str,
         send: Send,
-        pace: SwarmPace = LARGE_WEIGHTS,
+        settings: SwarmSettings = LARGE_WEIGHTS,
         *,
         is_mirror: bool = False,
     ) -> None:
@@ -68,12 +68,13 @@
         self.corrupt = 0
         self.failures = 0
         self._partial: dict[int, bytearray] = {}
-        # Requests that timed out last, with their times: the chunks may still arrive.
-        self._given_up: dict[int, float] = {}
+        # The requests that timed out last, by chunk, with the time of each request: the chunks may
+        # still arrive.
+        self._timed_out: dict[int, float] = {}
         self.on_time_at = float("-inf")
         self._blocked_until = 0.0
-        self._pace = pace
-        self._backoff = pace.min_backoff_seconds
+        self._settings = settings
+        self._backoff = settings.min_backoff_seconds
 
     @property
     def quarantined(self) -> bool:
@@ -91,9 +92,9 @@
 
     def is_late(self, now: float) -> bool:
         """Return whether a chunk from it is late and may still arrive."""
-        waiting = [*self.in_flight.values(), *self._given_up.values()]
+        waiting = [*self.in_flight.values(), *self._timed_out.values()]
         return any(
-            self._pace.slow_request_seconds < now - at < MAX_ARRIVAL_SECONDS for at in waiting
+            self._settings.slow_request_seconds < now - at < MAX_ARRIVAL_SECONDS for at in waiting
         )
 
     def ready(self, now: float) -> bool:
@@ -104,25 +105,27 @@
 
     def timeout(self) -> float:
         """Return the seconds after which a request to it times out."""
-        usual = TIMEOUT_FACTOR * self.latency or self._pace.max_timeout_seconds / 2
-        return min(self._pace.max_timeout_seconds, max(self._pace.min_timeout_seconds, usual))
+        usual = TIMEOUT_FACTOR * self.latency or self._settings.max_timeout_seconds / 2
+        return min(
+            self._settings.max_timeout_seconds, max(self._settings.min_timeout_seconds, usual)
+        )
 
     def note_received(self, index: int) -> None:
         """Record that a requested chunk arrived, and update the latency."""
-        asked_at = self.in_flight.pop(index, None)
-        given_up_at = self._given_up.pop(index, None)
-        if asked_at is None and given_up_at is not None:
+        requested_at = self.in_flight.pop(index, None)
+        late_requested_at = self._timed_out.pop(index, None)
+        if requested_at is None and late_requested_at is not None:
             # The chunk was late, not lost, so later requests wait for as long.
-            self.latency = max(self.latency, monotonic() - given_up_at)
+            self.latency = max(self.latency, monotonic() - late_requested_at)
             return
-        if asked_at is None:
+        if requested_at is None:
             return
         now = monotonic()
-        sample = now - asked_at
-        if sample < self._pace.slow_request_seconds:
+        sample = now - requested_at
+        if sample < self._settings.slow_request_seconds:
             self.on_time_at = now
         self.latency += (sample - self.latency) * (LATENCY_GAIN if self.latency else 1.0)
-        self._backoff = self._pace.min_backoff_seconds
+        self._backoff = self._settings.min_backoff_seconds
         self.failures = 0
 
     def assemble(self, index: int, offset: int, size: int, part: bytes) -> bytes | None:
@@ -143,15 +146,15 @@
         return None
 
     def note_busy(self, index: int, pause: float) -> None:
-        """Record that it did not send a chunk; it may be asked again after `pause` seconds."""
+        """Record a refused request; others may follow after `pause` seconds."""
         self.in_flight.pop(index, None)
         self._blocked_until = monotonic() + pause
 
     def note_timeout(self) -> None:
         """Record that its requests timed out, and double its backoff time."""
-        self._given_up = dict(self.in_flight)
+        self._timed_out = dict(self.in_flight)
         self.in_flight.clear()
         self._partial.clear()
         self.failures += 1
         self._blocked_until = monotonic() + self._backoff
-        self._backoff = min(self._pace.max_backoff_seconds, 2 * self._backoff)
+        self._backoff = min(self._settings.max_backoff_seconds, 2 * self._backoff)
--- a/libs/weights/src/headcross_weights/sourcing.py
+++ b/libs/weights/src/headcross_weights/sourcing.py
@@ -4,11 +4,11 @@
 `origin_copies` hosts of the order import the chunk from the store or origin at once. In every
 region without one of these, the first host of the region fetches it from them. All other hosts
 wait for a neighbour to offer it. The next hosts in the order are stand-ins: they ask the hosts
-before them and take over when those stay silent, so that a dead host costs seconds, and not a read
-by every other host from the origin.
+before them and take over when those stay silent, so that a dead host delays the chunk by
+seconds and does not cause a read from the origin by every other host.
 
 The links of mirrors carry no other traffic, so mirrors come first in each order. The stand-ins are
-other hosts, since all mirrors may be gone at once.
+other hosts, since all mirrors may fail at once.
 
 The order is computed for buckets of chunks, since 2,000 hosts times 10,000 chunks would be too
 many hashes for one process. With up to `BUCKETS` chunks, each chunk has its own order.
@@ -22,7 +22,7 @@
 from headcross_native.hostlist import Host
 
 BUCKETS: Final = 256
-# Number of stand-ins behind the first hosts of an order.
+# Number of stand-ins after the first hosts of an order.
 STAND_IN_COUNT: Final = 4
 
 # The manifest is imported like a chunk and has its own order under this index.
--- a/libs/weights/src/headcross_weights/swarm.py
+++ b/libs/weights/src/headcross_weights/swarm.py
@@ -34,8 +34,8 @@
 from headcross_weights.manifest import MAX_CHUNK_BYTES
 from headcross_weights.neighbours import pick_neighbours
 from headcross_weights.neighbourview import Send
-from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
 from headcross_weights.sourcing import ImportOrder
+from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 from headcross_weights.transfer import Transfer, TransferContext
 from headcross_weights.uploads import Uploads
 
@@ -45,8 +45,8 @@
 LINK_QUEUE_LENGTH: Final = 32
 # A listener is removed after this many failed announcements; a live host joins again.
 MAX_ANNOUNCE_FAILURES: Final = 100
-# Maximum number of links opened ahead of a transfer, to hosts of the own region first. A transfer
-# has 7 neighbours and a few hosts that it stands in for. Links to all hosts would be idle but for
+# Maximum number of links opened ahead of a transfer, those to its own region first. A transfer
+# has 7 neighbours and a few hosts that it stands in for. Links to all hosts would carry little but
 # heartbeats, whose number grows with the square of the fleet (94 links on each of 60 hosts).
 MAX_PREOPENED_LINKS: Final = 24
 # Maximum number of hosts to which new chunks of one artifact are announced.
@@ -71,14 +71,16 @@
         importer: Importer,
         uplink: LinkRate,
         downlink: LinkRate,
-        pace: SwarmPace = LARGE_WEIGHTS,
+        settings: SwarmSettings = LARGE_WEIGHTS,
         *,
         lane_per_requester: bool = False,
     ) -> None:
         self.store = store
         self.counts = Counter()
         self.transfers = {}
-        self.uploads = Uploads(host, store, uplink, pace, lane_per_requester=lane_per_requester)
+        self.uploads = Uploads(
+            host, store, uplink, settings, lane_per_requester=lane_per_requester
+        )
         self.node = PeerNode(address, self._handle, LINK_QUEUE_LENGTH, MAX_CHUNK_BYTES)
         self._host = host
         self._hosts: HostList = EMPTY_HOST_LIST
@@ -99,7 +101,7 @@
             self._send_awaited_manifests,
             self._announce,
             self.counts,
-            pace,
+            settings,
         )
 
     async def run(self) -> None:
--- a/libs/weights/src/headcross_weights/pace.py
+++ b/libs/weights/src/headcross_weights/swarmsettings.py
@@ -12,10 +12,10 @@
 
 
 @dataclass(frozen=True, slots=True)
-class SwarmPace:
+class SwarmSettings:
     """Timeouts, intervals and concurrency limits of one swarm."""
 
-    # After this much silence of the host that is to import a chunk, the next host in the order
+    # If the host that is to import a chunk stays silent for this long, the next host in the order
     # takes over; each further host waits as long again. Several times `watch_seconds`.
     takeover_seconds: float = 3.0
     # Interval between questions to the hosts that are to import chunks.
@@ -32,7 +32,7 @@
     # Bounds on the timeout of a request to a neighbour, which is a multiple of its latency.
     min_timeout_seconds: float = 1.5
     max_timeout_seconds: float = 15.0
-    # A neighbour that did not answer is not asked again for the backoff time, which doubles with
+    # A neighbour that did not answer gets no requests for the backoff time, which doubles with
     # each failure from the minimum to the maximum.
     min_backoff_seconds: float = 1.0
     max_backoff_seconds: float = 30.0
@@ -64,8 +64,8 @@
         return max(1, min(self.max_imports, self.total_imports // max(1, fetchers)))
 
 
-LARGE_WEIGHTS: Final = SwarmPace()
-SMALL_WEIGHTS: Final = SwarmPace(
+LARGE_WEIGHTS: Final = SwarmSettings()
+SMALL_WEIGHTS: Final = SwarmSettings(
     takeover_seconds=0.7,
     responsive_takeover_factor=1.0,
     watch_seconds=0.15,
--- a/libs/weights/src/headcross_weights/transfer.py
+++ b/libs/weights/src/headcross_weights/transfer.py
@@ -52,13 +52,13 @@
 from headcross_weights.manifest import ChunkLocation, parse_manifest
 from headcross_weights.manifestfetch import ManifestFetch
 from headcross_weights.neighbourview import NeighbourView
-from headcross_weights.pace import SwarmPace
 from headcross_weights.sourcing import ImportOrder
+from headcross_weights.swarmsettings import SwarmSettings
 
 IMPORT_RETRY_SECONDS: Final = 0.2
 EXPIRY_CHECK_SECONDS: Final = 0.1
-# After a refusal, a neighbour is asked again after this share of its average latency, varied at
-# random by up to half.
+# After a refusal, a neighbour gets the next request after this share of its average latency,
+# varied at random by up to half.
 BUSY_PAUSE_SHARE: Final = 0.3
 DEFAULT_BUSY_PAUSE_SECONDS: Final = 0.05  # until a latency is known
 # A task without work checks for new work at least this often.
@@ -87,7 +87,7 @@
     chunk_added: Callable[[str, int], None]
     # Event counts by name: peer_bytes, duplicate_bytes, corrupt_peer, takeovers, stalled, ...
     counts: Counter[str]
-    pace: SwarmPace
+    settings: SwarmSettings
 
 
 class Transfer:
@@ -115,7 +115,7 @@
         self.last_error = ""
         self._neighbours = neighbours
         self._mirrors = mirrors
-        self._duties = ImportDuties(order, context.pace)
+        self._duties = ImportDuties(order, context.settings)
         self._manifest = ManifestFetch(artifact, context.importer)
         self._context = context
         self._started_at = monotonic()
@@ -132,7 +132,7 @@
             if isinstance(outcome, Ok):
                 for worker in (self._watch_importers, self._expire_requests):
                     nursery.start_soon(worker, outcome.value)
-                for _ in range(self._context.pace.imports_per_fetcher(len(self._mirrors))):
+                for _ in range(self._context.settings.imports_per_fetcher(len(self._mirrors))):
                     nursery.start_soon(self._import_chunks, outcome.value)
                 await self._schedule(outcome.value)
             nursery.cancel_scope.cancel()
@@ -145,7 +145,7 @@
         view = self.views.get(host)
         if view is None:
             mirror = host in self._mirrors
-            view = NeighbourView(host, send, self._context.pace, is_mirror=mirror)
+            view = NeighbourView(host, send, self._context.settings, is_mirror=mirror)
             self.views[host] = view
         view.send = send
         return view
@@ -259,15 +259,15 @@
 
     async def _keep_joined(self) -> None:
         while True:
-            is_stalled = monotonic() - self._progress_at > self._context.pace.rejoin_seconds
+            is_stalled = monotonic() - self._progress_at > self._context.settings.rejoin_seconds
             for host in self._neighbours:
                 view = self.views.get(host.name)
                 if view is None or not view.joined or is_stalled:
                     self._context.send_to(host.name, self._join_message())
             # The first message to a host only opens the link, so a new transfer sends more often.
-            is_recent = monotonic() - self._started_at < self._context.pace.join_seconds
+            is_recent = monotonic() - self._started_at < self._context.settings.join_seconds
             await trio.sleep(
-                self._context.pace.join_seconds
+                self._context.settings.join_seconds
                 * random.uniform(0.3, 0.6)
                 * (0.1 if is_recent else 1)
             )
@@ -284,7 +284,7 @@
                 stored,
                 self.views,
                 self._importing,
-                self._context.pace.requests_in_flight,
+                self._context.settings.requests_in_flight,
             )
             if choice is None:
                 await self._wait_for_change()
@@ -296,9 +296,9 @@
             rate = self._context.downlink.bytes_per_second
             if is_link_slow(self.views, monotonic()):
                 rate *= SLOW_LINK_RATE_SHARE
-            asked = AskChunk(self._context.host, self.artifact.digest, index, rate)
+            question = AskChunk(self._context.host, self.artifact.digest, index, rate)
             view.in_flight[index] = monotonic()
-            if index not in stored.missing or not view.send(asked):
+            if index not in stored.missing or not view.send(question):
                 self._context.downlink.refund(size)
                 if index in stored.missing:
                     view.note_timeout()
@@ -328,7 +328,7 @@
         due = [i for i in stored.missing - taken if self._duties.should_import(i)]
         if due:
             return random.choice(due)
-        if monotonic() - self._progress_at < self._context.pace.stuck_seconds * random.uniform(
+        if monotonic() - self._progress_at < self._context.settings.stuck_seconds * random.uniform(
             1, 2
         ):
             return None
@@ -364,7 +364,7 @@
                 )
                 self._context.send_to(host, question)
             self._log_takeover(self._duties.take_over(not_offered))
-            await trio.sleep(self._context.pace.watch_seconds * random.uniform(0.8, 1.2))
+            await trio.sleep(self._context.settings.watch_seconds * random.uniform(0.8, 1.2))
 
     def _log_takeover(self, indexes: list[int]) -> None:
         if indexes:
--- a/libs/weights/src/headcross_weights/uploads.py
+++ b/libs/weights/src/headcross_weights/uploads.py
@@ -17,7 +17,7 @@
 from headcross_wire.peernode import Reply
 
 from headcross_weights.chunkstore import ChunkStore
-from headcross_weights.pace import LARGE_WEIGHTS, SwarmPace
+from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 
 
 class Uploads:
@@ -32,7 +32,7 @@
         host: str,
         store: ChunkStore,
         uplink: LinkRate,
-        pace: SwarmPace = LARGE_WEIGHTS,
+        settings: SwarmSettings = LARGE_WEIGHTS,
         *,
         lane_per_requester: bool = False,
     ) -> None:
@@ -41,7 +41,7 @@
         self._host = host
         self._store = store
         self._uplink = uplink
-        self._pace = pace
+        self._settings = settings
         self._lane_per_requester = lane_per_requester
         # Number of chunks queued or being sent, and the lock that orders them, by lane.
         self._pending: Counter[str] = Counter()
@@ -52,7 +52,7 @@
         stored = self._store.get(question.artifact)
         data = stored.chunk(question.index) if stored is not None else None
         lane = question.host if self._lane_per_requester else ""
-        if data is None or self._pending[lane] >= self._pace.upload_slots:
+        if data is None or self._pending[lane] >= self._settings.upload_slots:
             self.refused += 1
             busy = data is not None
             reply(NoChunk(self._host, question.artifact, question.index, busy=busy), None)
@@ -73,10 +73,12 @@
 
     async def _send_parts(self, question: AskChunk, data: bytes, reply: Reply) -> bool:
         """Send all parts of a chunk; return whether the link accepted them."""
-        pace = LinkRate(question.rate if self._lane_per_requester else 0.0, self._pace.part_bytes)
-        for offset in range(0, len(data), self._pace.part_bytes):
-            part = data[offset : offset + self._pace.part_bytes]
-            await pace.take(len(part))
+        requester_rate = LinkRate(
+            question.rate if self._lane_per_requester else 0.0, self._settings.part_bytes
+        )
+        for offset in range(0, len(data), self._settings.part_bytes):
+            part = data[offset : offset + self._settings.part_bytes]
+            await requester_rate.take(len(part))
             await self._uplink.take(len(part))
             head = Chunk(self._host, question.artifact, question.index, offset, len(data))
             if not reply(head, part):
--- a/libs/wire/src/headcross_wire/peermessages.py
+++ b/libs/wire/src/headcross_wire/peermessages.py
@@ -262,7 +262,8 @@
     named: list[NamedVersionNews] = []  # versions that were recently the newest
     loaded: list[LoadedVersionNews] = []  # versions recently loaded by the receiver's replica
     wants_losses: bool = False  # requests one `LossNews` with all known losses
-    # Seconds since the sender first heard from a daemon of that replica; None if it never did.
+    # Seconds since the sender first received a message of a daemon of that replica; None if it
+    # never did.
     first_heard_age: float | None = None
 
 
@@ -277,7 +278,7 @@
 
 
 class KnownMirrors(_Message, frozen=True, tag=46):
-    """The mirrors that the sender has recently heard of."""
+    """The mirrors that the sender has recently learned of."""
 
     mirrors: list[MirrorLocation]
 
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -14,9 +14,9 @@
 from headcross_base.errors import Failure, Ok
 from headcross_facts.facts import Facts
 from headcross_facts.following import (
+    CHANGE_MARGIN_SECONDS,
     FIRST_RETRY_SECONDS,
     MIN_WATCH_SECONDS,
-    NEWS_MARGIN_SECONDS,
     RETRY_SPREAD,
     FactBounds,
     Follower,
@@ -384,7 +384,7 @@
     polling = entry_polling(FactBounds())
     longest_pause = max(polling.pause_after(failures) for failures in range(100))
     assert longest_pause <= polling.max_retry_seconds * (1 + RETRY_SPREAD)
-    until = FactBounds().reached - NEWS_MARGIN_SECONDS
+    until = FactBounds().reached - CHANGE_MARGIN_SECONDS
     for longest in (polling.watch_limits(Topic.CONTROL, lost=True).longest, store.READ_SECONDS):
         assert longest + polling.max_retry_seconds * (1 + RETRY_SPREAD) <= until
 
