--- a/bench/choice.py
+++ b/bench/choice.py
@@ -11,7 +11,7 @@
 from headcross_weights.chunkstore import StoredArtifact
 from headcross_weights.manifest import Manifest, ManifestFile
 from headcross_weights.neighbourview import NeighbourView
-from headcross_weights.swarmsettings import LARGE_WEIGHTS
+from headcross_weights.pace import LARGE_WEIGHTS
 
 SIZES = (128, 1024, 8345)
 NEIGHBOURS = 12
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -29,8 +29,8 @@
 from headcross_renewal.sources import DEFAULT_CHUNK_BYTES, OriginSource
 from headcross_weights.chunkstore import ChunkStore
 from headcross_weights.imports import Importer
+from headcross_weights.pace import SMALL_WEIGHTS
 from headcross_weights.swarm import Swarm
-from headcross_weights.swarmsettings import SMALL_WEIGHTS
 from headcross_wire.linkrate import LinkRate
 from headcross_wire.peermessages import (
     AskDigests,
--- a/libs/fleet/src/headcross_fleet/topology.py
+++ b/libs/fleet/src/headcross_fleet/topology.py
@@ -2,9 +2,9 @@
 
 All functions are pure and depend only on the host list. A few readers in each availability zone,
 picked by rendezvous hash, watch the service. Changes spread along a graph of bounded degree over
-all daemons: each notifies its successors on a ring of its zone, so that every zone is connected, and
-some hosts of its own and other zones picked by hash, so that paths are short and do not depend on
-one host.
+all daemons: each notifies its successors on a ring of its zone, so that every zone is connected,
+and some hosts of its own and other zones picked by hash, so that paths are short and do not depend
+on one host.
 """
 
 from typing import Final
--- a/libs/weights/src/headcross_weights/importduties.py
+++ b/libs/weights/src/headcross_weights/importduties.py
@@ -16,8 +16,8 @@
 from headcross_base.clocks import monotonic
 from headcross_wire.peermessages import AskIntent, Intent
 
+from headcross_weights.pace import LARGE_WEIGHTS, SwarmSettings
 from headcross_weights.sourcing import MANIFEST_INDEX, ChunkDuty, ImportOrder
-from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 
 # The first host of a region without an importing host waits this many takeover times before it
 # reads from the origin itself, so that the hosts in the origin's order go first.
--- a/libs/weights/src/headcross_weights/imports.py
+++ b/libs/weights/src/headcross_weights/imports.py
@@ -17,7 +17,7 @@
 from headcross_wire.linkrate import LinkRate
 
 from headcross_weights.manifest import ChunkLocation
-from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
+from headcross_weights.pace import LARGE_WEIGHTS, SwarmSettings
 
 logger = logging.getLogger(__name__)
 
--- a/libs/weights/src/headcross_weights/neighbourview.py
+++ b/libs/weights/src/headcross_weights/neighbourview.py
@@ -6,7 +6,7 @@
 from headcross_base.clocks import monotonic
 from headcross_wire.peermessages import PeerMessage
 
-from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
+from headcross_weights.pace import LARGE_WEIGHTS, SwarmSettings
 
 # Requests in flight to one host: one chunk being sent and one queued behind it.
 REQUESTS_PER_HOST: Final = 2
--- a/libs/weights/src/headcross_weights/swarm.py
+++ b/libs/weights/src/headcross_weights/swarm.py
@@ -34,8 +34,8 @@
 from headcross_weights.manifest import MAX_CHUNK_BYTES
 from headcross_weights.neighbours import pick_neighbours
 from headcross_weights.neighbourview import Send
+from headcross_weights.pace import LARGE_WEIGHTS, SwarmSettings
 from headcross_weights.sourcing import ImportOrder
-from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
 from headcross_weights.transfer import Transfer, TransferContext
 from headcross_weights.uploads import Uploads
 
--- a/libs/weights/src/headcross_weights/transfer.py
+++ b/libs/weights/src/headcross_weights/transfer.py
@@ -52,8 +52,8 @@
 from headcross_weights.manifest import ChunkLocation, parse_manifest
 from headcross_weights.manifestfetch import ManifestFetch
 from headcross_weights.neighbourview import NeighbourView
+from headcross_weights.pace import SwarmSettings
 from headcross_weights.sourcing import ImportOrder
-from headcross_weights.swarmsettings import SwarmSettings
 
 IMPORT_RETRY_SECONDS: Final = 0.2
 EXPIRY_CHECK_SECONDS: Final = 0.1
--- a/libs/weights/src/headcross_weights/uploads.py
+++ b/libs/weights/src/headcross_weights/uploads.py
@@ -17,7 +17,7 @@
 from headcross_wire.peernode import Reply
 
 from headcross_weights.chunkstore import ChunkStore
-from headcross_weights.swarmsettings import LARGE_WEIGHTS, SwarmSettings
+from headcross_weights.pace import LARGE_WEIGHTS, SwarmSettings
 
 
 class Uploads:
--- a/testing/answeringpeers.py
+++ b/testing/answeringpeers.py
@@ -13,8 +13,8 @@
 from headcross_native.hostlist import Host
 from headcross_weights.chunkstore import ChunkStore
 from headcross_weights.imports import Importer
+from headcross_weights.pace import LARGE_WEIGHTS
 from headcross_weights.sourcing import MANIFEST_INDEX, ImportOrder
-from headcross_weights.swarmsettings import LARGE_WEIGHTS
 from headcross_weights.transfer import Transfer, TransferContext
 from headcross_wire.linkrate import LinkRate
 from headcross_wire.peermessages import AskChunk, AskIntent, Chunk, Intent, PeerMessage
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -25,9 +25,9 @@
 from headcross_weights.imports import Importer
 from headcross_weights.manifest import Manifest, ManifestFile
 from headcross_weights.neighbourview import REQUESTS_PER_HOST, NeighbourView
+from headcross_weights.pace import SMALL_WEIGHTS
 from headcross_weights.sourcing import STAND_IN_COUNT, ImportOrder
 from headcross_weights.swarm import MAX_PREOPENED_LINKS, Swarm
-from headcross_weights.swarmsettings import SMALL_WEIGHTS
 from headcross_weights.uploads import Uploads
 from headcross_wire import peermessages
 from headcross_wire.linkrate import LinkRate
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -23,7 +23,7 @@
 from headcross_weights.chunkstore import StoredArtifact
 from headcross_weights.manifest import Manifest, ManifestFile, parse_manifest
 from headcross_weights.neighbourview import NeighbourView
-from headcross_weights.swarmsettings import SMALL_WEIGHTS
+from headcross_weights.pace import SMALL_WEIGHTS
 from headcross_wire import peermessages
 from headcross_wire.peermessages import Status
 from hypothesis import given
--- a/tests/test_swarm_silence.py
+++ b/tests/test_swarm_silence.py
@@ -7,8 +7,8 @@
 import trio
 from headcross_native.hostlist import Host
 from headcross_weights.importduties import ImportDuties
+from headcross_weights.pace import LARGE_WEIGHTS
 from headcross_weights.sourcing import ImportOrder
-from headcross_weights.swarmsettings import LARGE_WEIGHTS
 from headcross_wire.peermessages import Intent
 from trio.testing import MockClock
 
