--- a/libs/facts/src/headcross_facts/peerfacts.py
+++ b/libs/facts/src/headcross_facts/peerfacts.py
@@ -4,14 +4,14 @@
 kilobytes: requesting all of it from several peers, and again before the answer could arrive,
 filled the links between regions when all processes restarted at once. So a process first asks a
 few peers periodically for their revision, which takes a few bytes, and then requests the whole
-topic from one that has a newer revision. A process that knows nothing answers so at once: without
-an answer it could not be distinguished from one whose answer is still in transit, and waiting for
-that kept an entry from asking peers that had the topic.
+topic from one that has a newer revision. A process that has no listing answers that at once:
+without an answer it could not be distinguished from one whose answer is still in transit, and
+waiting for that kept an entry from asking peers that had the topic.
 
 Entries are asked first, since they follow every topic; one other process is asked in addition
 while the store does not answer any entry either. A process that only lists a topic on demand
 does not ask peers for it, and lists it when it is asked. Nothing is pushed, so there is no traffic
-between peers while the store answers everyone.
+between peers while the store answers every process.
 """
 
 import logging
@@ -39,7 +39,7 @@
 
 ASK_INTERVAL_SECONDS: Final = 0.3
 # Entries asked for their revision per round. In the worst outage observed three of four entries
-# knew nothing; three rounds out of four then reach the one that does.
+# had no listing; three rounds out of four then reach the one that does.
 ENTRIES_ASKED: Final = 3
 # Another process is asked in addition once no peer has had fresh facts for FALLBACK_DELAY_SECONDS.
 # It stays the same one for FALLBACK_PEER_SECONDS, since a process that lists the topic on demand
--- a/libs/fleet/src/headcross_fleet/documents.py
+++ b/libs/fleet/src/headcross_fleet/documents.py
@@ -117,7 +117,7 @@
         self.contact_at = monotonic()
         held = self._held[key]
         if held.rejection and held.accepted_revision < revision < held.revision:
-            return self._take_last_good(held, revision, body)
+            return self._take_last_valid(held, revision, body)
         if revision < held.revision:
             self.counts["old"] += 1
             reason = f"{REVISION_OLD.code}: {revision} offered, {held.revision} held"
@@ -151,7 +151,7 @@
             return
         held.fresh_at = max(held.fresh_at, monotonic() - age)
 
-    def _take_last_good(self, held: HeldDocument, revision: int, body: bytes) -> bool:
+    def _take_last_valid(self, held: HeldDocument, revision: int, body: bytes) -> bool:
         """Put a document older than a rejected one in force; return whether it is valid."""
         if self._put_in_force(held, revision, body) is not None:
             return False
--- a/libs/fleet/src/headcross_fleet/following.py
+++ b/libs/fleet/src/headcross_fleet/following.py
@@ -10,8 +10,8 @@
 * fallback: when the document has not been confirmed as fresh for too long, read the service, with
   jitter and backoff.
 
-A change reaches everyone within `FRESH_SECONDS` + jitter + a read even if every notice is lost and
-all readers are dead; while they are alive it takes a few message delays.
+A change reaches every process within `FRESH_SECONDS` + jitter + a read even if every notice is
+lost and all readers have failed; otherwise it takes a few message delays.
 """
 
 import random
@@ -38,7 +38,7 @@
 # An improvement of freshness by less than this causes no notice.
 MIN_NOTICE_GAIN_SECONDS: Final = 1.0
 # A process reads the service itself if its document is older than this. With a jitter of 1 s and a
-# read of at most 2 s, that is just within the 8 s allowed for a change to reach everyone.
+# read of at most 2 s, that is just within the 8 s allowed for a change to reach every process.
 FRESH_SECONDS: Final = 5.0
 READ_JITTER_SECONDS: Final = 1.0
 # Maximum backoff between these reads while the service is down.
@@ -156,8 +156,8 @@
             return
         if held.accepted_revision not in (NO_REVISION, held.revision):
             # The newest revision was rejected; a starting process also needs the last valid one.
-            last_good = held.accepted_revision, held.accepted_digest, held.age()
-            reply(Document(key, *last_good, held.accepted_body), None)
+            last_valid = held.accepted_revision, held.accepted_digest, held.age()
+            reply(Document(key, *last_valid, held.accepted_body), None)
         reply(Document(key, held.revision, held.digest, held.age(), held.body), None)
 
     def _make_notice(self, key: str) -> DocumentNotice:
--- a/libs/fleet/src/headcross_fleet/upstreamgate.py
+++ b/libs/fleet/src/headcross_fleet/upstreamgate.py
@@ -1,4 +1,4 @@
-"""Admits requests to one upstream only while the rollout lets it serve.
+"""Admits requests to one upstream only while the rollout permits it to serve.
 
 The rollout opens the gate when the upstream serves a complete, verified version, and closes it
 when the upstream leaves; requests are counted until they end. Closing takes effect at once, even
--- a/libs/ports/src/headcross_ports/requests.py
+++ b/libs/ports/src/headcross_ports/requests.py
@@ -56,7 +56,7 @@
     # Requests per second that it accepts from all entries together; None if it names no limit.
     limit: float | Unreadable | None = None
     leaving: bool | Unreadable = False  # it accepts no new requests
-    # How long it asks this process to send no requests; None if it asks for no rest.
+    # Time for which this process is to send it no requests (a rest); None if it asks for none.
     rest_seconds: float | Unreadable | None = None
 
 
--- a/libs/rollout/src/headcross_rollout/runner.py
+++ b/libs/rollout/src/headcross_rollout/runner.py
@@ -2,7 +2,7 @@
 
 The steps are: find the target, stage its weights while the old version still serves, wait for
 permission to stop serving, drain, send the order, check what the engine reports, serve. Each step
-reads the documents anew, so a newer fleet file cancels a transfer at once and redirects an
+re-reads the documents in force, so a newer fleet file cancels a transfer at once and redirects an
 upstream that waits. Without current documents an upstream keeps the weights that it has and
 continues to serve.
 
--- a/libs/rollout/src/headcross_rollout/turns.py
+++ b/libs/rollout/src/headcross_rollout/turns.py
@@ -103,7 +103,7 @@
 def _needs_no_turn(
     row: PoolRow | None, pool: Pool, digest: str, revisions: DocumentRevisions
 ) -> bool:
-    """Return whether an upstream no longer holds back those ranked after it."""
+    """Return whether those ranked after an upstream need not wait for it."""
     if row is None:
         return False
     if _is_replaceable(row, pool):
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -2,7 +2,7 @@
 
 An attempt connects to the upstream's daemon, sends the request with the headers that the daemon
 needs, and relays the answer or reads the daemon's refusal. A failure on the way is classified by
-how far the request had got; for a request that must not be repeated, the daemon itself is asked.
+how much had been sent; for a request that must not be repeated, the daemon itself is asked.
 """
 
 from collections.abc import Awaitable, Callable
--- a/libs/routing/src/headcross_routing/teams.py
+++ b/libs/routing/src/headcross_routing/teams.py
@@ -16,7 +16,7 @@
 from headcross_base.verdicts import NotRun
 from headcross_fleet.fleetfile import Team
 
-# The load balancer is never quite even; an entry admits up to its even share times this.
+# The load balancer never spreads requests quite evenly; an entry admits its share times this.
 SHARE_FACTOR: Final = 1.25
 IN_FLIGHT_RETRY_SECONDS: Final = 1.0
 
--- a/libs/weights/src/headcross_weights/pace.py
+++ b/libs/weights/src/headcross_weights/pace.py
@@ -50,7 +50,7 @@
     total_imports: int = 64
     # Maximum number of chunks in flight from all neighbours together.
     requests_in_flight: int = 12
-    # A request that takes longer is late; several late ones at once hold back further requests.
+    # A request that takes longer is late; several late ones at once suspend further requests.
     slow_request_seconds: float = float("inf")
     # Maximum size of the parts in which a chunk is sent.
     part_bytes: int = 8 * MIB
--- a/libs/weights/src/headcross_weights/transfer.py
+++ b/libs/weights/src/headcross_weights/transfer.py
@@ -77,7 +77,7 @@
     store: ChunkStore
     importer: Importer
     downlink: LinkRate
-    # Sends a message to a host by name and opens the link if needed; returns whether it was taken.
+    # Sends a message to a host by name, opening the link if needed; returns whether it was queued.
     send_to: SendToHost
     # Closes the link to a host by name; the next message opens a new one.
     reset_link: Callable[[str], None]
--- a/libs/wire/src/headcross_wire/httpclient.py
+++ b/libs/wire/src/headcross_wire/httpclient.py
@@ -1,4 +1,4 @@
-"""An HTTP/1.1 client (h11 over trio) in steps, so that the caller knows how far a request got.
+"""An HTTP/1.1 client (h11 over trio) in steps, which show how much of a request was sent.
 
 The steps decide the verdict on a request: if `connect` fails, nothing was sent; from the first
 byte that `send` writes, the request may run. The body of an `Answer` is then read in pieces.
--- a/libs/wire/src/headcross_wire/peermessages.py
+++ b/libs/wire/src/headcross_wire/peermessages.py
@@ -198,7 +198,7 @@
     """Answers `AskRevision`."""
 
     topic: str
-    revision: int  # -1 if the sender knows nothing of the topic
+    revision: int  # -1 if the sender has no listing of the topic
     age: float  # seconds since the sender knew this to be the newest state
 
 
