--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -1,4 +1,4 @@
-"""What a soak does to processes by signals: kills, stops, pauses, and starts again."""
+"""Kills, stops, pauses, reloads and restarts the processes of a soak."""
 
 import signal
 from dataclasses import dataclass, field
@@ -11,14 +11,14 @@
 from bench.soak.site import Site
 
 POLL_SECONDS: Final = 0.02
-# A process that has not ended so long after its stop signal is a finding. The margin is for what a
-# busy machine may keep it waiting, and for a pause that comes on top.
+# A process still running this long after its stop signal is a finding. The margin allows for a
+# busy machine and for a pause during the stop.
 STOP_LIMIT_SECONDS: Final = STOP_SECONDS + 10.0
 
 
 @dataclass(frozen=True, slots=True)
 class ProcessFinding:
-    """A process that ended, or did not end, as it should not."""
+    """A process that ended unexpectedly, or did not end as it should."""
 
     process: str
     at: float
@@ -27,30 +27,30 @@
 
 @dataclass
 class Processes:
-    """The processes of a site. Only one signal that ends a process is under way for each."""
+    """The processes of a site; each has at most one kill or stop in progress."""
 
     site: Site
     findings: list[ProcessFinding] = field(default_factory=list)
     _ending: set[str] = field(default_factory=set)
 
     async def kill(self, name: str, away_seconds: float) -> None:
-        """Kill a process, and start it again after a while."""
+        """Kill a process and restart it after `away_seconds`."""
         if not self._claim(name):
             return
-        disturbance = self.site.disturb("kill", self.site.machines_at(name))
+        disturbance = self.site.begin_disturbance("kill", self.site.machines_at(name))
         self.site.machines.signal(name, signal.SIGKILL)
         await self._wait_exit(name)
         await self._start_again(name, away_seconds)
         disturbance.ended_at = trio.current_time()
 
     async def stop(self, name: str, away_seconds: float) -> None:
-        """Stop a process as planned, and start it again after a while."""
+        """Stop a process by SIGTERM and restart it after `away_seconds`."""
         if not self._claim(name):
             return
         if name.startswith("entry"):
             await self._stop_entry(name, away_seconds)
         else:
-            disturbance = self.site.disturb("daemon stop", self.site.machines_at(name))
+            disturbance = self.site.begin_disturbance("daemon stop", self.site.machines_at(name))
             self.site.machines.signal(name, signal.SIGTERM)
             await self._wait_stopped(name)
             await self._start_again(name, away_seconds)
@@ -66,11 +66,11 @@
         stop.restarted_at = trio.current_time()
 
     async def pause(self, name: str, seconds: float) -> None:
-        """Pause a process for a while."""
+        """Pause a process by SIGSTOP for some seconds."""
         process = self.site.machines.machines[name].process
         if process is None or process.poll() is not None:
             return
-        disturbance = self.site.disturb("pause", self.site.machines_at(name))
+        disturbance = self.site.begin_disturbance("pause", self.site.machines_at(name))
         process.send_signal(signal.SIGSTOP)
         await trio.sleep(seconds)
         if process.poll() is None:
@@ -78,7 +78,7 @@
         disturbance.ended_at = trio.current_time()
 
     def reload(self, name: str, memory_mb: float) -> None:
-        """Change a process's settings file and tell it."""
+        """Change the memory limit in a process's settings file and send SIGHUP."""
         path = self.site.machines.directory / f"{name}.toml"
         lines = path.read_text().splitlines()
         changed = [
@@ -90,7 +90,7 @@
             process.send_signal(signal.SIGHUP)
 
     async def watch(self) -> None:
-        """Start again what ends by itself, and note it."""
+        """Restart processes that exit unexpectedly, and record each exit as a finding."""
         async with trio.open_nursery() as nursery:
             while True:
                 for name, machine in list(self.site.machines.machines.items()):
@@ -98,12 +98,12 @@
                     if name in self._ending or process is None or process.poll() is None:
                         continue
                     self._ending.add(name)
-                    self._find(name, f"ended by itself with code {process.returncode}")
-                    nursery.start_soon(self._revive, name)
+                    self._add_finding(name, f"ended by itself with code {process.returncode}")
+                    nursery.start_soon(self._restart, name)
                 await trio.sleep(POLL_SECONDS)
 
-    async def _revive(self, name: str) -> None:
-        disturbance = self.site.disturb("own end", self.site.machines_at(name))
+    async def _restart(self, name: str) -> None:
+        disturbance = self.site.begin_disturbance("own end", self.site.machines_at(name))
         self.site.note_exit(name)
         await self._start_again(name, 0.0)
         disturbance.ended_at = trio.current_time()
@@ -119,7 +119,7 @@
         await trio.sleep(away_seconds)
         await self.site.start_process(name)
         self._ending.discard(name)
-        await self.site.wait_up(name)
+        await self.site.wait_until_up(name)
 
     async def _wait_stopped(self, name: str) -> None:
         with trio.move_on_after(STOP_LIMIT_SECONDS) as limit:
@@ -127,11 +127,11 @@
         process = self.site.machines.machines[name].process
         assert process is not None
         if limit.cancelled_caught:
-            self._find(name, f"still runs {STOP_LIMIT_SECONDS} s after its stop signal")
+            self._add_finding(name, f"still runs {STOP_LIMIT_SECONDS} s after its stop signal")
             process.kill()
             await self._wait_exit(name)
         elif process.returncode:
-            self._find(name, f"ended a planned stop with code {process.returncode}")
+            self._add_finding(name, f"ended a planned stop with code {process.returncode}")
 
     async def _wait_exit(self, name: str) -> None:
         process = self.site.machines.machines[name].process
@@ -140,6 +140,6 @@
             await trio.sleep(POLL_SECONDS)
         self.site.note_exit(name)
 
-    def _find(self, name: str, detail: str) -> None:
+    def _add_finding(self, name: str, detail: str) -> None:
         self.findings.append(ProcessFinding(name, trio.current_time(), detail))
-        self.site.tell(f"FINDING {name} {detail}")
+        self.site.print_progress(f"FINDING {name} {detail}")
--- a/libs/cli/src/headcross_cli/planning.py
+++ b/libs/cli/src/headcross_cli/planning.py
@@ -1,7 +1,7 @@
-"""What a fleet file would change, worked out from the documents in force.
+"""Computes what a fleet file would change, compared with the documents in force.
 
-The placement is the same pure function that the daemons use, so the plan names the very upstreams
-that would move.
+The placement is computed by the same pure function that the daemons use, so the plan names exactly
+the upstreams that would be reassigned.
 """
 
 from collections.abc import Iterator, Mapping
@@ -13,7 +13,7 @@
 
 
 class Change(msgspec.Struct, frozen=True):
-    """One line of a plan."""
+    """One change in a plan."""
 
     kind: str  # pool-added, pool-removed, version, upstream-joins, upstream-leaves, ...
     subject: str
@@ -21,7 +21,7 @@
 
 
 def plan_changes(old: FleetFile, new: FleetFile, hosts: HostList) -> list[Change]:
-    """Return what would change, pools first, then upstreams, then the rest."""
+    """Return the changes: pools first, then upstreams, then teams, services and routes."""
     before, after = compute_placement(old, hosts), compute_placement(new, hosts)
     changes = list(_pool_changes(old, new, after))
     changes += _upstream_changes(before, after)
@@ -40,25 +40,27 @@
         found = len(after.pools[name].assigned)
         if found < pool.replicas:
             yield Change("pool-short", name, f"{found} hosts for {pool.replicas} replicas")
-        was = old.pools.get(name)
-        if was is None:
+        previous = old.pools.get(name)
+        if previous is None:
             yield Change("pool-added", name, f"{pool.replicas} replicas of {pool.model}")
-        elif pool_artifacts(old, was) != pool_artifacts(new, pool):
-            text = f"{was.model} {was.version} becomes {pool.model} {pool.version}"
+        elif pool_artifacts(old, previous) != pool_artifacts(new, pool):
+            text = f"{previous.model} {previous.version} becomes {pool.model} {pool.version}"
             yield Change("version", name, f"{text}, {pool.max_unavailable} at a time")
-        elif was != pool:
+        elif previous != pool:
             yield Change("pool-changed", name, "replicas, zones or rules")
 
 
 def _upstream_changes(before: Placement, after: Placement) -> Iterator[Change]:
     for upstream in sorted(before.pool_by_upstream.keys() | after.pool_by_upstream.keys()):
-        was, becomes = before.pool_by_upstream.get(upstream), after.pool_by_upstream.get(upstream)
-        if was == becomes:
+        old_pool, new_pool = before.pool_by_upstream.get(upstream), after.pool_by_upstream.get(
+            upstream
+        )
+        if old_pool == new_pool:
             continue
-        if was is not None:
-            yield Change("upstream-leaves", upstream, was)
-        if becomes is not None:
-            yield Change("upstream-joins", upstream, becomes)
+        if old_pool is not None:
+            yield Change("upstream-leaves", upstream, old_pool)
+        if new_pool is not None:
+            yield Change("upstream-joins", upstream, new_pool)
 
 
 def _table_changes(
--- a/libs/daemon/src/headcross_daemon/machinecommon.py
+++ b/libs/daemon/src/headcross_daemon/machineprocess.py
@@ -1,4 +1,4 @@
-"""What both roles on the machines share: facts, peers, metrics, settings that change."""
+"""Holds the parts that both roles on the machines share: facts, peers, metrics and settings."""
 
 import logging
 from collections.abc import Callable
@@ -11,7 +11,7 @@
 from headcross_base.clocks import PauseWatch
 from headcross_base.errors import Failure
 from headcross_facts.facts import Facts
-from headcross_facts.following import Follower, FollowingPace
+from headcross_facts.following import Follower, PollingSettings
 from headcross_facts.peerfacts import PeerFacts
 from headcross_ports.adapter import Adapter
 from headcross_ports.published import Topic
@@ -22,19 +22,23 @@
     KnownRevision,
     TopicFacts,
 )
-from headcross_wire.peernode import Handler, Incoming, PeerNode
+from headcross_wire.peernode import Handler, IncomingMessage, PeerNode
 
 from headcross_daemon.machinesettings import MachineSettings, read_machine_settings
 from headcross_daemon.metrics import MetricsPage, Samples, sample
 
 SETTINGS_CHECK_SECONDS: Final = 1.0
-MAX_ADMIN_BODY: Final = 1024
+MAX_ADMIN_BODY_BYTES: Final = 1024
 
 logger = logging.getLogger(__name__)
 
 
 class MachineProcess:
-    """The common parts of one process."""
+    """The parts of one process that do not depend on its role.
+
+    `peers` returns the peers that are asked for facts, `entries` the entries learned from peers.
+    `handle_other` receives the messages that the common parts do not handle.
+    """
 
     settings: MachineSettings
     facts: Facts
@@ -49,14 +53,14 @@
         path: Path,
         adapter: Adapter,
         peers: Callable[[], list[Address]],
-        handle_rest: Handler,
-        pace: FollowingPace,
+        handle_other: Handler,
+        polling: PollingSettings,
         entries: Callable[[], list[Address]] = list,
     ) -> None:
         self.settings = settings
         self.facts = Facts(adapter.store)
         self.pauses = PauseWatch(limit_seconds=0.8)
-        self.follower = Follower(adapter.store, self.facts, self.pauses, pace)
+        self.follower = Follower(adapter.store, self.facts, self.pauses, polling)
         self.node = PeerNode(parse_address(settings.listen.peers), self._handle)
         self.peer_facts = PeerFacts(
             self.facts, self.follower, self.node, self._known_peers, self.known_entries
@@ -65,11 +69,11 @@
         self._adapter = adapter
         self._peers = peers
         self._entries = entries
-        self._handle_rest = handle_rest
-        self._stamp = _stamp(path)
+        self._handle_other = handle_other
+        self._file_signature = _file_signature(path)
 
     async def run(self) -> None:
-        """Follow the platform and speak to peers until cancelled."""
+        """Follow the platform's store and exchange messages with peers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.node.run)
             await trio.lowlevel.checkpoint()
@@ -77,15 +81,15 @@
             nursery.start_soon(self.peer_facts.run)
             nursery.start_soon(self._watch_settings)
 
-    async def on_change(self, act: Callable[[], None]) -> None:
-        """Call `act` now and whenever a fact changes."""
+    async def on_change(self, callback: Callable[[], None]) -> None:
+        """Call `callback` now and whenever a fact changes."""
         while True:
-            act()
+            callback()
             await self.facts.wait_change()
 
     def reload(self, why: str) -> None:
-        """Read the settings file again; settings that are not valid change nothing."""
-        self._stamp = _stamp(self._path)
+        """Read the settings file again; invalid settings are logged and change nothing."""
+        self._file_signature = _file_signature(self._path)
         outcome = read_machine_settings(self._path)
         if isinstance(outcome, Failure):
             logger.error("settings rejected", extra={"why": why, "reason": outcome.detail})
@@ -138,7 +142,7 @@
         return samples
 
     def known_entries(self) -> list[Address]:
-        """Return the other entries: those heard of, and those that the settings name."""
+        """Return the other entries: those learned from peers and those named in the settings."""
         own = parse_address(self.settings.listen.peers)
         found = {*self._entries(), *self.settings.seed_addresses}
         return [address for address in found if address != own]
@@ -147,28 +151,28 @@
         own = parse_address(self.settings.listen.peers)
         return [address for address in self._peers() if address != own] + self.known_entries()
 
-    def _handle(self, incoming: Incoming) -> None:
+    def _handle(self, incoming: IncomingMessage) -> None:
         match incoming.message:
             case AskRevision() as asked:
-                self.peer_facts.tell_revision(asked, incoming.reply)
+                self.peer_facts.answer_revision(asked, incoming.reply)
             case KnownRevision() as known:
-                self.peer_facts.hear_revision(known, incoming.reply)
+                self.peer_facts.receive_revision(known, incoming.reply)
             case AskFacts() as question:
                 self.peer_facts.answer(question, incoming.reply)
             case TopicFacts() as facts:
                 self.peer_facts.receive(facts, "peer")
             case _:
-                self._handle_rest(incoming)
+                self._handle_other(incoming)
 
     async def _watch_settings(self) -> None:
         while True:
             await trio.sleep(SETTINGS_CHECK_SECONDS)
-            if _stamp(self._path) != self._stamp:
+            if _file_signature(self._path) != self._file_signature:
                 self.reload("file changed")
 
 
 class AdminPages:
-    """Metrics and the state dump, for operators."""
+    """Serves metrics and the state dump to operators."""
 
     def __init__(
         self, dump: Callable[[], dict[str, object]], samples: Callable[[], Samples]
@@ -188,16 +192,16 @@
                 await exchange.respond_json(404, {"error": "no such page"})
 
     async def serve(self, nursery: trio.Nursery, address: str) -> None:
-        """Listen in the background, if there is an address to listen on."""
+        """Listen in the background; does nothing if `address` is empty."""
         if not address:
             return
-        server = HttpServer(self.handle, ServerLimits(max_body_bytes=MAX_ADMIN_BODY))
+        server = HttpServer(self.handle, ServerLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES))
         listeners, _ = await server.listen(parse_address(address))
         nursery.start_soon(server.serve, listeners)
 
 
-def _stamp(path: Path) -> tuple[int, int]:
-    """Return what changes when a file does."""
+def _file_signature(path: Path) -> tuple[int, int]:
+    """Return modification time (ns) and size of a file, zeros if it cannot be read."""
     try:
         status = path.stat()
     except OSError:
--- a/libs/daemon/src/headcross_daemon/weightsserver.py
+++ b/libs/daemon/src/headcross_daemon/weightsserver.py
@@ -1,8 +1,8 @@
-"""Weights for the engines beside this daemon, over loopback.
+"""Serves weights to the engines beside this daemon, over loopback.
 
 An engine that was ordered to load an artifact fetches the manifest and then each chunk by its
-digest; it verifies both itself and reports the digest of what it loaded. Only whole artifacts are
-offered.
+digest. It verifies both itself and reports the digest of what it loaded. Only complete artifacts
+are served.
 """
 
 from typing import Final
@@ -14,7 +14,7 @@
 
 
 class WeightsServer:
-    """Handles requests of engines."""
+    """Handles requests of engines for manifests and chunks."""
 
     def __init__(self, store: ChunkStore) -> None:
         self._store = store
@@ -32,7 +32,7 @@
         if not path.startswith(PREFIX) or len(parts) < 2:
             return None
         stored: StoredArtifact | None = self._store.get(parts[0])
-        if stored is None or not stored.whole:
+        if stored is None or not stored.is_complete:
             return None
         match parts[1:]:
             case ["manifest.json"]:
--- a/libs/gateway/src/headcross_gateway/linkproofs.py
+++ b/libs/gateway/src/headcross_gateway/linkproofs.py
@@ -47,7 +47,7 @@
         self._target = dialect.immediate_target()
 
     def is_needed(self, model: str | None, replica_state: ReplicaState) -> bool:
-        """Tell whether a request that its link delays could begin on weights past their bound."""
+        """Return whether a request delayed by its link could begin on weights past their bound."""
         version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
             return False
@@ -68,10 +68,6 @@
             detail = f"the link did not show within {PROOF_SECONDS} s that it delivers"
             raise LinkUnprovenError(detail, silent=True) from None
         except LinkLostError as error:
-            raise LinkUnprovenError(
-                f"connection lost before its proof: {error}", silent=False
-            ) from None
+            raise LinkUnprovenError(f"lost before its proof: {error}", silent=False) from None
         if not connection.reusable():
-            raise LinkUnprovenError(
-                "the replica closed the connection with its answer to the proof", silent=False
-            )
+            raise LinkUnprovenError("closed by the replica with its proof", silent=False)
--- a/libs/native/src/headcross_native/__init__.py
+++ b/libs/native/src/headcross_native/__init__.py
@@ -1,1 +1,1 @@
-"""Adapters to the platform. Every guess about an outside protocol lives here and nowhere else."""
+"""Adapters to the platform; the only library that depends on its protocols."""
--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -43,15 +43,15 @@
         facts: Facts,
         replica: ReplicaControl,
         reporter: Reporter,
-        fetching: Fetcher,
-        book: DigestRegistry,
+        fetcher: Fetcher,
+        digests: DigestRegistry,
         in_doubt: InDoubtCalls,
     ) -> None:
         self._facts = facts
         self._replica = replica
         self._reporter = reporter
-        self._fetching = fetching
-        self._book = book
+        self._fetcher = fetcher
+        self._digests = digests
         self._in_doubt = in_doubt
         self._first_report: ReplicaReport | None = None
 
@@ -137,18 +137,18 @@
 
     async def _adopt(self, goal: LoadedModel, copy: StagedCopy) -> int:
         """Adopt the staged chunks of a version; return how many were staged."""
-        digests = await self._book.obtain(goal)
+        digests = await self._digests.obtain(goal)
         if not copy.matching_chunks(digests.digests):
             if len(copy.indexes) < len(digests.digests):
                 self._in_doubt.rule_out_earlier_order()
             return 0
-        stored = await self._fetching.admit_secondary(goal)
+        stored = await self._fetcher.admit_secondary(goal)
         return self._staging(goal).take(stored, copy) if stored is not None else 0
 
     async def _admit(self, goal: LoadedModel) -> StoredArtifact | None:
         """Return the storage for a version, None without its digests or room for it."""
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
-            return await self._fetching.admit_secondary(goal)
+            return await self._fetcher.admit_secondary(goal)
         return None
 
     async def _keep_whole(self, goal: LoadedModel, stored: StoredArtifact) -> None:
@@ -159,7 +159,7 @@
             self._in_doubt.reserve_staging(goal)
             try:
                 while self._earlier_order_possible():
-                    could_put_all = stored.whole
+                    could_put_all = stored.is_complete
                     await self._staging(goal).verify(stored)
                     if could_put_all:
                         await trio.sleep(CHECK_INTERVAL_SECONDS)
@@ -172,8 +172,8 @@
 
     async def _fetch(self, goal: LoadedModel, stored: StoredArtifact, fetched: trio.Event) -> None:
         """Fetch the missing chunks of a version; set `fetched` once all are stored."""
-        while not stored.whole:
-            if not await self._fetching.fetch(goal, stored):
+        while not stored.is_complete:
+            if not await self._fetcher.fetch(goal, stored):
                 await trio.sleep(RETRY_SECONDS)
         fetched.set()
 
--- a/libs/rollout/src/headcross_rollout/turnresponder.py
+++ b/libs/rollout/src/headcross_rollout/turnresponder.py
@@ -5,7 +5,7 @@
 compute the same placement. It keeps no state about its answers.
 """
 
-from headcross_fleet.documents import Documents, Versions
+from headcross_fleet.documents import DocumentRevisions, Documents
 from headcross_fleet.fleetfile import Pool
 from headcross_fleet.membership import StatusTable
 from headcross_wire.peermessages import AskTurn, TurnAnswer
@@ -29,9 +29,9 @@
         return TurnAnswer(question.question, turn.now, turn.reason, turn.before)
 
     def _decide(self, question: AskTurn) -> Turn:
-        view = Versions(question.revision, question.hosts_revision)
+        revisions = DocumentRevisions(question.revision, question.hosts_revision)
         pool = self._targets.pool(question.pool)
-        if view != self._documents.versions or pool is None:
+        if revisions != self._documents.revisions or pool is None:
             return Turn(False, "the entry has other documents in force")
         placement = self._targets.placement.pools[question.pool]
         rows = self._statuses.pool_rows(question.pool)
@@ -39,9 +39,9 @@
         match question.kind:
             case "swap":
                 order = _rank_order_with(upstream, placement)
-                return may_swap(upstream, pool, order, rows, question.digest, view)
+                return may_swap(upstream, pool, order, rows, question.digest, revisions)
             case "leave":
-                return may_leave(upstream, pool, placement.assigned, rows, view)
+                return may_leave(upstream, pool, placement.assigned, rows, revisions)
             case "stand-in":
                 return self._decide_stand_in(upstream, pool, placement)
 
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -2,7 +2,7 @@
 
 An attempt connects to the upstream's daemon, sends the request with the headers that the daemon
 needs, and relays the answer or reads the daemon's refusal. A failure on the way is classified by
-how far the request had got; for a request that must not be repeated, the daemon itself is asked.
+how much had been sent; for a request that must not be repeated, the daemon itself is asked.
 """
 
 from collections.abc import Awaitable, Callable
@@ -44,7 +44,7 @@
     call,
 )
 from headcross_wire.httpserver import Headers
-from headcross_wire.replies import MAX_ERROR_BYTES, read_refusal
+from headcross_wire.replies import MAX_ERROR_BYTES, parse_refusal
 
 from headcross_routing.answerrelay import AnswerRelay
 from headcross_routing.ledger import REVOCATIONS_PATH
@@ -141,7 +141,7 @@
             body = await _read_error_body(connection)
             if verdict is None:
                 return MayHaveRun(UPSTREAM_ERROR, f"status {answer.status} without a verdict")
-            return read_refusal(verdict, answer.header("retry-after"), body)
+            return parse_refusal(verdict, answer.header("retry-after"), body)
         await relay.begin(answer)
         while (
             piece := await self._receive_unless_silent(candidate, connection.receive_piece)
@@ -231,5 +231,5 @@
     while (piece := await connection.receive_piece()) is not None:
         body += piece
         if len(body) > MAX_ERROR_BYTES:
-            raise LinkLostError("the error body is too long")
+            raise LinkLostError("an error that is too long")
     return bytes(body)
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -1,7 +1,7 @@
-"""The demo: six upstreams in three zones move from v1 to v2 while callers go on asking.
+"""Demo: six upstreams in three zones move from v1 to v2 under load.
 
-Ends with one JSON line on standard output; the exit code is 0 only if all replicas serve v2 and no
-answer was lost, doubled or mixed.
+It prints one JSON line to standard output and exits with 0 only if all replicas serve v2 and no
+request was lost, run twice or answered from mixed weights.
 """
 
 import json
@@ -21,7 +21,7 @@
 WEIGHTS_BYTES = 64 * MIB
 CHUNK_BYTES = MIB // 4
 REPLICAS = 6
-# In the burst window the origin's link carries four copies, a host's about two (brief).
+# Within the burst window the origin's link carries four copies of the weights, a host's two.
 WINDOW_SECONDS = 16.0
 HOST_RATE = 2 * WEIGHTS_BYTES / WINDOW_SECONDS
 ORIGIN_RATE = 4 * WEIGHTS_BYTES / WINDOW_SECONDS
@@ -52,8 +52,8 @@
 """
 
 
-class Trickle:
-    """Callers that ask at a steady rate and check every answer."""
+class LoadGenerator:
+    """Sends requests at a constant rate and checks every answer."""
 
     def __init__(self, fleet: Fleet, digests: list[str]) -> None:
         self.fleet = fleet
@@ -66,7 +66,7 @@
         self.stopped = False
 
     async def run(self) -> None:
-        """Ask until stopped; every request is one that must not be repeated."""
+        """Send requests, none of them repeatable, until `stopped` is set."""
         async with trio.open_nursery() as nursery:
             while not self.stopped:
                 nursery.start_soon(self._ask)
@@ -87,15 +87,15 @@
             self.served_by[digest[:8]] += 1
 
     def doubled(self) -> int:
-        """Return how many prompts more than one engine run served."""
+        """Return how many prompts were run more than once."""
         runs = Counter(
             run.prompt for engine in self.fleet.engines().values() for run in engine.runs
         )
         return sum(count > 1 for count in runs.values())
 
 
-def say(text: str) -> None:
-    """Tell a person how far it is."""
+def print_progress(text: str) -> None:
+    """Print a progress message to standard error."""
     print(text, file=sys.stderr, flush=True)
 
 
@@ -113,37 +113,39 @@
         fleet.publish_fleet(FLEET_FILE.format(v1=v1, v2=v2, version="v1"))
         for name in fleet.nodes:
             fleet.start(name)
-        say(f"started {len(specs)} daemons; filling the fleet with v1")
+        print_progress(f"started {len(specs)} daemons; filling the fleet with v1")
         first = time.monotonic()
         await fleet.wait_serving(v1, REPLICAS)
-        say(f"all serve v1 after {time.monotonic() - first:.1f} s; now v2 under requests")
-        trickle = Trickle(fleet, [v1, v2])
+        print_progress(
+            f"all serve v1 after {time.monotonic() - first:.1f} s; now v2 under requests"
+        )
+        load_generator = LoadGenerator(fleet, [v1, v2])
         sent_before = fleet.origin.sent_bytes
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trickle.run)
+            nursery.start_soon(load_generator.run)
             await trio.sleep(1)
             fleet.publish_fleet(FLEET_FILE.format(v1=v1, v2=v2, version="v2"))
             published = time.monotonic()
             await fleet.wait_serving(v2, REPLICAS)
             time_to_n = time.monotonic() - published
             await trio.sleep(1)
-            trickle.stopped = True
+            load_generator.stopped = True
         serving = sum(
             [w.digest for w in engine.loaded] == [v2] for engine in fleet.engines().values()
         )
-        for line in trickle.lost[:5]:
-            say(f"lost: {line}")
+        for line in load_generator.lost[:5]:
+            print_progress(f"lost: {line}")
         return {
             "replicas": REPLICAS,
             "serving": serving,
             "time_to_n_seconds": round(time_to_n, 2),
             "floor_seconds": WEIGHTS_BYTES / HOST_RATE,
             "origin_copies": round((fleet.origin.sent_bytes - sent_before) / WEIGHTS_BYTES, 3),
-            "requests": trickle.requests,
-            "lost": len(trickle.lost),
-            "doubled": trickle.doubled(),
-            "mixed": trickle.mixed,
-            "served_by": dict(trickle.served_by),
+            "requests": load_generator.requests,
+            "lost": len(load_generator.lost),
+            "doubled": load_generator.doubled(),
+            "mixed": load_generator.mixed,
+            "served_by": dict(load_generator.served_by),
         }
 
 
--- a/testing/machinedemo.py
+++ b/testing/machinedemo.py
@@ -1,8 +1,8 @@
-"""The demo of the new machines: six replicas in three zones move to new weights under requests.
+"""Demo of the platform gateway: six replicas in three zones load new weights under load.
 
-Real processes with the links of those machines; the platform is stood in for. Ends with one JSON
-line on standard output; the exit code is 0 only if every replica serves the new version and no
-answer was lost, doubled or broken.
+It runs real processes with the link rates of the hosts, and a fake platform. It prints one JSON
+line to standard output and exits with 0 only if every replica serves the new version and no
+request was lost or run twice.
 """
 
 import json
@@ -29,8 +29,8 @@
 LIMIT_SECONDS: Final = 60.0
 
 
-class Trickle:
-    """Callers that ask at a steady rate and come back once when they are told to."""
+class LoadGenerator:
+    """Sends requests at a constant rate; a request refused with 503 is repeated once."""
 
     def __init__(self, site: Machines) -> None:
         self.replies: list[Reply] = []
@@ -39,7 +39,7 @@
         self._site = site
 
     async def run(self) -> None:
-        """Ask until told to stop."""
+        """Send requests until `stopped` is set."""
         entries = [
             name for name, machine in self._site.machines.items() if machine.role == "entry"
         ]
@@ -59,7 +59,7 @@
 
 
 async def run_demo(directory: Path) -> bool:
-    """Run the demo; return whether all went well."""
+    """Run the demo; return whether no request was lost or run twice."""
     async with small_site(
         directory,
         models=REPLICAS,
@@ -79,9 +79,9 @@
         for replica in replicas:
             replica.event_seconds = 0.02
             replica.load_seconds = 0.3
-        trickle = Trickle(site)
+        load_generator = LoadGenerator(site)
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(trickle.run)
+            nursery.start_soon(load_generator.run)
             await trio.sleep(1.0)
             named_at = trio.current_time()
             site.name_version(2)
@@ -92,17 +92,17 @@
                     taken += [trio.current_time() - named_at] * (done - len(taken))
                     await trio.sleep(0.01)
             await trio.sleep(1.0)
-            trickle.stopped = True
-        return report(site, trickle, taken)
+            load_generator.stopped = True
+        return report(site, load_generator, taken)
 
 
-def report(site: Machines, trickle: Trickle, taken: list[float]) -> bool:
-    """Print the figures; return whether nothing went wrong."""
+def report(site: Machines, load_generator: LoadGenerator, taken: list[float]) -> bool:
+    """Print the figures; return whether no request was lost or run twice."""
     runs: Counter[tuple[str, str | None]] = Counter()
     for replica in replicas_of(site, MODEL_SERVICE):
         runs.update((run.id, run.headers.get("last-event-id")) for run in replica.runs)
     doubled = sum(count > 1 for count in runs.values())
-    for lost in trickle.lost:
+    for lost in load_generator.lost:
         print(f"lost: {lost}", file=sys.stderr)
     line = {
         "replicas": len(taken),
@@ -111,12 +111,12 @@
         "last_seconds": round(taken[-1], 1),
         "floor_seconds": round(CHUNKS * CHUNK_BYTES * 8 / (LINK_MBITS * 1e6), 1),
         "origin_copies": round(site.origin.sent_chunks / CHUNKS, 2),
-        "requests": len(trickle.replies),
-        "lost": len(trickle.lost),
+        "requests": len(load_generator.replies),
+        "lost": len(load_generator.lost),
         "doubled": doubled,
     }
     print(json.dumps(line))
-    return not trickle.lost and not doubled
+    return not load_generator.lost and not doubled
 
 
 def main() -> int:
