--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -178,8 +178,8 @@
         Returns None if there is no recent report.
 
         Without subsetting each daemon reports to every entry; otherwise to a share of them. The
-        estimate is the mean over the daemons, rounded up: by the last report alone, 11 entries
-        were estimated as 8 in one second and 12 in the next.
+        estimate is the mean over the daemons, rounded up: the last report alone may give 8 or 12
+        for 11 entries.
         """
         loads = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
         listeners = [load.listeners for load in loads if load is not None]
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -46,32 +46,25 @@
     # Whether retries wait behind first tries of their priority, or are ordered by deadline alone.
     fresh_first: bool = True
     # The refused share of first tries from which on retries get only idle replicas; below it, the
-    # reserved share of slots grows in proportion. Infinite reserves nothing. In a simulated pool
-    # of 6 replicas (a burst of 1.4 times the nominal load for 3 s; 1.0 times all the time; seeds
-    # 31 to 33), 0.2 answers a share of 0.716 and 0.711 of callers within the target time and
-    # refuses 0.246 and 0.231 for good; 1.0 with a wait of 1.5 s answers 0.702 and 0.663 in time
-    # and refuses 0.168 and 0.162 for good; without a reservation 0.606 and 0.609 are answered in
-    # time.
+    # reserved share of slots grows in proportion. Infinite reserves nothing. With a low value such
+    # as 0.2, more callers are refused for good; without a reservation, retries take the slots of
+    # first tries, which are then late.
     full_reservation_share: float = 1.0
     # The fraction of the target time that a first try waits for a slot at most. Under overload
-    # one that waits longer is late or is refused later. In the simulated pool, at 0.8, 1.0 and 1.2
-    # times the nominal load, 0.5 earns 0.787, 0.607 and 0.552 of the possible value, 0.22 earns
-    # 0.848, 0.688 and 0.618, and 0.1 earns 0.850, 0.700 and 0.632; not waiting at all is no
-    # better.
+    # one that waits longer is late or is refused later: with 0.5, about a tenth of the value of
+    # the answers is lost. Not waiting at all is no better.
     wait_part: float = 0.1
     # The same while no replica may serve at all: a replica that loads new weights is available
-    # again shortly. Four replicas that loaded within 0.25 s left 0.09 s without any, and a stream
-    # with a target time of 0.5 s was refused after a tenth of it.
+    # again shortly. When four replicas load within 0.25 s, none of them serves for about 0.09 s,
+    # longer than a tenth of a target time of 0.5 s.
     no_replica_wait_part: float = 0.22
     # How long a retry waits for a slot at most. Its target time has passed, and a slot that no
     # first try needs may become free; but it waits only if most recent retries were served and if
     # its answer can still end before its deadline.
     returning_wait_seconds: float = 1.0
     # The share of the slots that is always reserved for first tries: when slots become free
-    # after a time without any, waiting retries would take all of them at once. In the simulated
-    # pool (a burst, seeds 41 to 44), 0 answers a share of 0.683 within the target time and refuses
-    # 0.198 for good, 0.25 answers 0.744 and refuses 0.134, and 0.5 answers 0.753 and refuses
-    # 0.205.
+    # after a time without any, waiting retries would take all of them at once. With 0.5, half as
+    # many callers again are refused for good in a burst.
     least_reserved_share: float = 0.25
 
 
@@ -100,7 +93,7 @@
         """Count a request that found no free slot.
 
         `for_room` is False if no replica may serve at all. Such a refusal does not count towards
-        the reservation; when it did, retries after an outage were refused for seconds.
+        the reservation: otherwise retries after an outage would be refused for seconds.
         """
         self._all.note_refused(service)
         if returning:
@@ -148,8 +141,8 @@
         """Return the seconds that a retry waits for a slot; its deadline is in `seconds_left`.
 
         It waits no longer than a first try if most retries are refused, since the wait would be in
-        vain: when all retries waited, 398 of 613 were refused after a second under lasting
-        overload, and streams that began too late broke off at their callers' deadlines.
+        vain: under lasting overload most would be refused after it, and streams that begin too
+        late break off at their callers' deadlines.
         """
         wait = self.wait_seconds(aim_seconds, any_serves=any_serves)
         if self._returning.refused_share(service) > MAX_REFUSED_SHARE:
--- a/libs/gateway/src/headcross_gateway/weightsrules.py
+++ b/libs/gateway/src/headcross_gateway/weightsrules.py
@@ -14,7 +14,7 @@
 
 # No requests are sent to older versions within this time before the bound. It covers the delay
 # until this process learns of a version and the time from sending a request to its first token.
-# With 0.9 and 1.1 s, requests began after the bound on 6 of 14 simulated days of a fleet.
+# With 1.1 s, some requests begin after the bound.
 SEND_MARGIN_SECONDS: Final = 1.6
 # Requests that have not begun this long before the bound are withdrawn. The margin covers known
 # delays: news of a version waits up to 0.23 s between two answers of the store, and a request, or
--- a/libs/wire/src/headcross_wire/zmqsocket.py
+++ b/libs/wire/src/headcross_wire/zmqsocket.py
@@ -20,8 +20,7 @@
 HEARTBEAT_TIMEOUT_MS: Final = 12000
 # The receive queue has no limit; peers limit what they send by their own queues, and chunks arrive
 # only on request. With a limit, libzmq 4.3.5 stops polling a connection whose queue is full; if
-# that connection then breaks, the next heartbeat aborts the process by an assertion (`!_io_error`,
-# reproduced in 3 of 3 runs of its test).
+# that connection then breaks, the next heartbeat aborts the process (assertion `!_io_error`).
 UNLIMITED_RECEIVE_QUEUE: Final = 0
 RECONNECT_MS: Final = 100
 RECONNECT_MAX_MS: Final = 2000
