--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -3,9 +3,9 @@
 Guards against answers from weights with a corrupt chunk. A replica may carry out an order seconds
 after it was sent, when a chunk has become corrupt; that cannot be prevented while the replica
 answers nothing or its daemon is dead. A replica does not verify its load, so neither the list nor
-the replica's report shows whether the load was complete. An entry that relied on these versions
-alone, at one request every 0.1 s, sent all but the first few to the bad load until another version
-was loaded.
+the replica's report shows whether the load was complete. An entry that relied on the versions
+they report, at one request every 0.1 s, sent all but the first few to the bad load until another
+version was loaded.
 """
 
 import hashlib
@@ -51,7 +51,7 @@
 
 
 def is_complete(site: Machines, load: tuple[int, list[str]]) -> bool:
-    """Tell whether a load has exactly the chunks of its version."""
+    """Return whether a load has exactly the chunks of its version."""
     version, digests = load
     return digests == [
         hashlib.sha256(chunk).hexdigest() for chunk in site.origin.versions[version]
@@ -148,7 +148,7 @@
         check_answers(site)
 
 
-async def test_a_whole_load_of_an_order_that_was_taken_late_takes_requests(tmp_path: Path) -> None:
+async def test_a_complete_load_of_an_order_accepted_late_takes_requests(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         async with steady_requests(site):
@@ -158,7 +158,7 @@
         check_loads(site)
 
 
-async def test_a_whole_load_takes_requests_after_its_daemon_was_killed(tmp_path: Path) -> None:
+async def test_a_complete_load_takes_requests_after_its_daemon_was_killed(tmp_path: Path) -> None:
     """The daemon confirmed the load before it was killed, which remains valid."""
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
@@ -175,7 +175,9 @@
         check_answers(site)
 
 
-async def test_whole_loads_take_requests_after_all_processes_were_killed(tmp_path: Path) -> None:
+async def test_complete_loads_take_requests_after_all_processes_were_killed(
+    tmp_path: Path,
+) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         await wait_offered(site)
         replicas = replicas_of(site, MODEL_SERVICE)
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(("daemons", "entries"), [(15, 5), (60, 35), (1, 0), (2, 1)])
-async def test_two_daemons_of_a_region_read_digests_and_all_others_learn_them_from_these(
+async def test_two_daemons_of_a_region_read_digests_and_all_others_get_them_from_these(
     autojump_clock: trio.testing.MockClock, daemons: int, entries: int
 ) -> None:
     """If all 54 processes read digests (0.5 MB), new weights begin 0.1 s to 0.9 s late."""
--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -63,10 +63,10 @@
     free = next(iter(directory.states()))
     free.note_signals(BackpressureSignals(), monotonic() + 1)
     for _ in range(free.replica.slots):
-        place = await admission.acquire_slot(
+        acquired = await admission.acquire_slot(
             REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time()
         )
-        assert place is free
+        assert acquired is free
 
 
 async def test_a_request_that_waits_is_placed_when_a_limit_allows_it() -> None:
@@ -105,9 +105,11 @@
     admission, directory = site(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.0), 0.0)
-    place = await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time())
-    assert place is state
-    admission.release_slot(place)
+    acquired = await admission.acquire_slot(
+        REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time()
+    )
+    assert acquired is state
+    admission.release_slot(acquired)
     assert (
         await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time())
         is state
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -81,7 +81,7 @@
     assert (picked is not None) == taken
 
 
-def test_shortly_before_the_bound_nothing_goes_where_requests_were_held_back_lately(
+def test_shortly_before_the_bound_nothing_goes_where_requests_were_recently_delayed(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
     """Guards against a slow link that delivers a request 2 s late, after the bound."""
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -120,7 +120,7 @@
     assert attempts_module.SUCCESS and not isinstance(outcome, Streamed)
 
 
-async def test_a_replica_is_told_the_time_that_is_left_once_its_connection_is_open(
+async def test_a_replica_is_sent_the_time_that_is_left_once_its_connection_is_open(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     """Guards against counting the time when the replica is picked, up to 0.6 s before sending."""
--- a/tests/test_gateway_subsetting.py
+++ b/tests/test_gateway_subsetting.py
@@ -68,7 +68,7 @@
 
 
 @given(st.integers(1, 9), st.integers(1, 60))
-def test_a_subset_does_not_grow_with_the_fleet_and_a_small_fleet_is_known_whole(
+def test_a_subset_does_not_grow_with_the_fleet_and_contains_all_of_a_small_fleet(
     zones: int, in_each: int
 ) -> None:
     replicas = fleet(zones, in_each)
@@ -142,10 +142,10 @@
 @pytest.mark.parametrize(
     ("zones", "in_each", "entries"), [(3, 2, 5), (5, 7, 11), (5, 12, 35), (5, 20, 35)]
 )
-def test_entries_are_counted_though_each_daemon_hears_another_number_of_them(
+def test_entries_are_counted_though_each_daemon_reports_a_different_number(
     zones: int, in_each: int, entries: int
 ) -> None:
-    """Guards against an estimate by the last report alone, as 8 to 15 for 11 entries.
+    """Guards against an estimate from the last report alone, which gave 8 to 15 for 11 entries.
 
     With such an estimate, slow links were mirrored only intermittently.
     """
--- a/tests/test_incarnations_requests.py
+++ b/tests/test_incarnations_requests.py
@@ -52,17 +52,19 @@
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/strict/x"])
-async def test_a_request_that_must_not_repeat_runs_once_where_its_replica_starts_again(
+async def test_a_non_repeatable_request_runs_once_if_its_replica_restarts(
     tmp_path: Path, path: str
 ) -> None:
     async with small_site(tmp_path, models=2, plain=2) as site:
         reply = await ask_while_restarting(site, path)
         assert len(runs_of(site, reply.id)) == 1
-        assert reply.status not in NOT_RUN_STATUSES, "it ran, so nobody may say that it did not"
+        assert (
+            reply.status not in NOT_RUN_STATUSES
+        ), "it ran, so it must not be reported as not run"
 
 
 @pytest.mark.parametrize("path", ["/again/x", "/stream/x"])
-async def test_a_request_that_may_repeat_is_answered_whole_by_another_replica(
+async def test_a_repeatable_request_is_answered_completely_by_another_replica(
     tmp_path: Path, path: str
 ) -> None:
     async with small_site(tmp_path, models=2, plain=2) as site:
@@ -71,7 +73,7 @@
         assert path == "/again/x" or reply.events == [0, 1, 2, 3]
 
 
-async def test_a_replica_that_starts_again_while_its_daemon_is_silent_gets_nothing_until_filled(
+async def test_a_replica_that_restarts_while_its_daemon_is_silent_gets_nothing_until_loaded(
     tmp_path: Path,
 ) -> None:
     """The entry learns of the new incarnation from the list only; the last report is old."""
--- a/tests/test_machine_attempts.py
+++ b/tests/test_machine_attempts.py
@@ -63,14 +63,14 @@
     return replies
 
 
-def is_own_whole_answer(reply: Reply, body: bytes) -> bool:
-    """Tell whether a caller got its own answer, complete and sealed."""
+def is_own_complete_answer(reply: Reply, body: bytes) -> bool:
+    """Return whether a caller got its own answer, complete and sealed."""
     own = reply.headers.get(names.REQUEST_ID) == reply.id
     return reply.status == 200 and reply.whole and reply.sealed and own and reply.body == body
 
 
 @pytest.mark.parametrize("fault", RAN_AND_LOST)
-async def test_what_must_run_once_runs_once_and_is_never_said_not_to_have_run(
+async def test_a_non_repeatable_request_runs_once_and_is_never_reported_as_not_run(
     tmp_path: Path, fault: Fault
 ) -> None:
     async with small_site(tmp_path) as site:
@@ -82,27 +82,29 @@
 
 
 @pytest.mark.parametrize("fault", RAN_AND_LOST)
-async def test_what_may_run_again_is_tried_at_another_replica(
+async def test_a_repeatable_request_is_retried_at_another_replica(
     tmp_path: Path, fault: Fault
 ) -> None:
     async with small_site(tmp_path) as site:
         replicas = replicas_of(site, PLAIN_SERVICE)
         replicas[0].faults.append(fault)
         replies = await ask_until_used(site, replicas[0], "/again/x", b"body!")
-        assert all(is_own_whole_answer(reply, b"body!") for reply in replies), replies
+        assert all(is_own_complete_answer(reply, b"body!") for reply in replies), replies
         assert max(runs_of(replicas).values()) == 2
 
 
-async def test_a_refusal_that_did_not_run_goes_on_elsewhere(tmp_path: Path) -> None:
+async def test_a_request_refused_without_running_is_retried_at_another_replica(
+    tmp_path: Path,
+) -> None:
     async with small_site(tmp_path) as site:
         replicas = replicas_of(site, PLAIN_SERVICE)
         replicas[0].faults.append(Fault.SHED)
         replies = await ask_until_used(site, replicas[0], "/once/x", b"b")
-        assert all(is_own_whole_answer(reply, b"b") for reply in replies)
+        assert all(is_own_complete_answer(reply, b"b") for reply in replies)
         assert max(runs_of(replicas).values()) == 1
 
 
-async def test_a_request_that_every_replica_refused_is_promised_not_to_have_run(
+async def test_a_request_that_every_replica_refused_is_reported_as_not_run(
     tmp_path: Path,
 ) -> None:
     async with small_site(tmp_path) as site:
@@ -115,7 +117,7 @@
         assert not runs_of(replicas)
 
 
-async def test_a_replica_s_own_failure_is_passed_on_with_its_seal(tmp_path: Path) -> None:
+async def test_a_failure_answered_by_a_replica_is_forwarded_with_its_seal(tmp_path: Path) -> None:
     async with small_site(tmp_path) as site:
         all_plain(site, Fault.ERROR)
         once = await ask(site.callers("entry0"), "/once/x")
@@ -127,26 +129,26 @@
         assert (again.status, again.sealed) == (500, True)
 
 
-async def test_an_answer_without_a_length_that_ends_well_is_whole(tmp_path: Path) -> None:
+async def test_an_answer_without_a_length_that_ends_properly_is_complete(tmp_path: Path) -> None:
     async with small_site(tmp_path, plain=1) as site:
         all_plain(site, Fault.UNFRAMED)
         reply = await ask(site.callers("entry0"), "/once/x", b"to the end")
-        assert is_own_whole_answer(reply, b"to the end")
+        assert is_own_complete_answer(reply, b"to the end")
         assert "connection" not in reply.headers
 
 
-async def test_bytes_after_a_whole_answer_never_reach_another_caller(tmp_path: Path) -> None:
+async def test_bytes_after_a_complete_answer_never_reach_another_caller(tmp_path: Path) -> None:
     async with small_site(tmp_path, plain=1) as site:
         replica = replicas_of(site, PLAIN_SERVICE)[0]
         replica.faults.extend([Fault.EXTRA_ANSWER] * 5)
         for number in range(10):
             body = b"body %d" % number
             reply = await ask(site.callers("entry0"), "/again/x", body)
-            assert is_own_whole_answer(reply, body)
+            assert is_own_complete_answer(reply, body)
 
 
 @pytest.mark.parametrize("fault", STREAM_BREAKS)
-async def test_a_resumable_stream_goes_on_elsewhere_without_gap_or_double(
+async def test_a_resumable_stream_is_resumed_at_another_replica_without_gap_or_duplicate(
     tmp_path: Path, fault: Fault
 ) -> None:
     async with small_site(tmp_path) as site:
@@ -159,7 +161,7 @@
 
 
 @pytest.mark.parametrize("fault", [Fault.CUT_WITHIN_EVENT, Fault.CUT_AFTER_EVENT])
-async def test_a_stream_that_must_run_once_breaks_off_and_does_not_look_whole(
+async def test_a_non_repeatable_stream_is_aborted_and_does_not_look_complete(
     tmp_path: Path, fault: Fault
 ) -> None:
     async with small_site(tmp_path, models=1) as site:
@@ -170,7 +172,7 @@
         assert runs_of(replicas)[reply.id] == 1
 
 
-async def test_a_stream_that_stands_still_goes_on_elsewhere(tmp_path: Path) -> None:
+async def test_a_stalled_stream_is_resumed_at_another_replica(tmp_path: Path) -> None:
     async with small_site(tmp_path) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.faults.append(Fault.STALL)
@@ -183,13 +185,17 @@
         assert all(r.whole and r.events == [0, 1, 2, 3] for r in replies)
 
 
-async def test_a_caller_s_last_event_is_where_its_stream_goes_on(tmp_path: Path) -> None:
+async def test_a_stream_is_resumed_after_the_last_event_that_its_caller_names(
+    tmp_path: Path,
+) -> None:
     async with small_site(tmp_path) as site:
         reply = await ask(site.callers("entry0"), "/stream/x", headers=[(names.RESUME_AFTER, "1")])
         assert reply.events == [2, 3]
 
 
-async def test_a_caller_who_leaves_ends_the_work_at_the_replica(tmp_path: Path) -> None:
+async def test_a_caller_that_disconnects_cancels_its_request_at_the_replica(
+    tmp_path: Path,
+) -> None:
     async with small_site(tmp_path, models=1) as site:
         replica = replicas_of(site, MODEL_SERVICE)[0]
         replica.event_seconds = 0.3
@@ -200,7 +206,7 @@
                 await trio.sleep(0.01)
 
 
-async def test_what_is_left_of_the_time_is_passed_on(tmp_path: Path) -> None:
+async def test_the_time_that_is_left_is_forwarded(tmp_path: Path) -> None:
     async with small_site(tmp_path, plain=1) as site:
         replica = replicas_of(site, PLAIN_SERVICE)[0]
         await ask(site.callers("entry0"), "/once/x", deadline_ms=2500)
@@ -209,7 +215,9 @@
         assert int(replica.runs[1].headers[names.DEADLINE_MS]) <= 4000
 
 
-async def test_at_the_route_s_time_limit_the_caller_is_told_at_once(tmp_path: Path) -> None:
+async def test_at_the_time_limit_of_the_route_the_caller_is_answered_at_once(
+    tmp_path: Path,
+) -> None:
     async with small_site(tmp_path, plain=1) as site:
         replica = replicas_of(site, PLAIN_SERVICE)[0]
         replica.faults.append(Fault.SILENT)
@@ -261,7 +269,7 @@
         assert len(replica.runs) == 1
 
 
-async def test_of_streams_that_pause_at_once_only_those_leave_that_have_a_retry(
+async def test_of_streams_that_pause_together_only_those_with_a_retry_are_moved(
     tmp_path: Path,
 ) -> None:
     """Guards against streams that abandon replicas behind a full link without a retry left."""
@@ -282,7 +290,7 @@
         assert 0 < retries["spent"] <= 4
 
 
-async def test_a_broken_stream_waits_for_a_place_to_go_on_at(tmp_path: Path) -> None:
+async def test_a_broken_stream_waits_for_a_slot_to_be_resumed(tmp_path: Path) -> None:
     async with small_site(tmp_path, plain=0) as site:
         replicas = replicas_of(site, MODEL_SERVICE)
         for replica in replicas:
@@ -330,7 +338,7 @@
 
 
 @pytest.mark.parametrize("path", ["/once/x", "/again/x"])
-async def test_a_request_that_reached_no_replica_is_promised_not_to_have_run(
+async def test_a_request_that_reached_no_replica_is_reported_as_not_run(
     tmp_path: Path, path: str
 ) -> None:
     async with small_site(tmp_path, models=0) as site:
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -119,14 +119,14 @@
 
 
 @pytest.mark.parametrize(
-    "mood",
+    "condition",
     [StoreCondition.BUSY, StoreCondition.LIMITED, StoreCondition.RESET, StoreCondition.SILENT],
 )
 async def test_the_store_is_followed_again_after_an_outage(
-    tmp_path: Path, mood: StoreCondition
+    tmp_path: Path, condition: StoreCondition
 ) -> None:
     async with small_site(tmp_path, models=0) as site:
-        site.store.set_condition(mood)
+        site.store.set_condition(condition)
         site.change()
         await trio.sleep(0.3)
         assert (await ask(site.callers("entry0"), "/again/x")).status == 200
@@ -134,13 +134,13 @@
         await wait_version(site, "entry0", 2)
 
 
-@pytest.mark.parametrize("mood", [StoreCondition.BUSY, StoreCondition.SILENT])
+@pytest.mark.parametrize("condition", [StoreCondition.BUSY, StoreCondition.SILENT])
 async def test_a_process_whose_calls_fail_reads_from_peers(
-    tmp_path: Path, mood: StoreCondition
+    tmp_path: Path, condition: StoreCondition
 ) -> None:
     async with small_site(tmp_path, models=2, daemons=True) as site:
         rejected_ip = site.machines["entry0"].ip
-        site.store.set_condition(mood, [rejected_ip])
+        site.store.set_condition(condition, [rejected_ip])
         site.change(tenants=[{"name": "team-1", "api_keys": ["other-key"]}])
         await wait_version(site, "entry0", 2)
         assert listings_from_peers(await site.state("entry0")) > 0
@@ -208,7 +208,7 @@
         assert staying.arrivals >= 10
 
 
-async def test_a_listing_in_pages_is_whole(tmp_path: Path) -> None:
+async def test_a_listing_in_pages_is_complete(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=0, plain=5) as site:
         site.store.page_size = 2
         site.add_entry("late", "z0")
@@ -311,7 +311,7 @@
 async def test_a_topic_that_is_not_watched_is_listed_on_demand(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against listings that nobody needs.
+    """Guards against listings that are not needed.
 
     When all processes restarted at once, 60 daemons listed a large configuration in addition to 35
     entries.
@@ -532,7 +532,7 @@
         nursery.cancel_scope.cancel()
 
 
-async def test_few_questions_are_sent_and_only_to_entries_while_one_has_fresh_facts(
+async def test_few_requests_are_sent_and_only_to_entries_while_one_has_fresh_facts(
     rejected_process: RejectedProcess,
 ) -> None:
     async with trio.open_nursery() as nursery:
