--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("opening", [0.0, 3.0, 30.0])
-def test_callers_are_told_to_retry_when_a_limit_allows_it_and_at_different_times(
+def test_retry_after_times_are_no_earlier_than_a_limit_allows_and_vary(
     opening: float,
 ) -> None:
     overload = Overload()
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -174,7 +174,7 @@
 async def test_nothing_is_sent_to_a_replica_that_starts_leaving_while_its_connection_opens(
     autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """A check only when the replica is chosen would be up to 0.6 s before the request is sent."""
+    """The replica is chosen up to 0.6 s before the request is sent: a check then is too early."""
     leaving = state_of(1)
     unbegun = UnbegunAttempts(rules([]))
 
--- a/tests/test_goal_choice.py
+++ b/tests/test_goal_choice.py
@@ -48,7 +48,7 @@
             loading,
             SimpleNamespace(newest=lambda: None),
         ]
-        self.choice = GoalSelector("lm", 1e6, *cast(Any, parts))
+        self.goal_selector = GoalSelector("lm", 1e6, *cast(Any, parts))
 
     def name(self, version: int) -> None:
         """Record that a version is named now."""
@@ -56,7 +56,7 @@
 
     def chosen(self) -> int:
         """Return the version that is selected."""
-        goal = self.choice.choose()
+        goal = self.goal_selector.choose()
         assert goal is not None
         return goal.version
 
@@ -76,7 +76,7 @@
     state.now += 0.5
     state.name(3)
     assert state.chosen() == 3
-    state.choice.defer(LoadedModel(MODEL, 3))
+    state.goal_selector.defer(LoadedModel(MODEL, 3))
     assert state.chosen() == 2
 
 
@@ -84,8 +84,8 @@
     state.name(2)
     state.now += 0.5
     state.name(3)
-    state.choice.defer(LoadedModel(MODEL, 3))
-    state.choice.defer(LoadedModel(MODEL, 2))
+    state.goal_selector.defer(LoadedModel(MODEL, 3))
+    state.goal_selector.defer(LoadedModel(MODEL, 2))
     assert state.chosen() == 3
     state.now += DEFERRAL_SECONDS + 0.1
     assert state.chosen() == 3
@@ -96,7 +96,7 @@
     state.now += 0.5
     state.name(3)
     state.now += BOUND_SECONDS
-    state.choice.defer(LoadedModel(MODEL, 3))
+    state.goal_selector.defer(LoadedModel(MODEL, 3))
     assert state.chosen() == 3
 
 
@@ -122,7 +122,7 @@
                     state.settled[LoadedModel(MODEL, newest)] = DIGESTS
                 case "withhold":
                     chosen = state.chosen()
-                    state.choice.defer(LoadedModel(MODEL, chosen))
+                    state.goal_selector.defer(LoadedModel(MODEL, chosen))
                     deferred_until[chosen] = state.now + DEFERRAL_SECONDS
                 case "wait":
                     state.now += 0.4
