--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -110,7 +110,7 @@
 
 
 @pytest.mark.parametrize(("daemons", "entries"), [(15, 5), (60, 35), (1, 0), (2, 1)])
-async def test_two_daemons_of_a_region_read_digests_and_all_others_learn_them_from_these(
+async def test_two_daemons_of_a_region_read_digests_and_all_others_get_them_from_these(
     autojump_clock: trio.testing.MockClock, daemons: int, entries: int
 ) -> None:
     """If all 54 processes read digests (0.5 MB), new weights begin 0.1 s to 0.9 s late."""
@@ -176,9 +176,9 @@
         return Replica(ip, "lm", Address(ip, 80), "z", 8, False, loaded)
 
     listed = [replica("10.0.0.1", 0), replica("10.0.0.2", 1), replica("10.0.0.3", 2)]
-    for version, knowing in ((1, ["10.0.0.2", "10.0.0.3"]), (2, ["10.0.0.3"])):
+    for version, expected in ((1, ["10.0.0.2", "10.0.0.3"]), (2, ["10.0.0.3"])):
         asked = replicas_with_digests(listed, LoadedModel("m", version))
-        assert [each.address.ip for each in asked] == knowing
+        assert [each.address.ip for each in asked] == expected
     assert replicas_with_digests(listed, LoadedModel("m", 3)) == listed
 
 
