--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -55,7 +55,7 @@
 
 def small_overload() -> ExperimentSpec:
     """Return the experiment with a quarter of its fleet and load."""
-    whole = read_experiment(EXPERIMENT)
+    full = read_experiment(EXPERIMENT)
     fleet = FleetSpec(zones=2, entries=4, replicas=6)
     kinds = tuple(
         KindSpec(
@@ -66,16 +66,16 @@
             kind.worth,
             kind.late_worth,
         )
-        for kind in whole.kinds
+        for kind in full.kinds
     )
     return ExperimentSpec(
         kinds,
-        whole.variants,
+        full.variants,
         seconds=14.0,
         warm_up_seconds=5.0,
         cool_down_seconds=3.0,
         fleet=fleet,
-        engine=whole.engine,
+        engine=full.engine,
     )
 
 
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -314,9 +314,9 @@
 
 def test_a_request_that_ran_on_a_bad_load_is_found() -> None:
     versions = {1: [b"1a", b"1b"], 2: [b"2a", b"2b"]}
-    whole, bad = ([hashlib.sha256(chunk).hexdigest() for chunk in v] for v in versions.values())
-    bad[1] = whole[1]
-    replica = FakeReplica("i-1", model="m", loads=[(1, whole), (2, bad)])
+    valid, bad = ([hashlib.sha256(chunk).hexdigest() for chunk in v] for v in versions.values())
+    bad[1] = valid[1]
+    replica = FakeReplica("i-1", model="m", loads=[(1, valid), (2, bad)])
     replica.runs = [Run(f"r-{load}", "POST", "/", {}, b"", load, 1.0, load) for load in range(3)]
     (found,) = find_answers_of_bad_loads([replica], versions)
     assert (found.subject, found.detail) == ("r-2", "version 2, load 2 of i-1")
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -128,7 +128,7 @@
 
 
 @pytest.mark.parametrize(
-    ("words", "field"),
+    ("arguments", "field"),
     [
         (["x"], "SEED"),
         (["-1"], "-1"),
@@ -140,9 +140,9 @@
         ([], "SEED"),
     ],
 )
-def test_bad_arguments_are_refused_with_their_name(words: list[str], field: str) -> None:
+def test_bad_arguments_are_refused_with_their_name(arguments: list[str], field: str) -> None:
     with pytest.raises(ArgumentError) as error:
-        parse_arguments(words)
+        parse_arguments(arguments)
     assert field in str(error.value)
 
 
--- a/tests/test_swarm_silence.py
+++ b/tests/test_swarm_silence.py
@@ -41,9 +41,9 @@
 
 
 @pytest.mark.parametrize("near", [True, False], ids=["same-region", "other-region"])
-@pytest.mark.parametrize("whole", [True, False], ids=["has", "pending"])
+@pytest.mark.parametrize("is_stored", [True, False], ids=["has", "pending"])
 async def test_only_a_copy_that_may_be_fetched_delays_a_takeover(
-    simulated_clock: MockClock, near: bool, whole: bool
+    simulated_clock: MockClock, near: bool, is_stored: bool
 ) -> None:
     """The first host of a chunk is silent, the second answers, and this host is the third."""
     seed = random.randrange(1 << 30)
@@ -52,7 +52,7 @@
     second, me = _order(artifact)[1:3]
     hosts = [_host(name, "r0" if near or name != second else "r1") for name in NAMES]
     duties = ImportDuties(ImportOrder(artifact, hosts, me, 1))
-    answer = Intent(second, artifact, [0] if whole else [], [] if whole else [0])
+    answer = Intent(second, artifact, [0] if is_stored else [], [] if is_stored else [0])
     # The third host waits for two takeover times.
     for _ in range(4):
         await trio.sleep(LARGE_WEIGHTS.takeover_seconds)
