--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -167,7 +167,7 @@
     st.lists(st.tuples(st.sampled_from(["i-1", "i-2", "i-3"]), list_entries()), max_size=10),
     st.randoms(use_true_random=False),
 )
-def test_a_replica_is_listed_exactly_while_its_newest_entry_is_valid(
+def test_a_replica_is_named_exactly_while_its_newest_entry_is_whole(
     history: list[tuple[str, tuple[bytes | None, bool]]], order: Any  # noqa: ANN401
 ) -> None:
     """Holds for watches, listings and items received from peers, in any order."""
--- a/tests/test_machine_weights.py
+++ b/tests/test_machine_weights.py
@@ -80,7 +80,7 @@
         assert not site.origin.sent_chunks
 
 
-async def test_requests_are_served_while_the_version_changes(tmp_path: Path) -> None:
+async def test_requests_go_on_while_the_version_changes(tmp_path: Path) -> None:
     async with small_site(tmp_path, models=4, daemons=True) as site:
         for replica in replicas_of(site, MODEL_SERVICE):
             replica.event_seconds = 0.01
--- a/tests/test_news_after_outage.py
+++ b/tests/test_news_after_outage.py
@@ -44,7 +44,7 @@
 
 
 @pytest.mark.parametrize("silence", ["long", "short"])
-async def test_changes_are_in_force_in_time_although_a_call_outlives_a_silent_store(
+async def test_news_are_in_force_in_time_though_a_call_outlives_a_silent_store(
     tmp_path: Path, silence: str
 ) -> None:
     """There is only one entry, so that it cannot get the change from a peer."""
@@ -65,7 +65,7 @@
         assert (await ask(site.callers("entry0"), "/new/x")).status == 200
 
 
-async def test_a_process_whose_calls_fail_is_up_to_date_soon_after_a_peer(
+async def test_a_process_that_is_turned_away_learns_soon_after_another_one_knows(
     tmp_path: Path,
 ) -> None:
     """The peer has no configuration when it is first asked, and must answer once it has one."""
--- a/tests/test_orders_in_doubt.py
+++ b/tests/test_orders_in_doubt.py
@@ -34,9 +34,7 @@
 
 
 @pytest.mark.parametrize("holds", ["nothing", "an older version"])
-async def test_an_order_that_is_accepted_late_loads_one_version(
-    tmp_path: Path, holds: str
-) -> None:
+async def test_an_order_that_is_taken_late_loads_one_version(tmp_path: Path, holds: str) -> None:
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         site.origin.seconds_per_chunk = 0.03
--- a/tests/test_replica_leaving.py
+++ b/tests/test_replica_leaving.py
@@ -54,7 +54,7 @@
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
-async def test_a_replica_that_announces_in_answers_that_it_leaves_gets_no_new_requests(
+async def test_a_replica_that_says_in_answers_that_it_leaves_gets_no_new_requests(
     tmp_path: Path, path: str
 ) -> None:
     service = SERVICES[path]
--- a/tests/test_replica_rest.py
+++ b/tests/test_replica_rest.py
@@ -79,7 +79,7 @@
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
-async def test_an_entry_keeps_the_rest_that_a_replica_asked_for(tmp_path: Path, path: str) -> None:
+async def test_an_entry_lets_a_replica_rest_that_asked_for_it(tmp_path: Path, path: str) -> None:
     async with site_for(tmp_path, path) as site:
         resting, *_ = replicas_of(site, SERVICES[path])
         resting.rest = str(REST_SECONDS)
@@ -94,7 +94,7 @@
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
-async def test_entries_refuse_callers_at_once_if_all_replicas_rest(
+async def test_entries_let_all_replicas_rest_and_refuse_callers_at_once(
     tmp_path: Path, path: str
 ) -> None:
     async with site_for(tmp_path, path) as site:
--- a/tests/test_requests_that_end_replicas.py
+++ b/tests/test_requests_that_end_replicas.py
@@ -104,7 +104,7 @@
 
 @pytest.mark.parametrize("path", list(SERVICES))
 @pytest.mark.parametrize("ending", list(Ending))
-async def test_a_crashing_request_is_not_forwarded_after_the_third_crash(
+async def test_a_request_that_ends_replicas_is_not_sent_on_after_the_third_end(
     tmp_path: Path, path: str, ending: Ending
 ) -> None:
     async with crashing_site(tmp_path, SERVICES[path], ending) as site:
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -80,7 +80,7 @@
         assert small.fleet.origin.sent_bytes <= 1.5 * MIB
 
 
-async def test_chunks_of_a_dead_importing_host_are_taken_over_without_flooding_the_origin(
+async def test_a_dead_first_fetcher_is_stood_in_for_and_the_origin_not_flooded(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path, hosts=5, zones=1) as small:
@@ -158,7 +158,7 @@
         await small.fleet.wait_serving(digest, 3)
 
 
-async def test_a_newer_fleet_file_cancels_a_transfer_at_once(tmp_path: Path) -> None:
+async def test_a_superseding_file_cancels_a_transfer_at_once(tmp_path: Path) -> None:
     async with small_fleet(
         tmp_path, hosts=3, weights_bytes=MIB, link=SLOW_LINK, serving=False
     ) as small:
