--- a/libs/native/src/headcross_native/engine.py
+++ b/libs/native/src/headcross_native/engine.py
@@ -24,7 +24,7 @@
 ENGINE_RESUME_HEADER: Final = "resume-from"
 ENGINE_PRIORITY_HEADER: Final = "priority"
 ENGINE_MATCH_HEADER: Final = "if-match"
-NOT_HELD_STATUS: Final = 412
+WEIGHTS_MISMATCH_STATUS: Final = 412
 
 CALL_SECONDS: Final = 2.0
 MAX_STATE_BYTES: Final = 64 * 1024
--- a/libs/routing/src/headcross_routing/answerrelay.py
+++ b/libs/routing/src/headcross_routing/answerrelay.py
@@ -1,8 +1,8 @@
 """Relays an upstream's answer to the caller, either complete or recognizably truncated.
 
 An event stream is relayed event by event, and another replica may resume it at the next token. Any
-other answer is buffered until it is complete (up to a size), so that a failure in the middle costs
-the caller nothing; a larger answer is relayed as it arrives.
+other answer is buffered until it is complete, so that a failure in the middle leaves the caller
+without a partial answer; one of more than MAX_BUFFERED_BYTES is relayed as it arrives.
 """
 
 from typing import Final
@@ -24,7 +24,7 @@
 
     # Splits the event stream; None for other answers and before a stream begins.
     events: EventSplitter | None
-    # Digest of the weights that produce the answer; a resumed answer must come from the same.
+    # Digest of the weights that produce the answer; only the same weights may resume it.
     digest: str
 
     def __init__(self, exchange: Exchange) -> None:
@@ -45,7 +45,7 @@
         return self.events is not None
 
     async def begin(self, answer: Answer) -> None:
-        """Start to relay an upstream's answer, or continue after a broken attempt."""
+        """Start to relay an answer, or resume a stream that an earlier attempt left incomplete."""
         self._answer = answer
         self._buffered.clear()
         if self.events is not None:
@@ -76,7 +76,7 @@
             self._buffered.clear()
 
     async def finish(self) -> int:
-        """Complete the answer to the caller; return the upstream's status.
+        """Complete the answer to the caller; return the upstream's HTTP status.
 
         Raises LinkLostError if a stream ended before its last event.
         """
@@ -96,7 +96,7 @@
         if self.events is not None:
             data = msgspec.json.encode(error_body(refusal))
             await self._exchange.send(b"event: error\ndata: " + data + b"\n\n")
-        # The body is left without its end: no HTTP client takes that for a complete answer.
+        # The body's end is not sent, so that every HTTP client sees that the answer is truncated.
         raise CallerGone(refusal.reason.code)
 
     async def _send_buffered(self, answer: Answer) -> None:
--- a/libs/routing/src/headcross_routing/attempts.py
+++ b/libs/routing/src/headcross_routing/attempts.py
@@ -1,8 +1,9 @@
-"""One attempt of an entry to have a request answered by one upstream.
+"""Attempts of an entry: each sends a request to one upstream and relays its answer.
 
 An attempt connects to the upstream's daemon, sends the request with the headers that the daemon
-needs, and relays the answer or reads the daemon's refusal. A failure on the way is classified by
-how much had been sent; for a request that must not be repeated, the daemon itself is asked.
+needs, and relays the answer or reads the daemon's refusal. If no connection can be opened, the
+request was not run. If the link is lost later, the request may have run. To exclude that for a
+request that must not be repeated, the entry asks the daemon to revoke it.
 """
 
 from collections.abc import Awaitable, Callable
@@ -66,7 +67,8 @@
 
 # A daemon itself answers at the deadline; an entry waits this much longer for that answer.
 DEADLINE_GRACE_SECONDS: Final = 0.25
-# While an entry waits for an answer, it checks the daemon's heartbeats at this interval.
+# While an entry waits for an answer, it checks the daemon's heartbeats at this interval. After
+# MAX_SILENT_CHECKS checks in a row with overdue heartbeats the link counts as lost.
 SILENCE_CHECK_INTERVAL_SECONDS: Final = 1.0
 MAX_SILENT_CHECKS: Final = 2
 REVOKE_TIMEOUT_SECONDS: Final = 0.7
@@ -155,8 +157,8 @@
         """Wait for data from a daemon; raise LinkLostError if its heartbeats have stopped.
 
         A host that is frozen or cut off keeps its connections open; only its missing heartbeats
-        distinguish it from a busy one. Silence must be seen twice: after a pause of this process
-        itself every heartbeat looks overdue until the waiting messages have been read.
+        distinguish it from a busy one. One check is not enough: after a pause of this process
+        itself, every heartbeat looks overdue until the waiting messages have been read.
         """
         silent_checks = 0
         while silent_checks < MAX_SILENT_CHECKS:
@@ -170,7 +172,10 @@
     async def _classify_lost_link(
         self, meta: RequestMeta, relay: AnswerRelay, candidate: Candidate, detail: str
     ) -> Refusal:
-        """Determine whether a request was handed over before its link was lost."""
+        """Return the verdict on a request whose link was lost.
+
+        A request that must not be repeated is revoked at the daemon, unless its answer has begun.
+        """
         if relay.started:
             return MayHaveRun(STREAM_BROKEN, detail)
         if meta.repeatable:
@@ -205,10 +210,10 @@
 
 
 async def revoke(daemon: Address, incarnation: int, request: str) -> bool:
-    """Revoke a request; True means that the daemon guarantees never to hand it over.
+    """Revoke a request; return whether the daemon guarantees never to hand it over.
 
-    Only the incarnation to which the request was sent can guarantee that: one that was started
-    later does not know what its predecessor handed over.
+    Only the daemon's incarnation to which the request was sent can guarantee that: one that was
+    started later does not know what its predecessor handed over.
     """
     outcome = await call(
         daemon,
--- a/libs/routing/src/headcross_routing/entryhandler.py
+++ b/libs/routing/src/headcross_routing/entryhandler.py
@@ -39,7 +39,7 @@
 from headcross_routing.answerrelay import AnswerRelay
 from headcross_routing.attempts import Attempts
 from headcross_routing.keyclaims import claim_key, release_key
-from headcross_routing.picking import Candidate, Picker, prefix_of
+from headcross_routing.picking import Candidate, Picker, prefix_digest
 from headcross_routing.requestmeta import (
     RequestMeta,
     read_meta,
@@ -56,6 +56,7 @@
 
 logger = logging.getLogger(__name__)
 
+# Called with every valid request, its verdict and its duration in seconds.
 Observe = Callable[[RequestMeta, Verdict, float], None]
 
 
@@ -64,7 +65,7 @@
     """The attempts made so far for one request."""
 
     relay: AnswerRelay
-    tried: set[str] = field(default_factory=set)
+    tried: set[str] = field(default_factory=set)  # names of upstreams
     attempts: int = 0
 
 
@@ -119,7 +120,7 @@
             if isinstance(verdict, Completed):
                 self.counts[COMPLETED] += 1
             elif relay.started:
-                self._count(verdict, meta.id)
+                self._count_and_log(verdict, meta.id)
                 await relay.abort(verdict)
             else:
                 await self._refuse(exchange, verdict, meta.id)
@@ -127,11 +128,11 @@
             self.in_flight -= 1
 
     async def _refuse(self, exchange: Exchange, refusal: Refusal, request: str) -> None:
-        self._count(refusal, request)
+        self._count_and_log(refusal, request)
         headers: Headers = [("Headcross-Request", request)] if request else []
         await send_refusal(exchange, refusal, headers)
 
-    def _count(self, refusal: Refusal, request: str) -> None:
+    def _count_and_log(self, refusal: Refusal, request: str) -> None:
         name = verdict_name(refusal)
         self.counts[f"{name} {refusal.reason.code}"] += 1
         fields = {"verdict": name, "reason": refusal.reason.code, "detail": refusal.detail}
@@ -179,6 +180,7 @@
         return last if isinstance(last, MayHaveRun) and isinstance(new, NotRun) else new
 
     def _may_retry(self, meta: RequestMeta, progress: _Progress, refusal: Refusal) -> bool:
+        """Return whether to make another attempt; if so, take it from the retry budget."""
         if meta.remaining <= 0 or progress.attempts >= MAX_ATTEMPTS:
             return False
         # A broken stream resumes at its next token, which repeats nothing that the caller has
@@ -187,9 +189,12 @@
         return may_retry(refusal, meta.repeatable, cannot_resume) and self.budget.spend()
 
     async def _next_candidate(self, meta: RequestMeta, progress: _Progress) -> Candidate | None:
-        """Pick the next upstream; wait up to REPLICA_WAIT_SECONDS while there is none."""
+        """Pick the next upstream, or return None if there is none.
+
+        Waits up to REPLICA_WAIT_SECONDS for one, except after an attempt that was refused.
+        """
         wait_until = monotonic() + min(REPLICA_WAIT_SECONDS, max(0.0, meta.remaining))
-        prefix = prefix_of(meta.request.body) if meta.route.pool else None
+        prefix = prefix_digest(meta.request.body) if meta.route.pool else None
         while True:
             candidates = self._candidates(meta, progress)
             candidate = self._picker.pick(candidates, prefix)
--- a/libs/routing/src/headcross_routing/fairqueue.py
+++ b/libs/routing/src/headcross_routing/fairqueue.py
@@ -26,7 +26,7 @@
 @dataclass(slots=True)
 class _TeamQueue:
     weight: int
-    virtual_time: float
+    virtual_time: float  # grows by 1 / weight with every slot that the team receives
     waiting: deque[_Waiter] = field(default_factory=deque)
 
     def weighted_length(self) -> float:
@@ -47,6 +47,7 @@
         self.slots = slots
         self._max_queued = max_queued
         self._running = 0
+        # The highest virtual time of any team at the moment when it received a slot.
         self._virtual_time = 0.0
         self._teams: dict[str, _TeamQueue] = {}
 
@@ -112,19 +113,20 @@
         if not waiting_queues or self._running >= self.slots:
             return
         queue = min(waiting_queues, key=lambda queue: queue.virtual_time)
-        granted = queue.waiting.popleft()
+        waiter = queue.waiting.popleft()
         self._charge(queue)
         self._running += 1
-        granted.granted = True
-        granted.event.set()
+        waiter.granted = True
+        waiter.event.set()
 
     def _refuse_one(self) -> None:
         longest = max(self._teams.values(), key=_TeamQueue.weighted_length)
-        refused = longest.waiting.pop()
-        refused.refused = True
-        refused.event.set()
+        waiter = longest.waiting.pop()
+        waiter.refused = True
+        waiter.event.set()
 
     def _withdraw(self, waiter: _Waiter) -> None:
+        """Remove a waiter that stops waiting; release its slot if it was just granted one."""
         if waiter.granted:
             self.leave()
             return
--- a/libs/routing/src/headcross_routing/keyclaims.py
+++ b/libs/routing/src/headcross_routing/keyclaims.py
@@ -19,14 +19,17 @@
 
 
 async def claim_key(meta: RequestMeta, hosts: HostList) -> Refusal | None:
-    """Claim the key of a request that must not be repeated; return None, or a refusal."""
-    outcome: Failure | None = None
+    """Claim the key of a request that must not be repeated.
+
+    Returns None if the claim is granted, else a refusal.
+    """
+    last_failure: Failure | None = None
     for _ in range(CLAIM_ATTEMPTS):
         result = await _call_owner(_claim_of(meta), hosts)
         if not isinstance(result, Failure):
             return result
-        outcome = result
-    return NotRun(HOME_GONE, str(outcome), 2.0)
+        last_failure = result
+    return NotRun(HOME_GONE, str(last_failure), 2.0)
 
 
 async def release_key(meta: RequestMeta, hosts: HostList) -> None:
@@ -49,6 +52,10 @@
 
 
 async def _call_owner(claim: KeyClaim, hosts: HostList) -> Refusal | Failure | None:
+    """Send a claim to its key's owner.
+
+    Returns None if it is granted or released, the owner's refusal, or why there is no answer.
+    """
     name = owner_of(claim.key, key_owners(hosts))
     owner = hosts.find(name) if name is not None else None
     if owner is None:
--- a/libs/routing/src/headcross_routing/ledger.py
+++ b/libs/routing/src/headcross_routing/ledger.py
@@ -2,15 +2,15 @@
 
 The request ledger guarantees the verdict "not run" for a single submission. A daemon hands a
 request over only if its id is neither handed over nor revoked in this ledger. An entry that lost
-its link may revoke an id; the answer states whether the revocation came in time. Both records
-outlive any message that may still be in transit.
+its link may revoke an id; the answer states whether the revocation came in time. The ledger keeps
+handed-over and revoked ids for longer than a message can be in transit.
 
 The key ledger ensures that a request with a key runs at most once across several submissions. The
 owner of a key is an upstream daemon, chosen by rendezvous hashing over the host list and
 independently of rollouts; an entry claims the key there before it hands the request over anywhere.
 A new owner (just started, or made owner by a change of the host list) does not know the claims
-that its predecessor granted, so for `remember_seconds` it grants only submissions that the caller
-declares to be the first.
+that its predecessor granted, so for `remember_seconds` it grants claims only to submissions that
+the caller declares to be the first.
 """
 
 from dataclasses import dataclass
@@ -23,8 +23,8 @@
 from headcross_base.verdicts import MayHaveRun, NotRun, Refusal
 from headcross_native.hostlist import HostList
 
-# An id is kept this long after its deadline; messages do not arrive later, since they are lost
-# with their connection, which the transport closes within seconds.
+# An id is kept this long after its request's deadline. No message about it arrives later: messages
+# are lost with their connection, which the transport closes within seconds.
 REQUEST_RETENTION_SECONDS: Final = 120.0
 
 # Paths of a daemon's HTTP listener that entries use in addition to forwarded requests.
@@ -37,7 +37,7 @@
 @dataclass(slots=True)
 class _RequestRecord:
     state: RequestState
-    until: float  # in seconds on the monotonic clock
+    expires_at: float  # in seconds on the monotonic clock
 
 
 class RequestLedger:
@@ -51,7 +51,11 @@
         return len(self._records)
 
     def hand_over(self, request: str, remaining: float) -> RequestState:
-        """Record a request as handed over; any result but "unknown" forbids the hand-over."""
+        """Record a request as handed over and return its state before that.
+
+        The request may be handed over only if that state is "unknown"; otherwise nothing is
+        recorded. `remaining` is the time to the request's deadline in seconds.
+        """
         self._expire_records()
         record = self._records.get(request)
         if record is not None:
@@ -64,7 +68,7 @@
         self._records.pop(request, None)
 
     def revoke(self, request: str) -> RequestState:
-        """Revoke a request; "handed-over" means that it is too late."""
+        """Revoke a request and return its state; "handed-over" means that it is too late."""
         record = self._records.get(request)
         if record is not None:
             return record.state
@@ -78,8 +82,8 @@
         return len(self._records) >= self._max_entries
 
     def _record(self, request: str, state: RequestState, remaining: float) -> None:
-        until = monotonic() + max(0.0, remaining) + REQUEST_RETENTION_SECONDS
-        self._records[request] = _RequestRecord(state, until)
+        expires_at = monotonic() + max(0.0, remaining) + REQUEST_RETENTION_SECONDS
+        self._records[request] = _RequestRecord(state, expires_at)
 
     def _expire_records(self) -> None:
         _drop_expired(self._records)
@@ -98,7 +102,7 @@
 @dataclass(slots=True)
 class _Claim:
     request: str  # the submission that holds the claim
-    until: float  # in seconds on the monotonic clock
+    expires_at: float  # in seconds on the monotonic clock
 
 
 class KeyLedger:
@@ -141,8 +145,8 @@
             return NotRun(LEDGER_YOUNG, "earlier submissions would not be known", 5.0)
         if len(self._claims) >= self._max_entries:
             return NotRun(LEDGER_FULL, f"{self._max_entries} keys", 5.0)
-        until = monotonic() + max(self._retention_seconds, claim.remaining)
-        self._claims[key] = _Claim(claim.request, until)
+        expires_at = monotonic() + max(self._retention_seconds, claim.remaining)
+        self._claims[key] = _Claim(claim.request, expires_at)
         return None
 
     def release(self, key: str, request: str) -> None:
@@ -176,6 +180,6 @@
     now = monotonic()
     while entries:
         oldest = next(iter(entries))
-        if entries[oldest].until > now:
+        if entries[oldest].expires_at > now:
             return
         del entries[oldest]
--- a/libs/routing/src/headcross_routing/requestmeta.py
+++ b/libs/routing/src/headcross_routing/requestmeta.py
@@ -1,7 +1,8 @@
 """Metadata of requests, and the headers that carry it.
 
-Callers may set the headers of the first group. Those of the second group are set by entries for
-daemons; an entry drops whatever a caller sends under these names.
+There are three groups of headers: those that callers may set, those that entries set for daemons,
+and those that daemons set in answers. An entry drops headers of the last two groups from callers'
+requests.
 """
 
 import uuid
@@ -26,7 +27,7 @@
 UPSTREAM_HEADER: Final = "headcross-upstream"
 POOL_HEADER: Final = "headcross-pool"
 DIGEST_HEADER: Final = "headcross-digest"
-RESUME_HEADER: Final = "headcross-resume-from"
+RESUME_HEADER: Final = "headcross-resume-from"  # number of tokens that the caller already has
 RESUMABLE_HEADER: Final = "headcross-resumable"  # "yes": another upstream may resume the stream
 PRIORITY_HEADER: Final = "headcross-priority"
 WEIGHT_HEADER: Final = "headcross-weight"
@@ -118,7 +119,10 @@
 
 
 def find_route(path: str, fleet: FleetFile) -> Route | None:
-    """Return the route with the longest prefix of whole path segments."""
+    """Return the route whose path is the longest prefix of `path`, or None if none is a prefix.
+
+    Only whole path segments count.
+    """
     matching = [route for route in fleet.routes if _is_below(path, route.path)]
     return max(matching, key=lambda route: len(route.path), default=None)
 
@@ -139,6 +143,7 @@
 
 
 def _read_seconds(text: str | None, maximum: float) -> float | None:
+    """Return the seconds in a header, at most `maximum`; None if its value is invalid."""
     if text is None:
         return maximum
     try:
@@ -149,6 +154,7 @@
 
 
 def _read_repeatable(request: Request, route: Route) -> bool | None:
+    """Return whether a request may be repeated; None if its header is neither yes nor no."""
     value = request.header(REPEATABLE_HEADER)
     if value is None:
         return request.method in REPEATABLE_METHODS or route.repeatable
--- a/libs/routing/src/headcross_routing/retry.py
+++ b/libs/routing/src/headcross_routing/retry.py
@@ -2,8 +2,8 @@
 
 A request that was refused as not run may always be retried elsewhere. One that may have run is
 retried only if it is repeatable and nothing of an answer has reached the caller. Both apply only
-before the deadline and within a budget: each request earns a fifth of a retry, so that a pool of
-which half is down receives at most 1.2 attempts per request instead of a retry storm.
+before the deadline and within a budget: each request earns a fifth of a retry, so that a pool with
+half of its replicas down receives at most 1.2 attempts per request instead of a retry storm.
 """
 
 from typing import Final
@@ -24,7 +24,7 @@
 from headcross_base.verdicts import MayHaveRun, NotRun, Refusal
 
 RETRIES_EARNED_PER_REQUEST: Final = 0.2
-# Maximum of saved retries; an entry starts with this many.
+# Maximum number of saved retries; an entry starts with this many.
 MAX_SAVED_RETRIES: Final = 20.0
 MAX_ATTEMPTS: Final = 5  # per request, including the first
 
@@ -55,18 +55,20 @@
     def __init__(self) -> None:
         self.spent = 0
         self.denied = 0
-        self._tokens = MAX_SAVED_RETRIES
+        self._saved_retries = MAX_SAVED_RETRIES
 
     def earn(self) -> None:
         """Add the fraction of a retry that a request earns."""
-        self._tokens = min(MAX_SAVED_RETRIES, self._tokens + RETRIES_EARNED_PER_REQUEST)
+        self._saved_retries = min(
+            MAX_SAVED_RETRIES, self._saved_retries + RETRIES_EARNED_PER_REQUEST
+        )
 
     def spend(self) -> bool:
         """Take one retry from the budget; return False if none is left."""
-        if self._tokens < 1:
+        if self._saved_retries < 1:
             self.denied += 1
             return False
-        self._tokens -= 1
+        self._saved_retries -= 1
         self.spent += 1
         return True
 
--- a/libs/routing/src/headcross_routing/upstreamhandler.py
+++ b/libs/routing/src/headcross_routing/upstreamhandler.py
@@ -3,9 +3,9 @@
 Only the daemon knows whether a request was handed over. The steps for a request are: check that
 the upstream is local and serves what the entry expects; wait for a slot; check again, since the
 state may change while the request waits; record the id as handed over unless it was revoked;
-connect; send. After the record a failed request may have run, except that the record is removed if
-no connection could be opened or the engine refuses because it lacks the weights. Retries are left
-to the entry: a daemon hands a request over once.
+connect; send. Once the id is recorded, a request that fails may have run, unless no connection
+could be opened or the engine refused it for lack of the weights; then the record is removed.
+Retries are left to the entry: a daemon hands a request over once.
 """
 
 import logging
@@ -46,7 +46,7 @@
     ENGINE_MATCH_HEADER,
     ENGINE_PRIORITY_HEADER,
     ENGINE_RESUME_HEADER,
-    NOT_HELD_STATUS,
+    WEIGHTS_MISMATCH_STATUS,
 )
 from headcross_wire.httpclient import (
     Answer,
@@ -102,8 +102,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class _Handover:
-    """A request that an entry sent to be handed over to an upstream."""
+class _ForwardedRequest:
+    """A request that an entry sent for one upstream."""
 
     id: str
     upstream: str
@@ -117,6 +117,7 @@
 
     @property
     def remaining(self) -> float:
+        """Seconds until the deadline."""
         return self.deadline - monotonic()
 
 
@@ -176,20 +177,20 @@
         await exchange.respond_json(200, {"state": "claimed"})
 
     async def _handle_request(self, exchange: Exchange) -> None:
-        handover = _read_handover(exchange.request)
-        if isinstance(handover, NotRun):
-            await send_refusal(exchange, handover, [])
+        forwarded = _read_forwarded(exchange.request)
+        if isinstance(forwarded, NotRun):
+            await send_refusal(exchange, forwarded, [])
             return
-        upstream = self._upstreams.get(handover.upstream)
+        upstream = self._upstreams.get(forwarded.upstream)
         if upstream is None:
-            refusal = NotRun(NOT_SERVING, f"no upstream {handover.upstream[:64]!r} here")
+            refusal = NotRun(NOT_SERVING, f"no upstream {forwarded.upstream[:64]!r} here")
             await send_refusal(exchange, refusal, [])
             return
-        verdict: Verdict = await self._queue_and_run(exchange, handover, upstream)
+        verdict: Verdict = await self._queue_and_run(exchange, forwarded, upstream)
         reason = "" if isinstance(verdict, Completed) else verdict.reason.code
         self.counts[f"{verdict_name(verdict)} {reason}".strip()] += 1
         if not isinstance(verdict, Completed):
-            fields = {"request": handover.id, "reason": reason, "detail": verdict.detail}
+            fields = {"request": forwarded.id, "reason": reason, "detail": verdict.detail}
             logger.info("request refused", extra=fields)
             if exchange.started:
                 # The answer is incomplete; closing without the body's end signals that.
@@ -197,30 +198,30 @@
             await send_refusal(exchange, verdict, [(LOAD_HEADER, _load(upstream))])
 
     async def _queue_and_run(
-        self, exchange: Exchange, handover: _Handover, upstream: LocalUpstream
+        self, exchange: Exchange, forwarded: _ForwardedRequest, upstream: LocalUpstream
     ) -> Verdict:
-        refusal = _check_gate(upstream.gate, handover)
+        refusal = _check_gate(upstream.gate, forwarded)
         if refusal is not None:
             return refusal
-        refusal = await upstream.queue.enter(handover.team, handover.weight, handover.remaining)
+        refusal = await upstream.queue.enter(forwarded.team, forwarded.weight, forwarded.remaining)
         if refusal is not None:
             return refusal
         try:
             # The gate may have closed while the request waited.
-            refusal = _check_gate(upstream.gate, handover)
+            refusal = _check_gate(upstream.gate, forwarded)
             if refusal is not None:
                 return refusal
             with upstream.gate.request_in_flight():
-                return await self._hand_over(exchange, handover, upstream)
+                return await self._hand_over(exchange, forwarded, upstream)
         finally:
             upstream.queue.leave()
 
     async def _hand_over(
-        self, exchange: Exchange, handover: _Handover, upstream: LocalUpstream
+        self, exchange: Exchange, forwarded: _ForwardedRequest, upstream: LocalUpstream
     ) -> Verdict:
         if self._requests.full:
             return NotRun(LEDGER_FULL, "too many requests to remember", 1.0)
-        state = self._requests.hand_over(handover.id, handover.remaining)
+        state = self._requests.hand_over(forwarded.id, forwarded.remaining)
         if state == "revoked":
             return NotRun(REVOKED)
         if state == "handed-over":
@@ -230,31 +231,31 @@
             # unknown whether the request ran.
             connection = await connect(upstream.address)
         except ConnectError as error:
-            self._requests.undo_hand_over(handover.id)
+            self._requests.undo_hand_over(forwarded.id)
             return NotRun(CONNECT_FAILED, str(error))
         async with closing(connection):
-            with trio.move_on_after(max(0.0, handover.remaining)) as scope:
-                return await self._exchange(exchange, handover, upstream, connection)
+            with trio.move_on_after(max(0.0, forwarded.remaining)) as scope:
+                return await self._exchange(exchange, forwarded, upstream, connection)
             assert scope.cancelled_caught
             return MayHaveRun(DEADLINE, "the upstream did not answer in time")
 
     async def _exchange(
         self,
         exchange: Exchange,
-        handover: _Handover,
+        forwarded: _ForwardedRequest,
         upstream: LocalUpstream,
         connection: HttpConnection,
     ) -> Verdict:
-        request = handover.request
+        request = forwarded.request
         try:
-            headers = _upstream_headers(handover, upstream)
+            headers = _upstream_headers(forwarded, upstream)
             await connection.send(request.method, request.target, headers, request.body)
             answer = await connection.receive_answer()
-            if answer.status == NOT_HELD_STATUS and upstream.gate.digest:
-                self._requests.undo_hand_over(handover.id)
+            if answer.status == WEIGHTS_MISMATCH_STATUS and upstream.gate.digest:
+                self._requests.undo_hand_over(forwarded.id)
                 return NotRun(NOT_SERVING, "the engine does not hold these weights")
             await exchange.start(answer.status, _answer_headers(answer, upstream))
-            if not await _forward_body(exchange, connection, upstream.gate, handover.resumable):
+            if not await _forward_body(exchange, connection, upstream.gate, forwarded.resumable):
                 return MayHaveRun(LEAVING, "the stream is to go on elsewhere")
             await exchange.finish()
         except LinkLostError as error:
@@ -262,16 +263,17 @@
         return Completed(answer.status)
 
 
-def _check_gate(gate: UpstreamGate, handover: _Handover) -> NotRun | None:
+def _check_gate(gate: UpstreamGate, forwarded: _ForwardedRequest) -> NotRun | None:
+    """Return why the upstream does not take a request now, or None if it does."""
     if gate.stopping:
         return NotRun(DRAINING)
     if gate.state == upstreamgate.LEAVING:
         return NotRun(LEAVING)
     if gate.state == EMPTY and not gate.pool:
         return NotRun(NOT_READY)
-    if not gate.accepts or gate.pool != handover.pool:
+    if not gate.accepts or gate.pool != forwarded.pool:
         return NotRun(NOT_SERVING, f"{gate.name} is {gate.state} for {gate.pool!r}")
-    if handover.digest and handover.digest != gate.digest:
+    if forwarded.digest and forwarded.digest != gate.digest:
         return NotRun(NOT_SERVING, f"{gate.name} serves {gate.digest[:12]}")
     return None
 
@@ -288,9 +290,9 @@
     return True
 
 
-def _read_handover(request: Request) -> _Handover | NotRun:
+def _read_forwarded(request: Request) -> _ForwardedRequest | NotRun:
     try:
-        return _Handover(
+        return _ForwardedRequest(
             id=request.header(REQUEST_HEADER) or "",
             upstream=request.header(UPSTREAM_HEADER) or "",
             pool=request.header(POOL_HEADER) or "",
@@ -305,15 +307,15 @@
         return NotRun(BAD_REQUEST, str(error))
 
 
-def _upstream_headers(handover: _Handover, upstream: LocalUpstream) -> Headers:
-    headers = forwarded_headers(handover.request)
+def _upstream_headers(forwarded: _ForwardedRequest, upstream: LocalUpstream) -> Headers:
+    headers = forwarded_headers(forwarded.request)
     if upstream.gate.digest:
         headers.append((ENGINE_MATCH_HEADER, f'"{upstream.gate.digest}"'))
     for entry_name, engine_name in ENGINE_HEADERS:
-        value = handover.request.header(entry_name)
+        value = forwarded.request.header(entry_name)
         if value is not None:
             headers.append((engine_name, value))
-    headers.append((REQUEST_HEADER, handover.id))
+    headers.append((REQUEST_HEADER, forwarded.id))
     return headers
 
 
@@ -329,4 +331,5 @@
 
 
 def _load(upstream: LocalUpstream) -> str:
+    """Return the value of LOAD_HEADER: the number of requests in flight and queued."""
     return str(upstream.gate.in_flight + upstream.queue.queued)
