--- a/libs/rollout/src/headcross_rollout/orders.py
+++ b/libs/rollout/src/headcross_rollout/orders.py
@@ -3,9 +3,10 @@
 A process that was suspended resumes with outdated documents without noticing. `issue` therefore
 checks the clock for a pause before each order. After a pause, or if there was no recent contact
 with the configuration service or a peer, it re-reads the documents first, and the caller decides
-again on the result. An engine that checks fences refuses an outdated order that
-still gets through. For an engine that does not, the port bound for its upstream keeps a second
-daemon out, and a repeated order does no harm because orders set a state.
+again on the result. An engine that checks fences refuses an outdated order that is sent
+nevertheless. For an engine that does not, the port bound for its upstream keeps a second daemon
+out, and a repeated order does no harm because each order names all weights that the engine is to
+hold.
 """
 
 from typing import Final
@@ -26,7 +27,7 @@
 class OrderIssuer:
     """Sends fenced orders to one engine."""
 
-    # Orders accepted by the engine, orders that failed, and orders withheld as outdated.
+    # Numbers of orders that the engine accepted, that failed, and that were withheld as outdated.
     issued: int
     refused: int
     withheld: int
@@ -63,7 +64,7 @@
             self._incarnation = max(self._incarnation, state.fence.incarnation + 1)
 
     async def ensure_current_documents(self) -> bool:
-        """Re-read the documents if they may be outdated; return whether the revision still holds.
+        """Re-read the documents if they may be outdated; return whether an order may be sent.
 
         Returns False if the documents could not be read or the fleet file has a new revision.
         After False, or after a re-read, the caller must decide again.
--- a/libs/rollout/src/headcross_rollout/placement.py
+++ b/libs/rollout/src/headcross_rollout/placement.py
@@ -3,8 +3,8 @@
 Pools are filled in the order of the file. Within a pool, upstreams are taken from its zones
 round-robin until all replicas are placed or no candidate is left; within a zone they are ranked by
 rendezvous hashing on the pool's name. A host that joins or leaves therefore moves only its own
-share. A new version moves nothing, since the ranking does not depend on it. Upstreams that no pool
-took are spares of the pools whose zones they are in.
+share. A new version moves nothing, since the ranking does not depend on it. Upstreams that are
+assigned to no pool are spares of every pool that uses their zone.
 """
 
 from collections.abc import Iterable
--- a/libs/rollout/src/headcross_rollout/runner.py
+++ b/libs/rollout/src/headcross_rollout/runner.py
@@ -2,9 +2,9 @@
 
 The steps are: find the target, stage its weights while the old version still serves, wait for
 permission to stop serving, drain, send the order, check what the engine reports, serve. Each step
-re-reads the documents in force, so a newer fleet file cancels a transfer at once and redirects an
-upstream that waits. Without current documents an upstream keeps the weights that it has and
-continues to serve.
+uses the documents in force at that time, so a newer fleet file cancels a transfer at once and
+gives a waiting upstream its new target. Without current documents an upstream keeps the weights
+that it has and continues to serve.
 
 Only weights whose digest the engine itself reports are ever served.
 """
@@ -145,10 +145,13 @@
         return targets.of_pool(pool) if pool is not None else None
 
     async def _find_stand_in_pool(self) -> str | None:
-        """Return the pool in which this spare is to stand in for a silent upstream, or None."""
+        """Return the pool in which this spare is to stand in for a silent upstream, or None.
+
+        Entries are asked at most every STAND_IN_POLL_SECONDS; in between, the last result holds.
+        """
         if monotonic() - self._stand_in_polled_at < STAND_IN_POLL_SECONDS:
-            known = self._stand_in_pool
-            return known if known in self._context.targets.placement.pools else None
+            last_pool = self._stand_in_pool
+            return last_pool if last_pool in self._context.targets.placement.pools else None
         self._stand_in_polled_at = monotonic()
         self._stand_in_pool = None
         for name, placement in self._context.targets.placement.pools.items():
@@ -162,7 +165,7 @@
         return self._stand_in_pool
 
     def _sync_gate(self, state: EngineState) -> None:
-        """Make the gate agree with what the engine reports, and with nothing else."""
+        """Open or close the gate by the weights that the engine reports, whatever was ordered."""
         digest = _loaded_digest(state)
         if self._gate.state == SERVING and digest != self._gate.digest:
             self._record_decision(
@@ -178,6 +181,7 @@
             self._gate.set_state(SERVING, pool, digest)
 
     async def _roll_out(self, target: Target) -> float:
+        """Bring the upstream to a target; return the seconds to wait before the next step."""
         if not await self._stage(target):
             return RETRY_DELAY_SECONDS
         if self._gate.state == SERVING:
@@ -201,9 +205,10 @@
         swarm = self._context.swarm
         if self._gate.state != SERVING:
             self._gate.set_state(STAGING, target.pool)
-        # Weights that only the engine holds need not stay in the chunk store.
+        # This unpins the previous weights: those that the engine has loaded need not stay in the
+        # chunk store.
         swarm.store.pin(self._gate.name, {artifact.digest for artifact in target.artifacts})
-        done = False
+        all_fetched = False
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._cancel_if_superseded, target, nursery.cancel_scope)
             for artifact in target.artifacts:
@@ -213,9 +218,9 @@
                     self._record_decision(outcome.reason.code, outcome.detail)
                     break
             else:
-                done = True
+                all_fetched = True
             nursery.cancel_scope.cancel()
-        return done
+        return all_fetched
 
     async def _cancel_if_superseded(self, target: Target, scope: trio.CancelScope) -> None:
         while True:
@@ -226,19 +231,22 @@
                 scope.cancel()
 
     def _current_target(self, target: Target) -> Target | None:
-        """Return the target of this upstream now; None if it no longer has one.
+        """Return this upstream's target by the documents in force now, or None if it has none.
 
-        For a spare this is the current target of the pool of `target`.
+        For a spare this is the current target of the pool of `target`, in which it stands in.
         """
         targets = self._context.targets
         assigned = targets.of_upstream(self._gate.name)
         if assigned is not None or targets.pool(target.pool) is None:
             return assigned
-        spare = self._gate.name in targets.placement.pools[target.pool].spares
-        return targets.of_pool(target.pool) if spare else None
+        is_spare = self._gate.name in targets.placement.pools[target.pool].spares
+        return targets.of_pool(target.pool) if is_spare else None
 
     async def _ask_turn(self, target: Target | None) -> Turn:
-        """Ask entries whether this upstream may stop serving its pool."""
+        """Ask entries whether this upstream may stop serving its pool.
+
+        `target` is what it is to serve next, None if nothing.
+        """
         served = self._gate.pool
         if self._context.targets.pool(served) is None:
             return Turn(True, f"pool {served} is not in the file any more")
@@ -249,13 +257,15 @@
         return await self._context.turns.ask(kind, self._gate.name, served, digest)
 
     def _turn_poll_delay(self, turn: Turn) -> float:
-        """Return the seconds until the next question; longer for upstreams late in the order.
+        """Return the seconds until the next question; more for upstreams late in the rank order.
 
         The number of questions from a whole pool therefore grows with the logarithm of its size.
         """
         pool = self._context.targets.pool(self._gate.pool)
-        at_once = pool.max_unavailable if pool is not None else 1
-        return min(TURN_POLL_MAX_SECONDS, TURN_POLL_SECONDS * max(1.0, turn.before / at_once))
+        max_unavailable = pool.max_unavailable if pool is not None else 1
+        return min(
+            TURN_POLL_MAX_SECONDS, TURN_POLL_SECONDS * max(1.0, turn.before / max_unavailable)
+        )
 
     async def _stop_serving(self, revisions: DocumentRevisions) -> bool:
         """Refuse new requests and wait until running ones end or continue at another upstream.
@@ -284,7 +294,7 @@
         return True
 
     async def _load(self, target: Target) -> float:
-        """Order the engine to load the target; serve once it reports exactly that.
+        """Order the engine to load the target; serve once it reports exactly those weights.
 
         Returns the seconds to wait before the next step.
         """
@@ -326,7 +336,10 @@
         return None
 
     async def _unload(self, state: EngineState) -> float:
-        """Stop serving when permitted, then empty the engine of an upstream without a target."""
+        """Stop serving when permitted, then empty the engine of an upstream without a target.
+
+        Returns the seconds to wait before the next step.
+        """
         if self._gate.state == SERVING:
             revisions = self._context.documents.revisions
             turn = await self._ask_turn(None)
--- a/libs/rollout/src/headcross_rollout/target.py
+++ b/libs/rollout/src/headcross_rollout/target.py
@@ -76,10 +76,9 @@
         ]
 
     def pool_with_digest(self, digest: str, preferred: str | None) -> str | None:
-        """Return a pool that weights with this digest belong to, trying `preferred` first.
+        """Return a pool that weights with this digest belong to, or None; try `preferred` first.
 
-        All versions that the fleet file lists for the pool's model count. Returns None if no pool
-        matches.
+        The weights may be of any version that the fleet file lists for the pool's model.
         """
         names = list(self._documents.fleet.pools)
         if preferred in names:
--- a/libs/rollout/src/headcross_rollout/turnclient.py
+++ b/libs/rollout/src/headcross_rollout/turnclient.py
@@ -19,23 +19,23 @@
 
 MAX_ENTRIES_ASKED: Final = 3
 ANSWER_TIMEOUT_SECONDS: Final = 1.0
-# The first message to an entry may do no more than open the link, so questions are sent again
-# until an entry answers.
+# A message to an entry without an open link is dropped and only opens the link, so questions are
+# sent again until an entry answers.
 RESEND_INTERVAL_SECONDS: Final = 0.2
 
 
 class _Question:
     """One question and the answers received so far."""
 
-    def __init__(self, entries: int) -> None:
+    def __init__(self, entries_asked: int) -> None:
         self.answers: list[TurnAnswer] = []
         self.answered = trio.Event()
-        self._entries = entries
+        self._entries_asked = entries_asked
 
     def add(self, answer: TurnAnswer) -> None:
         """Record an answer; `answered` is set once all entries that were asked have answered."""
         self.answers.append(answer)
-        if len(self.answers) >= self._entries:
+        if len(self.answers) >= self._entries_asked:
             self.answered.set()
 
 
@@ -51,7 +51,7 @@
         self._zone = zone
         self._documents = documents
         self._node = node
-        self._numbers = itertools.count(1)
+        self._question_numbers = itertools.count(1)
         self._questions: dict[int, _Question] = {}
 
     def receive(self, answer: TurnAnswer) -> None:
@@ -66,7 +66,7 @@
         Waits up to ANSWER_TIMEOUT_SECONDS; without any answer the result is a refusal.
         """
         revisions = self._documents.revisions
-        number = next(self._numbers)
+        number = next(self._question_numbers)
         message = AskTurn(number, kind, upstream, pool, digest, revisions.fleet, revisions.hosts)
         entries = self._choose_entries()
         question = self._questions[number] = _Question(len(entries))
--- a/libs/rollout/src/headcross_rollout/turnresponder.py
+++ b/libs/rollout/src/headcross_rollout/turnresponder.py
@@ -1,8 +1,8 @@
 """Decides at an entry whether an upstream may stop serving, on behalf of its daemon.
 
-Entries receive all heartbeats, so an entry can decide and answer in a few bytes. The rules are in
-`turns`. An entry decides only for a daemon that has the same two documents in force: both then
-compute the same placement. It keeps no state about its answers.
+Entries receive all heartbeats, so an entry can decide alone, and its answer takes a few bytes. The
+rules are in `turns`. An entry decides only for a daemon that has the same two documents in force:
+both then compute the same placement. It keeps no state about its answers.
 """
 
 from headcross_fleet.documents import DocumentRevisions, Documents
--- a/libs/rollout/src/headcross_rollout/turns.py
+++ b/libs/rollout/src/headcross_rollout/turns.py
@@ -2,18 +2,19 @@
 
 The functions are pure: they depend on the placement and on what entries know of a pool. Daemons do
 not coordinate with each other, and their views differ for seconds, so the rules ensure that
-daemons which act on different views do not take away more upstreams than the fleet file allows:
+daemons which act on different views do not together stop more upstreams than the fleet file
+allows:
 
 * Only rows that are fresh, and whose daemon has the same fleet file and host list in force, count
-  as serving. Such a daemon follows the same order as this one.
+  as serving. Such a daemon follows the same rank order as this one.
 * Upstreams that swap weights within a pool follow the rank order: an upstream may stop serving
   only while fewer than `max_unavailable` of the upstreams ranked before it have yet to serve the
   new version.
 * For an upstream that leaves a pool, all leaving upstreams that come before it by name count as
   having left.
 
-A silent upstream is not replaced at once: it counts as unavailable, and the order skips it only
-after `stand_in_seconds`.
+A silent upstream counts as unavailable at once, but it is skipped in the rank order, and replaced
+by a spare, only after `stand_in_seconds`.
 """
 
 from collections.abc import Mapping
@@ -44,13 +45,16 @@
     digest: str,
     revisions: DocumentRevisions,
 ) -> Turn:
-    """Return whether an assigned upstream may stop serving to load another version of its pool."""
+    """Return whether an assigned upstream may stop serving to load another version of its pool.
+
+    `assigned` is in rank order; `digest` is that of the weights that the pool is to serve.
+    """
     serving = {name for name in assigned if _counts_as_serving(rows.get(name), revisions)}
     ranked_before = assigned[: assigned.index(upstream)]
     pending = [
         name
         for name in ranked_before
-        if not _needs_no_turn(rows.get(name), pool, digest, revisions)
+        if not _has_swapped_or_is_skipped(rows.get(name), pool, digest, revisions)
     ]
     if len(pending) >= pool.max_unavailable:
         return Turn(False, f"{pending[0]} goes before", len(pending))
@@ -84,7 +88,10 @@
 def may_stand_in(
     upstream: str, pool: Pool, assigned: list[str], spares: list[str], rows: Rows
 ) -> Turn:
-    """Return whether a spare is to serve in place of a silent upstream."""
+    """Return whether a spare is to serve in place of a silent upstream.
+
+    The first spare stands in for the first silent upstream, the second for the second, and so on.
+    """
     silent = [name for name in assigned if _is_replaceable(rows.get(name), pool)]
     position = spares.index(upstream)
     if position < len(silent):
@@ -100,10 +107,13 @@
     return row.state == SERVING and same_revisions
 
 
-def _needs_no_turn(
+def _has_swapped_or_is_skipped(
     row: PoolRow | None, pool: Pool, digest: str, revisions: DocumentRevisions
 ) -> bool:
-    """Return whether those ranked after an upstream need not wait for it."""
+    """Return whether upstreams that are ranked after this one need not wait for it.
+
+    They need not if it serves the new weights, or is silent for so long that it is skipped.
+    """
     if row is None:
         return False
     if _is_replaceable(row, pool):
@@ -112,4 +122,5 @@
 
 
 def _is_replaceable(row: PoolRow | None, pool: Pool) -> bool:
+    """Return whether an upstream is silent for so long that a spare may stand in for it."""
     return row is not None and row.silent and row.age > pool.stand_in_seconds
