--- a/libs/fleet/src/headcross_fleet/documents.py
+++ b/libs/fleet/src/headcross_fleet/documents.py
@@ -3,10 +3,10 @@
 A document comes from the service or from a peer and must have a higher revision than the one held.
 The fleet file is validated as a whole; an invalid file is kept as rejected, so that it can be
 shown, and the last valid one stays in force. Two bodies under one revision mean that the service
-is split or damaged: the one held stays, and the conflict is counted and shown.
+is split or damaged: the body held stays, and the conflict is counted and shown.
 
-Freshness: each process records the latest time at which it knows that the service had nothing
-newer, from its own reads or from a peer's message with its age.
+For freshness, each process records the latest time at which the service is known to have had
+nothing newer. It learns such times from its own reads, and from the ages in peers' messages.
 """
 
 import logging
@@ -110,9 +110,11 @@
         await self._changed.wait()
 
     def offer(self, key: str, revision: int, body: bytes, age: float) -> bool:
-        """Take a document if it is newer than the one held; return whether it was new.
+        """Take a document if it is newer than the one held; return whether it was taken.
 
-        `age` is the number of seconds since the service was known to have nothing newer.
+        While the newest revision is rejected, a revision between the one in force and the rejected
+        one is also taken if it is valid. `age` is the number of seconds since the service was
+        known to have nothing newer.
         """
         self.contact_at = monotonic()
         held = self._held[key]
@@ -144,6 +146,7 @@
             self._confirm(held, digest, age)
 
     def _confirm(self, held: HeldDocument, digest: str, age: float) -> None:
+        """Record the held revision as fresh, or a conflict if the digest is of another body."""
         if digest != held.digest:
             self.counts["conflict"] += 1
             reason = f"{REVISION_CONFLICT.code}: revision {held.revision} has two bodies"
@@ -181,6 +184,7 @@
         return None
 
     def _report(self, held: HeldDocument) -> None:
+        """Count, record and log whether the newest revision was accepted or rejected."""
         fields = {"document": held.key, "revision": held.revision, "digest": held.digest}
         if held.rejection:
             self.counts["rejected"] += 1
--- a/libs/fleet/src/headcross_fleet/fleetfile.py
+++ b/libs/fleet/src/headcross_fleet/fleetfile.py
@@ -59,9 +59,10 @@
     # origin lowest, a higher number saves time when one of these hosts is slow.
     origin_copies: Annotated[int, msgspec.Meta(ge=1, le=16)] = 1
     max_unavailable: Count = 1  # replicas that may be unavailable at once during a rollout
-    # Time for the requests of a leaving replica to end; then they are resumed elsewhere.
+    # Time for the requests of a leaving replica to end; after that, streams that can be resumed
+    # continue at another replica.
     drain_seconds: Seconds = 60.0
-    # Time without heartbeats after which another host replaces a silent one.
+    # Time without heartbeats after which a spare replaces a silent replica.
     stand_in_seconds: Seconds = 30.0
 
 
@@ -72,12 +73,12 @@
 
 
 class Team(_Table, frozen=True, kw_only=True):
-    """A team and its limits, which each entry applies on its own."""
+    """A team and its limits for the whole fleet; each entry enforces its share of them."""
 
     requests_per_second: Rate
     burst: Count = 20
     max_in_flight: Count = 100
-    weight: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # relative share of a full upstream
+    weight: Annotated[int, msgspec.Meta(ge=1, le=1000)] = 1  # relative share of a busy upstream
     priority: Annotated[int, msgspec.Meta(ge=0, le=9)] = 5  # 0 is highest; passed to engines
 
 
@@ -111,7 +112,7 @@
 
 
 EMPTY_FLEET: Final = FleetFile()
-_SECTIONS: Final[dict[str, type[_Table]]] = {
+_TABLE_TYPES: Final[dict[str, type[_Table]]] = {
     "models": Model,
     "adapters": Adapter,
     "pools": Pool,
@@ -151,28 +152,29 @@
 
 
 def _convert_file(raw: dict[str, Any]) -> FleetFile:
-    unknown = sorted(set(raw) - set(_SECTIONS) - {"routes"})
+    unknown = sorted(set(raw) - set(_TABLE_TYPES) - {"routes"})
     if unknown:
         raise _FieldError(f"{unknown[0]}: no such table")
-    sections: dict[str, Any] = {}
-    for section, kind in _SECTIONS.items():
-        table: dict[str, Any] = _convert(section, raw.get(section, {}), dict[str, Any])
-        if len(table) > MAX_TABLE_ENTRIES:
-            raise _FieldError(f"{section}: {len(table)} entries, at most {MAX_TABLE_ENTRIES}")
-        sections[section] = {
-            _convert(f"{section}.{name}", name, Name): _convert(f"{section}.{name}", value, kind)
-            for name, value in table.items()
+    tables: dict[str, Any] = {}
+    for table, entry_type in _TABLE_TYPES.items():
+        entries: dict[str, Any] = _convert(table, raw.get(table, {}), dict[str, Any])
+        if len(entries) > MAX_TABLE_ENTRIES:
+            raise _FieldError(f"{table}: {len(entries)} entries, at most {MAX_TABLE_ENTRIES}")
+        tables[table] = {
+            _convert(f"{table}.{name}", name, Name): _convert(f"{table}.{name}", value, entry_type)
+            for name, value in entries.items()
         }
     routes: list[Any] = _convert("routes", raw.get("routes", []), list[Any])
-    sections["routes"] = [
+    tables["routes"] = [
         _convert(f"routes[{index}]", route, Route) for index, route in enumerate(routes)
     ]
-    return FleetFile(**sections)
+    return FleetFile(**tables)
 
 
-def _convert(field: str, value: object, kind: Any) -> Any:  # noqa: ANN401
+def _convert(field: str, value: object, target_type: Any) -> Any:  # noqa: ANN401
+    """Convert and validate the value of a field; raise _FieldError if it is invalid."""
     try:
-        return msgspec.convert(value, kind)
+        return msgspec.convert(value, target_type)
     except msgspec.ValidationError as error:
         reason, _, path = str(error).partition(" - at `$")
         raise _FieldError(f"{field}{path.rstrip('`')}: {reason}") from None
@@ -185,9 +187,9 @@
         yield from _pool_problems(fleet, f"pools.{name}", pool)
     yield from _route_problems(fleet)
     yield from _artifact_problems(fleet)
-    both = sorted(set(fleet.pools) & set(fleet.services))
-    if both:
-        yield f"services.{both[0]}: a pool has this name too"
+    shared_names = sorted(set(fleet.pools) & set(fleet.services))
+    if shared_names:
+        yield f"services.{shared_names[0]}: a pool has this name too"
 
 
 def _adapter_problems(fleet: FleetFile) -> Iterator[str]:
--- a/libs/fleet/src/headcross_fleet/following.py
+++ b/libs/fleet/src/headcross_fleet/following.py
@@ -3,15 +3,16 @@
 The tasks of a follower:
 
 * start: ask the service and the peers for their newest documents; `settled` is set when both
-  answered or `SETTLE_SECONDS` are over, and the daemon takes no work and issues no orders before;
+  answered or `SETTLE_SECONDS` are over, and until then the daemon takes no work and issues no
+  orders;
 * watch: if this host is a reader of a key (see `topology`), keep a long poll on it;
 * notice: on a change, send key, revision and digest to the neighbours at once; they ask for the
   body. Repeated notices also spread the readers' freshness;
 * fallback: when the document has not been confirmed as fresh for too long, read the service, with
   jitter and backoff.
 
-A change reaches every process within `FRESH_SECONDS` + jitter + a read even if every notice is
-lost and all readers have failed; otherwise it takes a few message delays.
+A change reaches every process within a few message delays, or, if every notice is lost and all
+readers have failed, within `FRESH_SECONDS` + jitter + a read.
 """
 
 import random
@@ -37,8 +38,9 @@
 NOTICE_INTERVAL_SECONDS: Final = 1.5
 # An improvement of freshness by less than this causes no notice.
 MIN_NOTICE_GAIN_SECONDS: Final = 1.0
-# A process reads the service itself if its document is older than this. With a jitter of 1 s and a
-# read of at most 2 s, that is just within the 8 s allowed for a change to reach every process.
+# A process reads the service itself if its document was last confirmed as fresh longer ago than
+# this. With a jitter of 1 s and a read of at most 2 s, that is just within the 8 s allowed for a
+# change to reach every process.
 FRESH_SECONDS: Final = 5.0
 READ_JITTER_SECONDS: Final = 1.0
 # Maximum backoff between these reads while the service is down.
@@ -94,7 +96,7 @@
             case DocumentNotice(key=key) if key in KEYS:
                 self._handle_notice(message, reply)
             case AskDocument(key=key) if key in KEYS:
-                self._answer(key, reply)
+                self._send_document(key, reply)
             case Document(key=key) if key in KEYS:
                 self._handle_document(message)
             case _:
@@ -112,13 +114,13 @@
 
     async def _ask_peers(self, key: str) -> bool:
         """Ask the peers for a document; return whether one arrived in time."""
-        before = self._documents_received[key]
+        received_before = self._documents_received[key]
         with trio.move_on_after(PEER_ANSWER_SECONDS):
-            while self._documents_received[key] == before:
+            while self._documents_received[key] == received_before:
                 for address in self._peer_addresses():
                     self._node.send(address, AskDocument(key))
                 await trio.sleep(PEER_ANSWER_SECONDS / 4)
-        return self._documents_received[key] > before
+        return self._documents_received[key] > received_before
 
     def is_reader(self, key: str) -> bool:
         """Return whether this host should watch a key."""
@@ -149,7 +151,7 @@
         self._documents.offer(document.key, document.revision, document.body, document.age)
         self._send_notice_if_due(document.key)
 
-    def _answer(self, key: str, reply: Reply) -> None:
+    def _send_document(self, key: str, reply: Reply) -> None:
         held = self._documents.held(key)
         if held.revision == NO_REVISION:
             reply(self._make_notice(key), None)
@@ -193,10 +195,11 @@
                 self._send_notice(key)
 
     def _peer_addresses(self) -> list[Address]:
-        me = self._own_host()
-        if me is None:
+        """Return the neighbours' addresses, or the seeds while this host is not listed."""
+        own_host = self._own_host()
+        if own_host is None:
             return self._seeds
-        return [host.control_address for host in neighbours_of(self._documents.hosts, me)]
+        return [host.control_address for host in neighbours_of(self._documents.hosts, own_host)]
 
     def _own_host(self) -> Host | None:
         return self._documents.hosts.find(self._host)
@@ -204,6 +207,7 @@
     # Reading the service.
 
     async def _watch(self, key: str) -> None:
+        """Keep a long poll on a key while this host is a reader of it."""
         while True:
             if not self.is_reader(key):
                 await trio.sleep(WATCH_SECONDS)
@@ -213,7 +217,7 @@
             if isinstance(outcome, Failure):
                 await trio.sleep(random.uniform(0.5, 1.5))
                 continue
-            self._take(key, outcome.value)
+            self._handle_service_answer(key, outcome.value)
 
     async def _read_when_stale(self, key: str) -> None:
         """Read the service when the document has not been confirmed as fresh for too long."""
@@ -230,13 +234,14 @@
             backoff = min(backoff * 2, MAX_READ_BACKOFF_SECONDS)
 
     async def _read(self, key: str) -> bool:
+        """Read a document from the service; return whether that succeeded."""
         outcome = await self._service.read(key)
         if isinstance(outcome, Failure):
             return False
-        self._take(key, outcome.value)
+        self._handle_service_answer(key, outcome.value)
         return True
 
-    def _take(self, key: str, answer: Snapshot | Unchanged) -> None:
+    def _handle_service_answer(self, key: str, answer: Snapshot | Unchanged) -> None:
         self._service_answered.add(key)
         held = self._documents.held(key)
         if isinstance(answer, Unchanged):
@@ -254,14 +259,15 @@
         """
         with trio.move_on_after(SETTLE_SECONDS):
             while not self._all_answered():
-                await self._ask_everyone()
+                await self._ask_service_and_peers()
                 await trio.sleep(SETTLE_RETRY_SECONDS if not self._all_answered() else 0)
         while self._documents.revision == NO_REVISION:
-            await self._ask_everyone()
+            await self._ask_service_and_peers()
             await trio.sleep(SETTLE_RETRY_SECONDS)
         self.settled.set()
 
-    async def _ask_everyone(self) -> None:
+    async def _ask_service_and_peers(self) -> None:
+        """Read the documents for which the service has not answered yet, and ask all peers."""
         for key in KEYS:
             if key not in self._service_answered:
                 await self._read(key)
--- a/libs/fleet/src/headcross_fleet/membership.py
+++ b/libs/fleet/src/headcross_fleet/membership.py
@@ -1,10 +1,10 @@
 """Tracks the state of upstreams from the heartbeats of their daemons.
 
-Upstream daemons send a status to every entry: at once after a change, else once per period. The
-period grows with the fleet, so that an entry receives about `STATUS_PER_SECOND` of them at most.
-Messages of an older incarnation or out of order are dropped. A daemon whose heartbeat is overdue
-is silent: it is suspect but may be alive. Its last status stays until its next message or until it
-is removed from the host list.
+As its heartbeat, an upstream daemon sends its status to every entry: at once after a change, else
+once per period. The period grows with the fleet, so that an entry receives at most about
+`STATUS_PER_SECOND` heartbeats a second. Messages of an older incarnation or out of order are
+dropped. A daemon whose heartbeat is overdue is silent: it is suspect but may be alive. Its last
+status stays until its next message or until it is removed from the host list.
 """
 
 from collections.abc import Iterator
@@ -25,7 +25,7 @@
 
 
 def heartbeat_period(daemons: int) -> float:
-    """Return the seconds between heartbeats of each of `daemons` upstream daemons.
+    """Return the seconds between two heartbeats of one daemon if there are `daemons` of them.
 
     >>> heartbeat_period(6), heartbeat_period(300)
     (1.0, 15.0)
@@ -119,7 +119,7 @@
         return {u.name: _make_row(d, u) for d, u in self.upstreams() if u.pool == pool}
 
     def named_rows(self, names: list[str]) -> dict[str, PoolRow]:
-        """Return the state of the known ones of these upstreams in any pool, by upstream name."""
+        """Return the state of these upstreams, in whatever pool, by name; omit unknown ones."""
         wanted = set(names)
         return {u.name: _make_row(d, u) for d, u in self.upstreams() if u.name in wanted}
 
@@ -138,4 +138,5 @@
 
 
 def _order_key(status: Status) -> tuple[int, int]:
+    """Return a key by which the messages of one daemon are in the order of sending."""
     return status.incarnation, status.sequence
--- a/libs/fleet/src/headcross_fleet/upstreamgate.py
+++ b/libs/fleet/src/headcross_fleet/upstreamgate.py
@@ -2,7 +2,7 @@
 
 The rollout opens the gate when the upstream serves a complete, verified version, and closes it
 when the upstream leaves; requests are counted until they end. Closing takes effect at once, even
-if entries have an older state of the upstream, because every request passes the gate.
+if entries do not know of it yet, because every request passes the gate.
 """
 
 from collections.abc import Callable, Iterator
@@ -13,7 +13,7 @@
 from headcross_base.clocks import monotonic
 
 # States of an upstream, as dumps and heartbeats show them.
-EMPTY: Final = "empty"  # has no weights and is not assigned any
+EMPTY: Final = "empty"  # serves nothing, and no weights are being fetched or loaded
 STAGING: Final = "staging"  # fetches weights, serves nothing
 STAGED: Final = "staged"  # has all weights and waits for its turn to load, serves nothing
 LOADING: Final = "loading"  # the engine loads the weights
@@ -76,7 +76,7 @@
 
     @contextmanager
     def request_in_flight(self) -> Iterator[None]:
-        """Count a request as in flight within the block."""
+        """Count a request as in flight within the `with` block."""
         self.in_flight += 1
         try:
             yield
