--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -167,7 +167,7 @@
 
     def _remove_absent(self) -> None:
         hosts = self.process.documents.hosts
-        self.statuses.keep_only({host.name for host in hosts.hosts})
+        self.statuses.drop_silent_unlisted({host.name for host in hosts.hosts})
         self.picker.remove_absent({u.name for host in hosts.hosts for u in host.upstreams})
 
     def _observe(self, meta: RequestMeta, verdict: Verdict, seconds: float) -> None:
--- a/libs/fleet/src/headcross_fleet/membership.py
+++ b/libs/fleet/src/headcross_fleet/membership.py
@@ -94,7 +94,7 @@
             )
             self._daemons[host] = DaemonStatus(departed, monotonic())
 
-    def keep_only(self, hosts: set[str]) -> None:
+    def drop_silent_unlisted(self, hosts: set[str]) -> None:
         """Drop silent daemons that are not among the listed hosts."""
         for name in list(self._daemons):
             if name not in hosts and self._daemons[name].silent():
