--- a/libs/base/src/headcross_base/addresses.py
+++ b/libs/base/src/headcross_base/addresses.py
@@ -40,7 +40,7 @@
     if not colon or not port.isdecimal() or int(port) > 65535:
         raise ValueError(f"{text!r} is not IP:PORT")
     try:
-        number = ipaddress.ip_address(ip.removeprefix("[").removesuffix("]"))
+        parsed_ip = ipaddress.ip_address(ip.removeprefix("[").removesuffix("]"))
     except ValueError as error:
         raise ValueError(f"{text!r} is not IP:PORT: {error}") from None
-    return Address(str(number), int(port))
+    return Address(str(parsed_ip), int(port))
--- a/libs/base/src/headcross_base/clocks.py
+++ b/libs/base/src/headcross_base/clocks.py
@@ -46,9 +46,9 @@
         monotonic_clock: Callable[[], float] = time.monotonic,
         boottime_clock: Callable[[], float] = monotonic,
     ) -> None:
-        """Use two clocks, of which only `boottime_clock` advances during a suspension.
+        """Use two clocks: `monotonic_clock` is cheap to read but stops during a suspension.
 
-        `monotonic_clock` is cheap to read.
+        `boottime_clock` does not stop.
         """
         self._monotonic_clock = monotonic_clock
         self._boottime_clock = boottime_clock
@@ -61,22 +61,22 @@
 
     def current_time(self) -> float:
         """Return seconds; a suspension is included at most 0.01 s after its end."""
-        elapsed = self._monotonic_clock()
-        if elapsed - self._compared_at >= COMPARE_INTERVAL_SECONDS:
-            self._compared_at = elapsed
+        monotonic_now = self._monotonic_clock()
+        if monotonic_now - self._compared_at >= COMPARE_INTERVAL_SECONDS:
+            self._compared_at = monotonic_now
             # The monotonic clock is read last: a pause of the process between the two reads must
             # not count as a suspension.
             boottime = self._boottime_clock()
-            elapsed = self._monotonic_clock()
-            self._suspended_seconds = max(self._suspended_seconds, boottime - elapsed)
-        return elapsed + self._suspended_seconds
+            monotonic_now = self._monotonic_clock()
+            self._suspended_seconds = max(self._suspended_seconds, boottime - monotonic_now)
+        return monotonic_now + self._suspended_seconds
 
     def deadline_to_sleep_time(self, deadline: float) -> float:
         """Return the seconds until a deadline.
 
-        Timers of the operating system do not advance during a suspension, so a timer that is set
-        before one fires late by up to its length. Other timers of the process wake it earlier, and
-        all deadlines are checked then.
+        Timers of the operating system do not advance during a suspension, so a timer that was set
+        before the suspension fires late by up to the length of the suspension. Other timers of the
+        process wake it earlier, and all deadlines are checked then.
         """
         return deadline - self.current_time()
 
--- a/libs/base/src/headcross_base/decisions.py
+++ b/libs/base/src/headcross_base/decisions.py
@@ -30,11 +30,13 @@
 class Journal:
     """The last decisions of this process, and the number of decisions of each kind."""
 
+    # Number of decisions by kind.
     counts: Counter[str]
 
     def __init__(self, length: int = JOURNAL_LENGTH) -> None:
         self.counts = Counter()
-        self._last: deque[Decision] = deque(maxlen=length)
+        self._entries: deque[Decision] = deque(maxlen=length)
+        # The last decision by kind and subject.
         self._last_by_subject: dict[tuple[str, str], Decision] = {}
 
     def record(self, kind: str, subject: str, reason: str) -> None:
@@ -49,9 +51,9 @@
         if len(self._last_by_subject) > JOURNAL_LENGTH:
             self._last_by_subject.clear()
         self._last_by_subject[(kind, subject)] = decision
-        self._last.append(decision)
+        self._entries.append(decision)
         logger.info("decision", extra={"kind": kind, "subject": subject, "reason": reason})
 
     def entries(self) -> list[Decision]:
         """Return the recorded decisions, oldest first."""
-        return list(self._last)
+        return list(self._entries)
--- a/libs/base/src/headcross_base/hashing.py
+++ b/libs/base/src/headcross_base/hashing.py
@@ -1,8 +1,8 @@
 """Digests and rendezvous hashing.
 
-A digest is the SHA-256 of some bytes in lower-case hexadecimal. Rendezvous hashing (highest random
-weight) gives every process the same order of the same hosts for a key without communication. When
-a host is added or removed, only the keys of that host move.
+A digest is the SHA-256 of some bytes in lower-case hexadecimal. With rendezvous hashing (highest
+random weight) all processes compute the same order of the same hosts for a key, without
+communication. When a host is added or removed, only the keys of that host move.
 """
 
 import hashlib
--- a/libs/base/src/headcross_base/linelog.py
+++ b/libs/base/src/headcross_base/linelog.py
@@ -77,6 +77,7 @@
             self.flush()
 
     def _start_second(self, second: int) -> None:
+        """In a new second, reset the number of its lines and log how many were dropped before."""
         if second == self._current_second:
             return
         self._current_second = second
--- a/libs/base/src/headcross_base/verdicts.py
+++ b/libs/base/src/headcross_base/verdicts.py
@@ -1,7 +1,8 @@
 """Verdicts: whether a request may have run.
 
-Every request ends with exactly one verdict. `NotRun` guarantees that the request was not handed to
-any upstream, so it may safely be sent again. `MayHaveRun` means that this cannot be guaranteed.
+Every request ends with exactly one verdict. `Completed` means that the caller has the complete
+answer. `NotRun` guarantees that the request was not handed to any upstream, so it may safely be
+sent again. `MayHaveRun` means that this cannot be guaranteed.
 Callers get the verdict in the `Headcross-Verdict` header of every error.
 """
 
@@ -45,7 +46,7 @@
 
 
 def verdict_name(verdict: Verdict) -> str:
-    """Return the name of a verdict in headers, logs and metrics."""
+    """Return the name that a verdict has in headers, logs and metrics."""
     match verdict:
         case Completed():
             return COMPLETED
