--- a/libs/ports/src/headcross_ports/configuration.py
+++ b/libs/ports/src/headcross_ports/configuration.py
@@ -1,7 +1,7 @@
 """The configuration: routes, services, teams and limits for callers.
 
-One immutable value holds a whole version, so that one version applies to a request from its start
-to its end.
+Each version is one immutable value, so that the same version applies to a request from start to
+end.
 """
 
 import random
@@ -119,7 +119,10 @@
         object.__setattr__(self, "_team_by_key", keys)
 
     def find_route(self, host: str, path: str) -> Route | None:
-        """Return the host's route with the longest prefix of the path, None if none matches."""
+        """Return the host's route with the longest matching prefix, None if none matches.
+
+        A port in `host` is ignored.
+        """
         name = host.rpartition(":")[0] if ":" in host else host
         name = name.lower()
         end = len(path)
--- a/libs/ports/src/headcross_ports/published.py
+++ b/libs/ports/src/headcross_ports/published.py
@@ -75,13 +75,13 @@
 class Incarnation:
     """One run of a replica's process; it keeps no state of earlier incarnations.
 
-    A replica may restart under the same id. Which of two incarnations is the later one follows
-    from the order in which the list, or the replica's daemon, reports them. Start times do not
-    show it, since clocks may be set back.
+    A replica may restart under the same id. The later of two incarnations is the one that the
+    list, or the replica's daemon, reports later. Start times do not show the order, since clocks
+    may be set back.
     """
 
     id: str
-    # Unix time of its start; None if it is not reported, and then only the ids are compared.
+    # Unix time of its start; None if it is not reported. Then only the ids are compared.
     started_ms: int | None
 
     def is_other_than(self, other: "Incarnation") -> bool:
@@ -118,6 +118,7 @@
         return Incarnation(self.id, self.started_ms)
 
 
+# What a published item describes.
 Fact = Configuration | NamedVersion | Replica
 
 
@@ -133,7 +134,7 @@
         """Wait for changes after a revision.
 
         Without changes the store answers after `wait_seconds`. The call fails if no part of the
-        answer has arrived `answer_seconds` after that.
+        answer arrives within another `answer_seconds`.
         """
 
     def covers(self, topic: Topic, key: str) -> bool:
--- a/libs/ports/src/headcross_ports/replicas.py
+++ b/libs/ports/src/headcross_ports/replicas.py
@@ -48,12 +48,12 @@
     async def start(
         self, model: str, version: int, expected: ReplicaReport, *, break_off: bool
     ) -> Ok[OrderTaken | OrderRefused] | Failure:
-        """Order the replica to load the staged chunks; it accepts no requests until it has.
+        """Order the replica to load the staged chunks; until then it accepts no requests.
 
         The order applies only to the incarnation and the number of accepted orders in `expected`.
-        The replica loads when its running requests have ended, or with `break_off` at once,
-        interrupting them. A refusal means that nothing was started and no order is in flight. A
-        failure means that the order may have been accepted, or may still be.
+        The replica loads the chunks when its running requests have ended, or at once with
+        `break_off`, which interrupts them. A refusal means that nothing was started and no order
+        is in flight. A failure means that the order may have been accepted, or may still be.
         """
 
     async def close(self) -> None:
--- a/libs/ports/src/headcross_ports/requests.py
+++ b/libs/ports/src/headcross_ports/requests.py
@@ -56,7 +56,7 @@
     # Requests per second that it accepts from all entries together; None if it names no limit.
     limit: float | Unreadable | None = None
     leaving: bool | Unreadable = False  # it accepts no new requests
-    # Time for which this process is to send it no requests (a rest); None if it asks for none.
+    # Time for which this process must send it no requests (a rest); None if it asks for none.
     rest_seconds: float | Unreadable | None = None
 
 
@@ -67,7 +67,7 @@
     id: str | None  # of the request that it answers
     sealed: bool  # it has the replica's signature
     not_run: bool  # the replica states that it did not run the request
-    elsewhere: bool  # another replica, or other weights, are at that address
+    elsewhere: bool  # the address now has another replica, or a replica with other weights
     encoded: bool  # the body has a content encoding
     weights_version: int | None
     signals: BackpressureSignals
