--- a/libs/wire/src/headcross_wire/httpclient.py
+++ b/libs/wire/src/headcross_wire/httpclient.py
@@ -1,7 +1,7 @@
-"""An HTTP/1.1 client (h11 over trio) in steps, which show how much of a request was sent.
+"""An HTTP/1.1 client (h11 over trio) with separate steps to connect, send and receive.
 
-The steps decide the verdict on a request: if `connect` fails, nothing was sent; from the first
-byte that `send` writes, the request may run. The body of an `Answer` is then read in pieces.
+The verdict on a request depends on the step that fails: if `connect` fails, nothing was sent; from
+the first byte that `send` writes, the request may run. The body of an `Answer` is read in pieces.
 """
 
 import socket
@@ -23,12 +23,12 @@
 
 # SO_LINGER value: closing discards unsent data and resets the connection (socket(7)).
 RESET_ON_CLOSE: Final = struct.pack("ii", 1, 0)
-CONNECT_SECONDS: Final = 2.0
+CONNECT_TIMEOUT_SECONDS: Final = 2.0
 IDLE_SECONDS: Final = 20.0  # a connection idle for longer is not reused
 MAX_IDLE_PER_ADDRESS: Final = 16  # idle connections kept per address
 
-# The source IP address of this process's connections; None lets the system choose. Set once at
-# start from the settings, and inherited by tasks.
+# The source IP address of this process's connections; None lets the system choose. It is set once
+# at the start from the settings, and tasks inherit it.
 SOURCE_IP: Final[ContextVar[str | None]] = ContextVar("SOURCE_IP", default=None)
 
 
@@ -146,7 +146,7 @@
             raise LinkLostError(f"broken answer: {error}") from None
 
 
-async def connect(address: Address, seconds: float = CONNECT_SECONDS) -> HttpConnection:
+async def connect(address: Address, seconds: float = CONNECT_TIMEOUT_SECONDS) -> HttpConnection:
     """Open a connection; raise ConnectError if that fails or takes longer than `seconds`."""
     try:
         with trio.fail_after(seconds):
@@ -272,7 +272,10 @@
     until: float,
     max_bytes: int,
 ) -> Ok[WholeAnswer] | Failure:
-    """Make one call on a connection until a trio time, then return the connection to the pool."""
+    """Make one call on a connection, which goes back to the pool or is closed if the call fails.
+
+    The call fails at the trio time `until`.
+    """
     try:
         with trio.fail_at(until):
             answer = await exchange(connection, method, target, [], body, max_bytes)
--- a/libs/wire/src/headcross_wire/httpserver.py
+++ b/libs/wire/src/headcross_wire/httpserver.py
@@ -87,7 +87,7 @@
     _connection: h11.Connection
     _stream: trio.abc.Stream
     _limits: ServerLimits
-    _last: bool = False  # this is the last request on the connection
+    _closes_connection: bool = False  # the connection is closed after the answer
     started: bool = field(default=False)  # whether the status line was sent
 
     async def respond(self, status: int, headers: Headers, body: bytes) -> None:
@@ -107,7 +107,7 @@
     async def start(self, status: int, headers: Headers) -> None:
         """Send the status line and headers of an answer."""
         self.started = True
-        if self._last:
+        if self._closes_connection:
             headers = [*headers, ("connection", "close")]
         await self._write(h11.Response(status_code=status, headers=_encode(headers)))
 
@@ -153,7 +153,7 @@
     malformed: int
     # Number of requests whose handler raised an unexpected exception.
     faults: int
-    # Apply to requests read after they are set.
+    # Limits for requests; new ones apply to requests that are read after they are set.
     limits: ServerLimits
     # Whether every answer has `Connection: close`.
     sends_connection_close: bool
@@ -185,15 +185,15 @@
     async def serve(
         self, listeners: Sequence[trio.SocketListener], nursery: trio.Nursery | None = None
     ) -> None:
-        """Accept until cancelled; connections outlive that if they run in `nursery`."""
+        """Accept connections until cancelled; open ones continue if they run in `nursery`."""
         await trio.serve_listeners(
             self._serve_connection, list(listeners), handler_nursery=nursery
         )
 
     def close_idle(self) -> None:
-        """Close idle connections within CLOSING_IDLE_SECONDS, the others after their answer.
+        """Close idle connections within CLOSING_IDLE_SECONDS, and others after their answer.
 
-        The delay lets requests be served that were in transit when this is called.
+        The delay allows for requests that are in transit when this is called: they are served.
         """
         self._closing = True
         for scope in self._idle_scopes:
@@ -246,8 +246,8 @@
             return False
         if request is None:
             return False
-        last = self._closing or self.sends_connection_close
-        exchange = Exchange(request, connection, stream, self.limits, last)
+        closes_connection = self._closing or self.sends_connection_close
+        exchange = Exchange(request, connection, stream, self.limits, closes_connection)
         if self.limits.cancel_on_eof:
             await self._handle_until_eof(exchange, connection, stream)
         else:
--- a/libs/wire/src/headcross_wire/linkrate.py
+++ b/libs/wire/src/headcross_wire/linkrate.py
@@ -7,8 +7,8 @@
 class LinkRate:
     """Limits the bytes sent in one direction over one link.
 
-    A user may take more than the burst at once and then waits until the bytes taken so far have
-    passed at the rate. A rate of 0 means no limit.
+    A task may take more bytes than the burst at once; it then waits until all bytes taken so far
+    could have been sent at the rate. A rate of 0 means no limit.
     """
 
     # Bytes taken so far, less those refunded.
@@ -18,7 +18,7 @@
         self.total_bytes = 0
         self._rate = bytes_per_second
         self._burst_seconds = burst_bytes / bytes_per_second if bytes_per_second else 0.0
-        self._free_at = 0.0  # monotonic time at which all bytes taken have passed
+        self._free_at = 0.0  # monotonic time by which all bytes taken can be sent
 
     @property
     def bytes_per_second(self) -> float:
@@ -26,7 +26,7 @@
         return self._rate
 
     def set_rate(self, bytes_per_second: float) -> None:
-        """Change the rate from now on; the delays of current waiters do not change."""
+        """Change the rate, which must not be 0; the delays of current waiters do not change."""
         self._burst_seconds *= self._rate / bytes_per_second
         self._rate = bytes_per_second
 
--- a/libs/wire/src/headcross_wire/peermessages.py
+++ b/libs/wire/src/headcross_wire/peermessages.py
@@ -1,7 +1,7 @@
 """The messages between daemons, encoded as tagged MessagePack arrays.
 
-They use two channels with separate sockets, so that chunks never delay control messages: the
-control channel (documents, status, turns) and the swarm channel (chunks of weights). Messages
+The messages use two channels with separate sockets, so that chunks never delay control messages:
+the control channel (documents, status, turns) and the swarm channel (chunks of weights). Messages
 state facts and may arrive late, twice or never; none of them carries a caller's request. Array
 encoding keeps them small: a status with one upstream has 112 bytes.
 """
@@ -30,7 +30,7 @@
 
 
 class AskDocument(_Message, frozen=True, tag=2):
-    """Requests the newest revision of a document that the receiver holds."""
+    """Requests the receiver's newest revision of a document."""
 
     key: str
 
@@ -49,7 +49,7 @@
     """The state of one upstream, reported by the daemon on its host."""
 
     name: str
-    state: str  # a State of headcross_rollout, or "serving" / "leaving" of a plain service
+    state: str  # see headcross_fleet.upstreamgate; a plain service is "serving" or "leaving"
     pool: str  # current pool or service; empty if none
     digest: str  # of the weights that it serves; empty for plain services
     in_flight: int  # number of requests handed over to it that have not ended
@@ -262,8 +262,8 @@
     named: list[NamedVersionNews] = []  # versions that were recently the newest
     loaded: list[LoadedVersionNews] = []  # versions recently loaded by the receiver's replica
     wants_losses: bool = False  # requests one `LossNews` with all known losses
-    # Seconds since the sender first received a message of a daemon of that replica; None if it
-    # never did.
+    # Seconds since the sender first received a report of the receiver's replica; None if it never
+    # did.
     first_heard_age: float | None = None
 
 
--- a/libs/wire/src/headcross_wire/peernode.py
+++ b/libs/wire/src/headcross_wire/peernode.py
@@ -1,7 +1,7 @@
 """A node of one peer channel: a listening socket and outgoing links to peers.
 
-The listener and every link are read by a task each, which passes each message to the node's
-handler together with a function to reply. Messages that cannot be decoded are dropped and counted.
+One task for the listener and one for each link receive messages and pass them to the node's
+handler, each with a function to reply. Messages that cannot be decoded are dropped and counted.
 """
 
 from collections.abc import Callable
@@ -17,10 +17,11 @@
 from headcross_wire.peermessages import MAX_MESSAGE_BYTES, PeerMessage, decode, encode
 from headcross_wire.zmqsocket import ZmqSocket
 
-CONTROL_QUEUE_MESSAGES: Final = 256  # send queue of one link
+CONTROL_QUEUE_MESSAGES: Final = 256  # in the send queue of one link
 # A link without sends for this long is closed; the next send opens a new one.
 LINK_IDLE_SECONDS: Final = 60.0
 
+# Replies with a message and an optional payload; returns False if it cannot be sent.
 Reply = Callable[[PeerMessage, bytes | None], bool]
 
 
@@ -42,7 +43,7 @@
 
     socket: ZmqSocket
     scope: trio.CancelScope
-    used_at: float
+    used_at: float  # trio time of the last send
 
 
 class PeerNode:
