--- a/libs/native/src/headcross_native/configservice.py
+++ b/libs/native/src/headcross_native/configservice.py
@@ -27,7 +27,7 @@
 KEYS: Final = (FLEET_KEY, HOSTS_KEY)
 
 MAX_DOCUMENT_BYTES: Final = 1024 * 1024  # largest value that the service holds
-READ_SECONDS: Final = 2.0  # the service normally answers within milliseconds
+READ_TIMEOUT_SECONDS: Final = 2.0  # the service normally answers within milliseconds
 
 
 @dataclass(frozen=True, slots=True)
@@ -55,11 +55,11 @@
     def __init__(self, addresses: list[Address]) -> None:
         self.reads = 0
         self._addresses = addresses
-        self._next = 0
+        self._address_index = 0
 
     async def read(self, key: str) -> Ok[Snapshot] | Failure:
         """Return the current revision of a document, or why it could not be read."""
-        outcome = await self._get(key, f"/v1/documents/{key}", READ_SECONDS)
+        outcome = await self._get(key, f"/v1/documents/{key}", READ_TIMEOUT_SECONDS)
         if isinstance(outcome, Failure):
             return outcome
         if isinstance(outcome.value, Unchanged):
@@ -69,32 +69,32 @@
     async def watch(self, key: str, after: int, wait: float) -> Ok[Snapshot | Unchanged] | Failure:
         """Wait up to `wait` seconds for a revision above `after`; return it if there is one."""
         target = f"/v1/documents/{key}?after={after}&wait={wait}"
-        return await self._get(key, target, wait + READ_SECONDS)
+        return await self._get(key, target, wait + READ_TIMEOUT_SECONDS)
 
     async def _get(
         self, key: str, target: str, seconds: float
     ) -> Ok[Snapshot | Unchanged] | Failure:
         self.reads += 1
-        address = self._addresses[self._next % len(self._addresses)]
+        address = self._addresses[self._address_index % len(self._addresses)]
         outcome = await call(address, "GET", target, seconds=seconds, max_bytes=MAX_DOCUMENT_BYTES)
         if isinstance(outcome, Failure):
-            self._next += 1
+            self._address_index += 1
             return outcome
         answer = outcome.value
         if answer.status == 304:
             return Ok(Unchanged(key))
         revision = dict(answer.headers).get("revision", "")
         if answer.status != 200 or not revision.isdecimal():
-            self._next += 1
+            self._address_index += 1
             return Failure(SOURCE_FAILED, f"{key}: status {answer.status} from {address}")
-        if not _digest_holds(dict(answer.headers).get("repr-digest"), answer.body):
+        if not _matches_digest(dict(answer.headers).get("repr-digest"), answer.body):
             return Failure(SOURCE_FAILED, f"{key}: the body from {address} fails its digest")
         return Ok(Snapshot(key, int(revision), answer.body))
 
 
-def _digest_holds(field: str | None, body: bytes) -> bool:
-    """Check a body against its Repr-Digest; without that header every body is accepted."""
-    if field is None:
+def _matches_digest(header: str | None, body: bytes) -> bool:
+    """Return whether a body matches its Repr-Digest header; true if there is no such header."""
+    if header is None:
         return True
     expected = base64.b64encode(hashlib.sha256(body).digest()).decode()
-    return f"sha-256=:{expected}:" in field
+    return f"sha-256=:{expected}:" in header
--- a/libs/native/src/headcross_native/engine.py
+++ b/libs/native/src/headcross_native/engine.py
@@ -26,7 +26,7 @@
 ENGINE_MATCH_HEADER: Final = "if-match"
 WEIGHTS_MISMATCH_STATUS: Final = 412
 
-CALL_SECONDS: Final = 2.0
+CALL_TIMEOUT_SECONDS: Final = 2.0
 MAX_STATE_BYTES: Final = 64 * 1024
 
 
@@ -93,7 +93,7 @@
             self.address,
             "GET",
             "/v1/state",
-            seconds=CALL_SECONDS,
+            seconds=CALL_TIMEOUT_SECONDS,
             max_bytes=MAX_STATE_BYTES,
         )
         if isinstance(outcome, Failure):
@@ -106,15 +106,15 @@
     async def send_order(self, order: Order) -> Ok[None] | Failure:
         """Send an order.
 
-        ORDER_REFUSED means that the fence is too low; with ORDER_FAILED it is unknown whether the
-        engine accepted the order.
+        Fails with ORDER_REFUSED if the fence is too low, and with ORDER_FAILED if it is unknown
+        whether the engine accepted the order.
         """
         outcome = await call(
             self.address,
             "POST",
             "/v1/orders",
             body=msgspec.json.encode(order),
-            seconds=CALL_SECONDS,
+            seconds=CALL_TIMEOUT_SECONDS,
             max_bytes=MAX_STATE_BYTES,
         )
         if isinstance(outcome, Failure):
--- a/libs/native/src/headcross_native/eventstream.py
+++ b/libs/native/src/headcross_native/eventstream.py
@@ -29,7 +29,7 @@
     def __init__(self, tokens: int = 0) -> None:
         self.tokens = tokens
         self.done = False
-        self._rest = b""
+        self._incomplete = b""
 
     def feed(self, data: bytes) -> bytes:
         """Return all events completed by `data`, keeping an incomplete one for the next call.
@@ -40,8 +40,8 @@
         >>> splitter.feed(b"id: 0\\ndata: a\\n\\nid: 1\\n"), splitter.tokens
         (b'id: 0\\ndata: a\\n\\n', 1)
         """
-        complete, end, self._rest = (self._rest + data).rpartition(EVENT_END)
-        if len(self._rest) > MAX_EVENT_BYTES:
+        complete, end, self._incomplete = (self._incomplete + data).rpartition(EVENT_END)
+        if len(self._incomplete) > MAX_EVENT_BYTES:
             raise EventTooLongError
         if not end:
             return b""
--- a/libs/native/src/headcross_native/weightsource.py
+++ b/libs/native/src/headcross_native/weightsource.py
@@ -19,7 +19,7 @@
 from headcross_wire.httpclient import call
 
 MAX_MANIFEST_BYTES: Final = 16 * 1024 * 1024
-MANIFEST_SECONDS: Final = 30.0
+MANIFEST_TIMEOUT_SECONDS: Final = 30.0
 DEFAULT_RETRY_AFTER_SECONDS: Final = 1.0
 
 
@@ -40,7 +40,7 @@
     async def read_manifest(self, weights: str) -> Ok[bytes] | SourceBusy | Failure:
         """Return the bytes of a manifest without verifying them."""
         target = f"/weights/{quote(weights, safe='')}/manifest.json"
-        return await self._get(target, [], MANIFEST_SECONDS, MAX_MANIFEST_BYTES)
+        return await self._get(target, [], MANIFEST_TIMEOUT_SECONDS, MAX_MANIFEST_BYTES)
 
     async def read_range(
         self, weights: str, path: str, offset: int, size: int, seconds: float
