--- a/libs/gateway/src/headcross_gateway/containment.py
+++ b/libs/gateway/src/headcross_gateway/containment.py
@@ -142,4 +142,4 @@
         if state is None:
             return self._list_is_known()
         lost = Incarnation(key.replica, key.started_ms)
-        return state.replica.incarnation.is_other_than(lost) or state.has_ended()
+        return state.replica.incarnation.differs_from(lost) or state.has_ended()
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -66,7 +66,7 @@
         begun: list[Address] = []
         for replica in listed.values():
             state = self._states.get(replica.id)
-            if state is not None and replica.incarnation.is_other_than(state.replica.incarnation):
+            if state is not None and replica.incarnation.differs_from(state.replica.incarnation):
                 state.gone = True
                 begun.append(replica.address)
                 logger.info("incarnation begun", extra=_change_of(state.replica, replica))
--- a/libs/gateway/src/headcross_gateway/replicanews.py
+++ b/libs/gateway/src/headcross_gateway/replicanews.py
@@ -92,4 +92,4 @@
 
 def _is_of_other_incarnation(item: ReplicaBackpressure, state: ReplicaState) -> bool:
     reported = Incarnation(item.replica, item.started_ms)
-    return reported.is_other_than(state.replica.incarnation)
+    return reported.differs_from(state.replica.incarnation)
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -276,7 +276,7 @@
 
     def _is_other_incarnation(self, load: ReplicaLoad) -> bool:
         reported = Incarnation(self.replica.id, load.started_ms)
-        return reported.is_other_than(self.replica.incarnation)
+        return reported.differs_from(self.replica.incarnation)
 
     def is_unavailable(self) -> bool:
         """Return whether it must get no requests: it leaves, is gone, loads or has restarted."""
--- a/libs/ports/src/headcross_ports/published.py
+++ b/libs/ports/src/headcross_ports/published.py
@@ -84,12 +84,12 @@
     # Unix time of its start; None if it is not reported. Then only the ids are compared.
     started_ms: int | None
 
-    def is_other_than(self, other: "Incarnation") -> bool:
+    def differs_from(self, other: "Incarnation") -> bool:
         """Return whether two incarnations are known to differ.
 
-        >>> Incarnation("i", 1).is_other_than(Incarnation("i", 2))
+        >>> Incarnation("i", 1).differs_from(Incarnation("i", 2))
         True
-        >>> Incarnation("i", 1).is_other_than(Incarnation("i", None))
+        >>> Incarnation("i", 1).differs_from(Incarnation("i", None))
         False
         """
         if self.id != other.id:
