--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -211,7 +211,7 @@
                     "in_flight": status.in_flight,
                     "queued": status.queued,
                     "state_seconds": round(
-                        monotonic() - self.local_upstreams[status.name].gate.since, 3
+                        monotonic() - self.local_upstreams[status.name].gate.changed_at, 3
                     ),
                     "target_digest": target.digest if target is not None else "",
                     "target_pool": target.pool if target is not None else "",
--- a/libs/fleet/src/headcross_fleet/upstreamgate.py
+++ b/libs/fleet/src/headcross_fleet/upstreamgate.py
@@ -34,7 +34,7 @@
     # Number of requests handed over that have not ended.
     in_flight: int
     # When state, pool or digest last changed (monotonic).
-    since: float
+    changed_at: float
     # Set while the resumable streams of a leaving upstream should be resumed elsewhere.
     hand_off: trio.Event
     # Whether a planned stop has begun.
@@ -48,7 +48,7 @@
         self.pool = ""
         self.digest = ""
         self.in_flight = 0
-        self.since = monotonic()
+        self.changed_at = monotonic()
         self.hand_off = trio.Event()
         self.stopping = False
         self.on_change = None
@@ -64,7 +64,7 @@
         if (state, pool, digest) == (self.state, self.pool, self.digest):
             return
         self.state, self.pool, self.digest = state, pool, digest
-        self.since = monotonic()
+        self.changed_at = monotonic()
         if state == SERVING:
             self.hand_off = trio.Event()
         self._notify_change()
