--- a/testing/machines.py
+++ b/testing/machines.py
@@ -189,7 +189,7 @@
             "version": "v1",
             "slots": replica.slots,
             "state": "draining" if replica.draining else "ready",
-            names.COLD_MS: 0,
+            names.SLOW_START_MS: 0,
             "models": loaded,
             "seq": 1,
         }
