--- a/libs/daemon/src/headcross_daemon/admin.py
+++ b/libs/daemon/src/headcross_daemon/admin.py
@@ -75,13 +75,13 @@
                 await exchange.respond_json(404, {"error": "no such page", "api": ADMIN_API})
 
     async def _show_health(self, exchange: Exchange) -> None:
-        reason = self._process.unhealthy
+        reason = self._process.unhealthy_reason
         await exchange.respond_json(503 if reason else 200, {"healthy": not reason, "why": reason})
 
-    async def _show_document(self, exchange: Exchange, key: str, kind: str) -> None:
+    async def _show_document(self, exchange: Exchange, key: str, content_type: str) -> None:
         held = self._process.documents.held(key)
         headers = [
-            ("content-type", kind),
+            ("content-type", content_type),
             ("revision", str(held.accepted_revision)),
             ("digest", held.accepted_digest),
         ]
--- a/libs/daemon/src/headcross_daemon/entry.py
+++ b/libs/daemon/src/headcross_daemon/entry.py
@@ -26,7 +26,7 @@
 from headcross_daemon.processmetrics import process_samples
 from headcross_daemon.settings import Settings
 
-LATENCY_BUCKETS: Final = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30, 60, 120, 300)
+LATENCY_BUCKETS_SECONDS: Final = (0.005, 0.02, 0.05, 0.1, 0.25, 0.5, 1, 2, 5, 10, 30, 60, 120, 300)
 
 logger = logging.getLogger(__name__)
 
@@ -51,7 +51,7 @@
             "headcross_request_seconds",
             "Time from a request's arrival to the end of its answer",
             ["target", "verdict"],
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._metrics.registry,
         )
         self._admin = AdminApi(
@@ -74,12 +74,12 @@
         async with trio.open_nursery() as nursery:
             admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES)
             await serve_http(nursery, self._admin.handle, settings.listen.admin, admin_limits)
-            server, bound, scope = await serve_http(
+            server, http_address, scope = await serve_http(
                 nursery, self.handler.handle, settings.listen.http, limits
             )
             nursery.start_soon(self.process.run)
             nursery.start_soon(self.process.on_change, self._remove_absent)
-            _log_listening(bound)
+            _log_listening(http_address)
             await stop.wait()
             await self._drain(server, scope)
             nursery.cancel_scope.cancel()
@@ -87,7 +87,7 @@
     async def _drain(self, server: HttpServer, scope: trio.CancelScope) -> None:
         """Report unhealthy, stop accepting after the notice, then wait for running requests."""
         stop = self.process.settings.stop
-        self.process.unhealthy = "draining"
+        self.process.unhealthy_reason = "draining"
         logger.info("draining", extra={"in_flight": self.handler.in_flight})
         with trio.move_on_after(stop.limit_seconds):
             await trio.sleep(stop.notice_seconds)
--- a/libs/daemon/src/headcross_daemon/entrynews.py
+++ b/libs/daemon/src/headcross_daemon/entrynews.py
@@ -27,13 +27,13 @@
 # Number of daemons that keep the losses that make requests suspect. Few, as the links of daemons
 # have little bandwidth.
 DAEMONS_FOR_LOSSES: Final = 4
-# How often news is sent to a peer whose link is not open yet, and the interval between attempts.
+# Number of attempts to send news to a peer whose link is not open yet, and their interval.
 MAX_SEND_ATTEMPTS: Final = 5
 SEND_RETRY_SECONDS: Final = 0.1
-# Number of entries to which all news is repeated, each second.
+# Number of entries to which all valid news is repeated, once a second.
 ENTRIES_PER_REPEAT: Final = 3
 
-Addresses = Callable[[], list[Address]]
+ListAddresses = Callable[[], list[Address]]
 
 
 class EntryNews:
@@ -50,9 +50,9 @@
         overload: Overload,
         containment: Containment,
         *,
-        entries: Addresses,
-        zone_entries: Addresses,
-        daemons: Addresses,
+        entries: ListAddresses,
+        zone_entries: ListAddresses,
+        daemons: ListAddresses,
         control_port: Callable[[], int],
     ) -> None:
         self._node = node
@@ -89,19 +89,19 @@
             while True:
                 news = await self._containment.wait_pending_news()
                 nursery.start_soon(self._send, news, self._entries())
-                kept = self._containment.shared.suspect_news(monotonic())
-                if kept is not None:
-                    nursery.start_soon(self._send, kept, self._daemons_for_losses())
+                suspect_news = self._containment.shared.suspect_news(monotonic())
+                if suspect_news is not None:
+                    nursery.start_soon(self._send, suspect_news, self._daemons_for_losses())
                 await trio.sleep(NEWS_BATCH_SECONDS)
 
-    def repeat_known(self) -> None:
-        """Send all valid news of replicas to a few entries."""
+    def repeat_news(self) -> None:
+        """Send all news that is still valid to a few entries selected at random."""
         now = monotonic()
-        lost = self._containment.shared.all_news(now)
-        backpressure = all_news(self._directory.states(), now)
+        loss_news = self._containment.shared.all_news(now)
+        replica_news = all_news(self._directory.states(), now)
         entries = self._entries()
         for address in random.sample(entries, min(ENTRIES_PER_REPEAT, len(entries))):
-            for news in (lost, backpressure):
+            for news in (loss_news, replica_news):
                 if news is not None:
                     self._node.send(address, news)
 
@@ -121,7 +121,10 @@
         return [Address(r.address.ip, port) for r in replicas if r.id in leaving]
 
     async def _send(self, news: LossNews | ReplicaNews, to: list[Address]) -> None:
-        """Send news, with retries since the first message to a peer only opens the link."""
+        """Send news; retry at peers that did not accept it.
+
+        The first message to a peer only opens the link.
+        """
         for _ in range(MAX_SEND_ATTEMPTS):
             to = [address for address in to if not self._node.send(address, news)]
             if not to:
--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -55,10 +55,11 @@
 if TYPE_CHECKING:
     from headcross_daemon.mirrorparts import MirrorParts
 
-LATENCY_BUCKETS: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12)
+LATENCY_BUCKETS_SECONDS: Final = (0.01, 0.025, 0.05, 0.1, 0.2, 0.4, 0.8, 1.5, 3, 6, 12)
 SUBSCRIBE_INTERVAL_SECONDS: Final = 1.0
-# Before the bound on old weights, subscriptions show which links deliver (see replicastate). They
-# are sent at this interval, beginning some time before the result is needed.
+# Shortly before the bound on old weights, requests are sent only over links that are known to
+# deliver subscriptions (see replicastate). Subscriptions are then sent at PROOF_INTERVAL_SECONDS,
+# from PROOF_LEAD_SECONDS before the bound on, so that this is known in time.
 PROOF_INTERVAL_SECONDS: Final = 0.3
 PROOF_LEAD_SECONDS: Final = ENDING_SECONDS + 1.5
 HOUSEKEEPING_INTERVAL_SECONDS: Final = 1.0
@@ -67,13 +68,13 @@
 OVERLOAD_CHECK_SECONDS: Final = 0.2
 # How long after its start an entry requests the losses that daemons keep.
 REQUEST_LOSSES_SECONDS: Final = 6.0
-# Descriptors for anything but connections from callers and to replicas.
+# File descriptors for everything except connections from callers and to replicas.
 RESERVED_DESCRIPTORS: Final = 300
 # How long connections are accepted after a stop signal. The platform checks readiness once a
 # second and needs two answers before it stops sending callers.
 ACCEPT_AFTER_STOP_SECONDS: Final = 4.0
-# How long after a stop signal requests are accepted even if their time limit ends after the
-# process. Later ones are refused as not run, since the end of the process could cut them off.
+# For this long after a stop signal, requests are accepted even if their deadline is after the exit
+# of the process. Later such requests are refused as not run, since the exit could cut them off.
 ACCEPT_ALL_AFTER_STOP_SECONDS: Final = 2.6
 # The process exits this long before the platform would kill it.
 STOP_MARGIN_SECONDS: Final = 0.5
@@ -97,7 +98,7 @@
             adapter,
             self._daemons,
             self._handle_message,
-            entry_polling(settings.bounds.facts),
+            entry_polling(settings.bounds.fact_bounds),
             self._other_entries,
         )
         facts = self.process.facts
@@ -106,7 +107,7 @@
             facts,
             host=settings.host,
             zone=settings.zone,
-            leaving_seconds=settings.bounds.facts.leaving,
+            leaving_seconds=settings.bounds.fact_bounds.leaving,
         )
         rules = WeightsRules(facts, settings.bounds.weights_seconds)
         self._rules = rules
@@ -142,7 +143,7 @@
             "headcross_request_seconds",
             "Time from a request's arrival to the end of its answer",
             ["service", "verdict"],
-            buckets=LATENCY_BUCKETS,
+            buckets=LATENCY_BUCKETS_SECONDS,
             registry=self._pages.metrics.registry,
         )
         self._server = HttpServer(self._path.handle, self._limits())
@@ -187,7 +188,7 @@
         """Return the state of the process for the administration address."""
         return {
             **self.process.dump(),
-            "ready": self._ready(),
+            "ready": self._is_ready(),
             "in_flight": self._path.in_flight,
             "connections": self._server.connections,
             "requests": dict(self._path.counts),
@@ -246,10 +247,10 @@
             await self._server.serve(listeners, nursery)
 
     async def _answer_readiness(self, exchange: Exchange) -> None:
-        ready = self._ready()
+        ready = self._is_ready()
         await exchange.respond_json(200 if ready else 503, {"ready": ready})
 
-    def _ready(self) -> bool:
+    def _is_ready(self) -> bool:
         return self._readiness.is_ready(trio.current_time())
 
     def _limits(self) -> ServerLimits:
@@ -297,7 +298,7 @@
         self._directory.entries = len(self.process.known_entries()) + 1
         self._update_directory()
         self._directory.choose_subset()
-        self._ready()  # starts the wait for daemons once the facts are complete
+        self._is_ready()  # starts the wait for daemons once the facts are complete
         self._server.limits = self._limits()
         configuration = self.process.facts.configuration
         if configuration is not None:
@@ -310,6 +311,7 @@
             self._path.attempts.connections.forget(address)
 
     def _daemons(self) -> list[Address]:
+        """Return the daemons in the subset of this entry."""
         port = self.process.settings.peers.control_port
         return [Address(address.ip, port) for address in self._directory.subset_daemons()]
 
@@ -318,22 +320,22 @@
         settings = self.process.settings
         replicas = self._directory.replicas_with_daemons()
         near = replicas_in_region_of(settings.zone, replicas, settings.zones)
-        known = replicas_with_digests(near, goal)
-        return [Address(r.address.ip, settings.peers.control_port) for r in known]
+        sources = replicas_with_digests(near, goal)
+        return [Address(r.address.ip, settings.peers.control_port) for r in sources]
 
     def _other_entries(self) -> list[Address]:
         """Return the known entries that mirror weights."""
         port = parse_address(self.process.settings.listen.peers).port
-        known = self._mirror.known() if self._mirror is not None else []
-        return [Address(mirror.ip, port) for mirror in known]
+        mirrors = self._mirror.known_mirrors() if self._mirror is not None else []
+        return [Address(mirror.ip, port) for mirror in mirrors]
 
     def _zone_entries(self) -> list[Address]:
         """Return the other known entries of this zone, at which refused callers retry."""
         settings = self.process.settings
         port = parse_address(settings.listen.peers).port
-        known = self._mirror.known() if self._mirror is not None else []
+        mirrors = self._mirror.known_mirrors() if self._mirror is not None else []
         return [
-            Address(m.ip, port) for m in known if m.zone == settings.zone and m.ip != settings.ip
+            Address(m.ip, port) for m in mirrors if m.zone == settings.zone and m.ip != settings.ip
         ]
 
     def _handle_message(self, incoming: IncomingMessage) -> None:
@@ -363,6 +365,7 @@
             self._admission.notify(state.replica.service)
 
     async def _subscribe(self) -> None:
+        """Subscribe to the load of the daemons in the subset, until cancelled."""
         while True:
             self._directory.choose_subset()
             self._update_entry_count()
@@ -372,9 +375,12 @@
             accepted = [send(*pair) for pair in zip(daemons, messages, strict=True)]
             if self._mirror is not None:
                 self._announce_mirror(self._mirror)
-            # The first message to a daemon only opens the link, and at a start no daemon is known.
-            is_known = bool(daemons) and all(accepted)
-            seconds = SUBSCRIBE_INTERVAL_SECONDS if is_known else SUBSCRIBE_INTERVAL_SECONDS / 5
+            # Retry sooner if no daemon is known yet, as at a start, or if a link was not open: the
+            # first message to a daemon only opens it.
+            all_accepted = bool(daemons) and all(accepted)
+            seconds = (
+                SUBSCRIBE_INTERVAL_SECONDS if all_accepted else SUBSCRIBE_INTERVAL_SECONDS / 5
+            )
             if self._rules.any_ends_within(PROOF_LEAD_SECONDS):
                 seconds = PROOF_INTERVAL_SECONDS
             await trio.sleep(seconds * random.uniform(0.8, 1.2))
@@ -437,7 +443,7 @@
         while True:
             await trio.sleep(HOUSEKEEPING_INTERVAL_SECONDS)
             self._update_directory()
-            self._news.repeat_known()
+            self._news.repeat_news()
             await self._path.attempts.connections.close_expired()
 
     # Metrics.
@@ -450,7 +456,7 @@
         for outcome, count in self._path.counts.items():
             verdict, _, reason = outcome.partition(" ")
             samples[sample("requests_total", verdict=verdict, reason=reason)] = count
-        samples[sample("ready")] = float(self._ready())
+        samples[sample("ready")] = float(self._is_ready())
         samples[sample("requests_in_flight")] = self._path.in_flight
         samples[sample("attempts_total")] = self._path.attempts.made
         samples[sample("attempts_withdrawn_total")] = self._path.unbegun.withdrawn
--- a/libs/daemon/src/headcross_daemon/heartbeats.py
+++ b/libs/daemon/src/headcross_daemon/heartbeats.py
@@ -1,8 +1,8 @@
 """Sends heartbeats of an upstream daemon to all entries.
 
-A heartbeat is sent at once when the state of an upstream changes, otherwise once per period, which
-grows with the fleet (see `headcross_fleet.membership`). If a link was down, the heartbeat is sent
-again after a short delay.
+A heartbeat is sent at once when the state of an upstream changes, otherwise once per period. The
+period grows with the number of daemons (see `headcross_fleet.membership`). If a link was down, a
+heartbeat is sent again after a short delay.
 """
 
 from collections.abc import Callable
@@ -53,9 +53,9 @@
         while True:
             state = self._urgent_state()
             if state != sent_state or monotonic() >= due_at:
-                complete = self.send()
+                accepted_by_all = self.send()
                 sent_state = state
-                due_at = monotonic() + (self._period() if complete else RESEND_SECONDS)
+                due_at = monotonic() + (self._period() if accepted_by_all else RESEND_SECONDS)
             with trio.move_on_after(min(PROGRESS_CHECK_SECONDS, max(0.0, due_at - monotonic()))):
                 await self._changed.wait()
             self._changed = trio.Event()
@@ -87,7 +87,7 @@
             self._node.send(entry.control_address, ShutdownNotice(self._host, self._incarnation))
 
     def _urgent_state(self) -> tuple[object, ...]:
-        """Return the state of which every change is sent at once."""
+        """Return the state whose changes are sent at once."""
         upstreams = [
             (u.name, u.state, u.pool, u.digest, int(u.progress / PROGRESS_STEP))
             for u in self._report()
@@ -96,6 +96,7 @@
         return (self._documents.revisions, upstreams, entries)
 
     def _period(self) -> float:
+        """Return the heartbeat period in seconds for the present number of daemons."""
         daemons = sum(host.role == "upstream" for host in self._documents.hosts.hosts)
         return heartbeat_period(daemons)
 
--- a/libs/daemon/src/headcross_daemon/lossregistry.py
+++ b/libs/daemon/src/headcross_daemon/lossregistry.py
@@ -1,7 +1,7 @@
 """Keeps news of lost replicas, and of the requests that ran there, at a daemon beside a replica.
 
-Entries exchange this news among themselves, but may all be killed at once. Daemons only store the
-news, without acting on it, and return it to entries that ask, as entries do after a start.
+Entries exchange this news among themselves, but may all be killed at once. Daemons store the news
+without acting on it, and send it to entries that ask for it, which they do after a start.
 """
 
 from headcross_base.clocks import monotonic
@@ -30,6 +30,6 @@
         if news is not None:
             reply(news, None)
 
-    def dump(self) -> int:
+    def count(self) -> int:
         """Return the number of losses held."""
         return len(self._shared.losses.losses())
--- a/libs/daemon/src/headcross_daemon/machineprocess.py
+++ b/libs/daemon/src/headcross_daemon/machineprocess.py
@@ -76,6 +76,7 @@
         """Follow the platform's store and exchange messages with peers until cancelled."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self.node.run)
+            # The node must run before the other tasks send messages to peers.
             await trio.lowlevel.checkpoint()
             nursery.start_soon(self.follower.run)
             nursery.start_soon(self.peer_facts.run)
@@ -144,10 +145,11 @@
     def known_entries(self) -> list[Address]:
         """Return the other entries: those learned from peers and those named in the settings."""
         own = parse_address(self.settings.listen.peers)
-        found = {*self._entries(), *self.settings.seed_addresses}
-        return [address for address in found if address != own]
+        entries = {*self._entries(), *self.settings.seed_addresses}
+        return [address for address in entries if address != own]
 
     def _known_peers(self) -> list[Address]:
+        """Return the other peers that are asked for facts, and then the known entries."""
         own = parse_address(self.settings.listen.peers)
         return [address for address in self._peers() if address != own] + self.known_entries()
 
--- a/libs/daemon/src/headcross_daemon/machinesettings.py
+++ b/libs/daemon/src/headcross_daemon/machinesettings.py
@@ -82,7 +82,7 @@
     configuration_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 2000.0
     # A leaving replica must get no new requests after this time.
     leaving_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 2000.0
-    # These bounds hold for a process that the platform's store has answered for this long.
+    # These bounds apply to a process once the platform's store has answered it for this long.
     reached_milliseconds: Annotated[float, msgspec.Meta(gt=0)] = 3000.0
     retry_ratio: Annotated[float, msgspec.Meta(ge=0, le=10)] = 0.2
     retry_slack: Annotated[float, msgspec.Meta(ge=0)] = 100.0
@@ -94,7 +94,7 @@
         return self.weights_milliseconds / 1000
 
     @property
-    def facts(self) -> FactBounds:
+    def fact_bounds(self) -> FactBounds:
         """The bounds on the age of facts from the platform."""
         return FactBounds(
             configuration=self.configuration_milliseconds / 1000,
@@ -168,9 +168,9 @@
 def _addresses(settings: MachineSettings) -> dict[str, str]:
     """Return the addresses that are not empty, by field."""
     listen: dict[str, Any] = msgspec.structs.asdict(settings.listen)
-    found = {f"listen.{name}": text for name, text in listen.items()}
-    found |= {f"peers.seeds[{i}]": seed for i, seed in enumerate(settings.peers.seeds)}
-    found["store.address"] = settings.store.address
+    addresses = {f"listen.{name}": text for name, text in listen.items()}
+    addresses |= {f"peers.seeds[{i}]": seed for i, seed in enumerate(settings.peers.seeds)}
+    addresses["store.address"] = settings.store.address
     if settings.replica is not None:
-        found["replica.address"] = settings.replica.address
-    return {field: text for field, text in found.items() if text}
+        addresses["replica.address"] = settings.replica.address
+    return {field: text for field, text in addresses.items() if text}
--- a/libs/daemon/src/headcross_daemon/metrics.py
+++ b/libs/daemon/src/headcross_daemon/metrics.py
@@ -49,7 +49,7 @@
 
 
 class _SamplesCollector:
-    """Turns samples into metrics at scrape time."""
+    """Converts samples to metric families at each scrape."""
 
     def __init__(self, collect: Callable[[], Samples]) -> None:
         self._collect = collect
@@ -65,8 +65,10 @@
         families: dict[str, CounterMetricFamily | GaugeMetricFamily] = {}
         for (name, labels), value in self._collect().items():
             if name not in families:
-                kind = CounterMetricFamily if name.endswith("_total") else GaugeMetricFamily
-                names = [label for label, _ in labels]
-                families[name] = kind(f"headcross_{name}", name.replace("_", " "), labels=names)
+                family = CounterMetricFamily if name.endswith("_total") else GaugeMetricFamily
+                label_names = [label for label, _ in labels]
+                families[name] = family(
+                    f"headcross_{name}", name.replace("_", " "), labels=label_names
+                )
             families[name].add_metric([text for _, text in labels], value)
         return families.values()
--- a/libs/daemon/src/headcross_daemon/mirrorparts.py
+++ b/libs/daemon/src/headcross_daemon/mirrorparts.py
@@ -110,18 +110,19 @@
         ]
 
     def announcement(self, stopping: bool) -> Subscribe | None:
-        """Return a subscription that announces the mirror without asking for load, or None."""
+        """Return a subscription that only announces the mirror, None if it is not announced."""
         location = self._announced_location(stopping)
         return Subscribe(self._settings.host, location, wants_load=False) if location else None
 
     def _announced_location(self, stopping: bool) -> MirrorLocation | None:
+        """Return the location to announce, None if this entry mirrors nothing or is stopping."""
         return self._location if self._mirror.decide_to_mirror() and not stopping else None
 
     def _find_origin(self) -> Address | None:
         configuration = self._facts.configuration
         return configuration.origin_of_weights() if configuration is not None else None
 
-    def known(self) -> list[MirrorLocation]:
+    def known_mirrors(self) -> list[MirrorLocation]:
         """Return the mirrors known at present, including this one."""
         return self._mirror.registry.known()
 
--- a/libs/daemon/src/headcross_daemon/plainrunner.py
+++ b/libs/daemon/src/headcross_daemon/plainrunner.py
@@ -1,7 +1,7 @@
 """Opens the gate of a plain service's upstream while the fleet file names the service.
 
-A plain service loads no weights, so it serves as soon as the configuration is settled. It leaves
-at once when its host is leaving or the service is no longer in the fleet file.
+A plain service loads no weights, so it serves as soon as the configuration is settled. The gate
+closes at once when the host is leaving or the service is no longer in the fleet file.
 """
 
 from headcross_fleet.documents import Documents
--- a/libs/daemon/src/headcross_daemon/process.py
+++ b/libs/daemon/src/headcross_daemon/process.py
@@ -23,32 +23,33 @@
     settings: Settings
     journal: Journal
     documents: Documents
-    service: ConfigService
+    config_service: ConfigService
     node: PeerNode
     follower: ConfigFollower
     pauses: PauseWatch
-    # Increases with every start. Orders to an engine that has seen a higher one exceed that one.
+    # Increases with every start (Unix time in ms). Orders to an engine carry a higher number if
+    # the engine has already accepted one that is as high.
     incarnation: int
     # Why the process does not serve, empty if it does. Shown by the health check.
-    unhealthy: str
+    unhealthy_reason: str
 
     def __init__(self, settings: Settings, handle_other: Handler) -> None:
         self.settings = settings
         self.journal = Journal()
         self.documents = Documents(self.journal)
-        self.service = ConfigService([parse_address(a) for a in settings.platform.config])
+        self.config_service = ConfigService([parse_address(a) for a in settings.platform.config])
         self.node = PeerNode(parse_address(settings.listen.control), self._handle)
         self.follower = ConfigFollower(
             settings.name,
             settings.zone,
             self.documents,
-            self.service,
+            self.config_service,
             self.node,
             [parse_address(address) for address in settings.platform.peers],
         )
         self.pauses = PauseWatch()
         self.incarnation = time.time_ns() // 1_000_000
-        self.unhealthy = "starting"
+        self.unhealthy_reason = "starting"
         self._handle_other = handle_other
 
     async def run(self) -> None:
@@ -60,7 +61,7 @@
             await trio.lowlevel.checkpoint()
             nursery.start_soon(self.follower.run)
             await self.follower.settled.wait()
-            self.unhealthy = ""
+            self.unhealthy_reason = ""
 
     async def on_change(self, callback: Callable[[], None]) -> None:
         """Call `callback` now and whenever another document comes into force."""
@@ -77,11 +78,11 @@
             "zone": self.settings.zone,
             "incarnation": self.incarnation,
             "settled": self.follower.settled.is_set(),
-            "unhealthy": self.unhealthy,
+            "unhealthy": self.unhealthy_reason,
             "documents": {key: self._dump_document(key) for key in (FLEET_KEY, HOSTS_KEY)},
             "document_events": dict(self.documents.counts),
             "contact_age": _rounded(self.documents.contact_age()),
-            "config_reads": self.service.reads,
+            "config_reads": self.config_service.reads,
             "control": self.dump_node(self.node),
             "pauses": self.pauses.pauses,
             "last_pause_seconds": round(self.pauses.last_pause_seconds, 3),
--- a/libs/daemon/src/headcross_daemon/processmetrics.py
+++ b/libs/daemon/src/headcross_daemon/processmetrics.py
@@ -9,8 +9,8 @@
 def process_samples(process: Process) -> dict[tuple[str, tuple[tuple[str, str], ...]], float]:
     """Return the samples of the parts that both roles share."""
     samples: dict[tuple[str, tuple[tuple[str, str], ...]], float] = {
-        sample("healthy"): float(not process.unhealthy),
-        sample("config_reads_total"): process.service.reads,
+        sample("healthy"): float(not process.unhealthy_reason),
+        sample("config_reads_total"): process.config_service.reads,
         sample("control_sent_bytes_total"): process.node.sent_bytes,
         sample("control_received_bytes_total"): process.node.received_bytes,
         sample("peer_messages_malformed_total"): process.node.malformed,
--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -59,7 +59,8 @@
 DOWNLINK_SHARE_PER_REQUEST: Final = 0.0075
 MIN_DOWNLINK_SHARE: Final = 0.80
 UPLINK_SHARE: Final = 0.82
-# The share while the replica accepts no requests, since it holds no weights that may serve.
+# Share for chunks while the replica accepts no requests, because it holds no weights that may
+# serve.
 IDLE_LINK_SHARE: Final = 0.97
 LINK_BURST_BYTES: Final = 8 * 1024
 # The configuration gives the address of the origin. While the origin is needed and fails, the
@@ -83,7 +84,7 @@
             adapter,
             self._daemons,
             self._handle_message,
-            daemon_polling(settings.bounds.facts),
+            daemon_polling(settings.bounds.fact_bounds),
         )
         facts = self.process.facts
         address = parse_address(settings.replica.address)
@@ -166,7 +167,7 @@
             self._orders,
             self._plans,
             self._set_link_rates,
-            self._set_busy,
+            self._set_updating,
         )
         # Set when the plan is needed but not known.
         self._plan_needed = trio.Event()
@@ -204,7 +205,7 @@
             "uploads": {"sent": self._swarm.uploads.sent, "refused": self._swarm.uploads.refused},
             "origin_bytes": sum(self._importer.received_bytes.values()),
             "mirrors": [mirror.ip for mirror in self._mirrors.known()],
-            "losses_kept": self._losses.dump(),
+            "losses_kept": self._losses.count(),
         }
 
     def _set_link_rates(self, running: int | None) -> None:
@@ -242,10 +243,10 @@
     def _plan_sources(self) -> list[Address]:
         """Return the peers to ask for the plan: entries and the first daemons of the region."""
         port = self.process.settings.peers.control_port
-        first = [ip for ip in self._region_order() if ip != self.process.settings.ip]
+        daemon_ips = [ip for ip in self._region_order() if ip != self.process.settings.ip]
         return [
             *self.process.known_entries(),
-            *(Address(ip, port) for ip in first[:DAEMONS_ASKED]),
+            *(Address(ip, port) for ip in daemon_ips[:DAEMONS_ASKED]),
         ]
 
     def _listing_rank(self) -> int | None:
@@ -257,11 +258,15 @@
         return order.index(ip) if ip in order else len(order)
 
     def _region_order(self) -> list[str]:
-        """Return the daemons of this region in the order in which they list the configuration."""
+        """Return the IP addresses of this region's daemons.
+
+        They are in the order in which the daemons list the configuration.
+        """
         return listing_order(replica.address.ip for replica in self._region_replicas())
 
-    def _set_busy(self, busy: bool) -> None:
-        self.process.follower.set_urgent(Topic.REPLICAS, busy)
+    def _set_updating(self, updating: bool) -> None:
+        """Follow the list of replicas with shorter delays while an update is running."""
+        self.process.follower.set_urgent(Topic.REPLICAS, updating)
 
     def _refresh_origin(self) -> None:
         """Request the plan if unknown, else list the configuration, as the origin may have moved.
@@ -331,16 +336,16 @@
         assert self.process.settings.replica is not None
         address = parse_address(self.process.settings.replica.address)
         for item in news.items:
-            listed = self.process.facts.replicas.get(item.replica)
-            if item.leaving and listed is not None and listed.address == address:
+            replica = self.process.facts.replicas.get(item.replica)
+            if item.leaving and replica is not None and replica.address == address:
                 self._reporter.receive_shutdown_notice(item.started_ms)
 
     def _record_earlier_process(self, subscription: Subscribe) -> None:
         """Record what an entry knows of this daemon from before this process started."""
         now = monotonic()
         for news in subscription.loaded:
-            held = LoadedModel(news.model, news.version)
-            self._orders.in_doubt.record_loaded_at(held, now - news.age)
+            loaded = LoadedModel(news.model, news.version)
+            self._orders.in_doubt.record_loaded_at(loaded, now - news.age)
         if subscription.first_heard_age is not None:
             self._orders.in_doubt.record_process_seen(now - subscription.first_heard_age)
         self._orders.in_doubt.record_entry_reply()
--- a/libs/daemon/src/headcross_daemon/settings.py
+++ b/libs/daemon/src/headcross_daemon/settings.py
@@ -1,4 +1,4 @@
-"""Reads the TOML settings file of one daemon, which is validated completely before a start.
+"""Reads the TOML settings file of one daemon and validates it completely before the start.
 
 docs/operators/settings.md describes every field for operators; a test checks that it names each.
 Sizes are in bytes, times in seconds, rates in bytes per second; addresses are IP:PORT.
@@ -153,8 +153,8 @@
     names = [upstream.name for upstream in settings.upstreams]
     if len(set(names)) != len(names):
         return "upstreams: a name stands twice"
-    models = any(upstream.kind == "model" for upstream in settings.upstreams)
-    if models and not (settings.platform.origin or settings.platform.store):
+    has_models = any(upstream.kind == "model" for upstream in settings.upstreams)
+    if has_models and not (settings.platform.origin or settings.platform.store):
         return "platform.origin: needed with model upstreams"
     for index, upstream in enumerate(settings.upstreams):
         if (upstream.kind == "plain") != bool(upstream.service):
@@ -163,8 +163,9 @@
 
 
 def _addresses(settings: Settings) -> list[tuple[str, str]]:
+    """Return the addresses that are not empty, each with the name of its field."""
     listen, platform = settings.listen, settings.platform
-    found = [
+    addresses = [
         ("listen.control", listen.control),
         ("listen.http", listen.http),
         ("listen.admin", listen.admin),
@@ -173,7 +174,7 @@
         ("platform.store", platform.store),
         ("platform.origin", platform.origin),
     ]
-    found += [(f"platform.config[{i}]", text) for i, text in enumerate(platform.config)]
-    found += [(f"platform.peers[{i}]", text) for i, text in enumerate(platform.peers)]
-    found += [(f"upstreams[{i}].address", u.address) for i, u in enumerate(settings.upstreams)]
-    return [(field, text) for field, text in found if text]
+    addresses += [(f"platform.config[{i}]", text) for i, text in enumerate(platform.config)]
+    addresses += [(f"platform.peers[{i}]", text) for i, text in enumerate(platform.peers)]
+    addresses += [(f"upstreams[{i}].address", u.address) for i, u in enumerate(settings.upstreams)]
+    return [(field, text) for field, text in addresses if text]
--- a/libs/daemon/src/headcross_daemon/upstream.py
+++ b/libs/daemon/src/headcross_daemon/upstream.py
@@ -88,10 +88,10 @@
         )
         async with trio.open_nursery() as nursery:
             # Bound first: prevents a second daemon with the same settings from starting.
-            server, bound, _ = await serve_http(
+            server, http_address, _ = await serve_http(
                 nursery, self.handler.handle, settings.listen.http, limits
             )
-            _, weights, _ = await serve_http(
+            _, weights_address, _ = await serve_http(
                 nursery, WeightsServer(self.store).handle, settings.listen.weights, ServerLimits()
             )
             admin_limits = ServerLimits(max_body_bytes=MAX_ADMIN_BODY_BYTES)
@@ -102,13 +102,15 @@
             nursery.start_soon(self.process.on_change, self.heartbeats.notify_change)
             nursery.start_soon(self.heartbeats.run)
             for upstream in settings.upstreams:
-                self._start_runner(nursery, upstream, str(weights))
-            logger.info("listening", extra={"http": str(bound)})
+                self._start_runner(nursery, upstream, str(weights_address))
+            logger.info("listening", extra={"http": str(http_address)})
             await stop.wait()
             await self._drain(server)
             nursery.cancel_scope.cancel()
 
-    def _start_runner(self, nursery: trio.Nursery, upstream: Upstream, weights: str) -> None:
+    def _start_runner(
+        self, nursery: trio.Nursery, upstream: Upstream, weights_address: str
+    ) -> None:
         process = self.process
         gate = self.local_upstreams[upstream.name].gate
         if upstream.kind == "plain":
@@ -129,9 +131,9 @@
             process.pauses,
             process.journal,
             process.incarnation,
-            weights,
+            weights_address,
         )
-        shared = RunnerContext(
+        context = RunnerContext(
             process.documents,
             process.follower,
             self._targets,
@@ -139,7 +141,7 @@
             self._turns,
             process.journal,
         )
-        runner = UpstreamRunner(gate, engine, orders, shared)
+        runner = UpstreamRunner(gate, engine, orders, context)
         self.runners[upstream.name] = runner
         nursery.start_soon(runner.run)
 
@@ -149,7 +151,7 @@
         Resumable streams that still run after the drain time are handed off to other upstreams.
         """
         stop = self.process.settings.stop
-        self.process.unhealthy = "draining"
+        self.process.unhealthy_reason = "draining"
         gates = [local.gate for local in self.local_upstreams.values()]
         for gate in gates:
             gate.stop()
@@ -163,7 +165,7 @@
                 gate.hand_off.set()
             for gate in gates:
                 await gate.wait_idle()
-            # Entries that do not know of the stop yet still get a "not run" answer for this long.
+            # Entries that do not know of the stop yet get a "not run" answer during this time.
             await trio.sleep(stop.notice_seconds)
             server.close_idle()
         self.heartbeats.send_shutdown_notice()
@@ -277,8 +279,8 @@
             samples[sample("upstream_in_flight", upstream=status.name)] = status.in_flight
             samples[sample("upstream_queued", upstream=status.name)] = status.queued
             samples[sample("upstream_progress", upstream=status.name)] = status.progress
-            state = sample("upstream_state", upstream=status.name, state=status.state)
-            samples[state] = 1.0
+            state_key = sample("upstream_state", upstream=status.name, state=status.state)
+            samples[state_key] = 1.0
         samples[sample("weights_bytes")] = self.store.used_bytes
         for name, count in self.swarm.counts.items():
             if " " not in name:
--- a/libs/daemon/src/headcross_daemon/versionnews.py
+++ b/libs/daemon/src/headcross_daemon/versionnews.py
@@ -1,4 +1,4 @@
-"""Exchanges between processes which versions of models were named recently, and when.
+"""Tells other processes which model versions were named recently, and when.
 
 The store gives only the newest version of a model, without the time at which it was named. A
 process that has just started learns from others which versions were in force before and when each
@@ -31,15 +31,16 @@
 
 def receive_version_news(facts: Facts, news: Iterable[NamedVersionNews]) -> None:
     """Record the named versions reported by another process."""
-    for each in news:
-        facts.record_named_version(each.model, each.version, each.age)
+    for named in news:
+        facts.record_named_version(named.model, named.version, named.age)
 
 
 def _recently_newest(notices: Sequence[VersionNotice], now: float) -> list[VersionNotice]:
-    """Return those of one model's versions that were recently the newest, oldest first."""
-    wanted_until = [notice.seen_at for notice in [*notices[1:], *notices[-1:]]]
+    """Return the versions of one model that were recently the newest, oldest first."""
+    # When each version was superseded by the next, or the newest was named.
+    counted_from = [notice.seen_at for notice in [*notices[1:], *notices[-1:]]]
     return [
         notice
-        for notice, until in zip(notices, wanted_until, strict=True)
-        if now - until < VERSION_NEWS_SECONDS
+        for notice, moment in zip(notices, counted_from, strict=True)
+        if now - moment < VERSION_NEWS_SECONDS
     ]
