--- a/.ci/changed_checks.py
+++ b/.ci/changed_checks.py
@@ -1,10 +1,10 @@
-"""Lists the changes to known failures and their tests since a commit.
+"""Lists changes to the known failures and to their tests since a commit.
 
 Usage: changed_checks.py [COMMIT]
 
-An entry of KNOWN-RED.txt may come, go or be reworded, and the test of one that stands there, or
-stood there at COMMIT, may change. Each is printed for a reader to judge; none is a failure.
-Without COMMIT the one in last-landing.txt beside this script counts.
+Prints which entries of KNOWN-RED.txt were added, removed or reworded, and how the tests that are
+listed there, now or at COMMIT, were changed. The output is for a reviewer to judge; no change is a
+failure. COMMIT defaults to the commit named in last-landing.txt beside this script.
 """
 
 import ast
@@ -25,13 +25,13 @@
 
 
 def entries_of(text: str) -> dict[str, str]:
-    """Return the entries of the list by test name.
+    """Return the entries of a list of known failures: by test name, the rest of the line.
 
     >>> entries_of("tests/a.py::test_b | why | issue 1")
     {'tests/a.py::test_b': 'why | issue 1'}
     """
     parts = (line.partition(" | ") for line in text.splitlines() if line.strip())
-    return {test.strip(): rest for test, _, rest in parts}
+    return {test.strip(): details for test, _, details in parts}
 
 
 def body_of(source: str, test: str) -> list[str] | None:
@@ -94,8 +94,8 @@
 
 def _at_commit(commit: str) -> ReadFile:
     def read(path: str) -> str:
-        done = subprocess.run(["git", "show", f"{commit}:{path}"], capture_output=True, text=True)
-        return done.stdout
+        shown = subprocess.run(["git", "show", f"{commit}:{path}"], capture_output=True, text=True)
+        return shown.stdout
 
     return read
 
@@ -107,8 +107,8 @@
 def main() -> int:
     """Print the changes; return 2 if the commit is not in the history, else 0."""
     commit = docopt(__doc__)["COMMIT"] or LAST_LANDING.read_text().strip()
-    known = subprocess.run(["git", "cat-file", "-e", f"{commit}^{{commit}}"], capture_output=True)
-    if known.returncode:
+    lookup = subprocess.run(["git", "cat-file", "-e", f"{commit}^{{commit}}"], capture_output=True)
+    if lookup.returncode:
         print(f"changed_checks: no commit {commit} in this history", file=sys.stderr)
         return 2
     lines = list(changes(_at_commit(commit), _in_work_tree))
--- a/libs/cli/src/headcross_cli/adminclient.py
+++ b/libs/cli/src/headcross_cli/adminclient.py
@@ -70,7 +70,7 @@
 
 
 async def read_in_force(address: Address) -> Ok[InForce] | Failure:
-    """Return the documents in force at a daemon."""
+    """Return the documents in force at a daemon; the fleet file is empty if none is."""
     fleet = await read_page(address, "fleet")
     hosts = await read_page(address, "hosts")
     if isinstance(fleet, Failure):
@@ -84,5 +84,5 @@
     if isinstance(parsed_hosts, Failure):
         return parsed_hosts
     revision = int(dict(fleet.value.headers).get("revision", "0"))
-    known = parsed_fleet.value if revision else EMPTY_FLEET
-    return Ok(InForce(known, parsed_hosts.value, revision))
+    fleet_file = parsed_fleet.value if revision else EMPTY_FLEET
+    return Ok(InForce(fleet_file, parsed_hosts.value, revision))
--- a/libs/cli/src/headcross_cli/explaining.py
+++ b/libs/cli/src/headcross_cli/explaining.py
@@ -82,8 +82,8 @@
 def _backpressure_before(refusal: Line, backpressure: list[Line]) -> list[Line]:
     """Return the last backpressure of each replica before an entry refused a request.
 
-    Empty unless the refusal was for lack of a replica. `backpressure` is sorted by time. A limit
-    that had ended is left out.
+    The list is empty unless the refusal was for lack of a replica. `backpressure` is sorted by
+    time. Limits that had already ended are left out.
     """
     if refusal.get("reason") not in NO_REPLICA_REASONS:
         return []
@@ -94,8 +94,8 @@
         ):
             is_limit = line["message"] in (LIMIT_NAMED, LIMIT_ENDED)
             newest[str(line.get("replica")), is_limit] = line
-    held = [line for line in newest.values() if line["message"] != LIMIT_ENDED]
-    return sorted(held, key=_timestamp_of)
+    in_force = [line for line in newest.values() if line["message"] != LIMIT_ENDED]
+    return sorted(in_force, key=_timestamp_of)
 
 
 def describe_line(line: Line) -> str:
@@ -105,8 +105,8 @@
     't  e1  attempt  replica=r ms=2.5'
     """
     head = "  ".join(str(line.get(name, "?")) for name in ("at", "host", "message"))
-    rest = (f"{name}={value}" for name, value in line.items() if name not in COMMON_FIELDS)
-    return f"{head}  {' '.join(rest)}".rstrip()
+    fields = (f"{name}={value}" for name, value in line.items() if name not in COMMON_FIELDS)
+    return f"{head}  {' '.join(fields)}".rstrip()
 
 
 def find_cause(lines: list[Line]) -> str:
@@ -122,14 +122,14 @@
         case "caller gone":
             return f"Its caller left after {last.get('ms')} ms."
         case "refused":
-            return _refusal(last)
+            return _describe_refusal(last)
         case _:
             return (
                 "Its end is not in these logs: the process was killed, or its lines are elsewhere."
             )
 
 
-def _refusal(last: Line) -> str:
+def _describe_refusal(last: Line) -> str:
     code = str(last.get("reason"))
     kind = ERROR_CODES.get(code)
     meaning = kind.meaning if kind is not None else "This version does not know the reason."
--- a/libs/cli/src/headcross_cli/planning.py
+++ b/libs/cli/src/headcross_cli/planning.py
@@ -37,9 +37,9 @@
     for name in old.pools.keys() - new.pools.keys():
         yield Change("pool-removed", name, f"its {old.pools[name].replicas} replicas leave")
     for name, pool in new.pools.items():
-        found = len(after.pools[name].assigned)
-        if found < pool.replicas:
-            yield Change("pool-short", name, f"{found} hosts for {pool.replicas} replicas")
+        assigned = len(after.pools[name].assigned)
+        if assigned < pool.replicas:
+            yield Change("pool-short", name, f"{assigned} hosts for {pool.replicas} replicas")
         previous = old.pools.get(name)
         if previous is None:
             yield Change("pool-added", name, f"{pool.replicas} replicas of {pool.model}")
--- a/libs/cli/src/headcross_cli/watching.py
+++ b/libs/cli/src/headcross_cli/watching.py
@@ -28,10 +28,10 @@
 
     pool: str
     version: str
-    wanted: int  # upstreams assigned
-    serving: int  # of those, how many serve the weights of the fleet file
+    wanted: int  # assigned upstreams
+    serving: int  # assigned upstreams that serve the weights of the fleet file
     progress: float  # mean share of the weights held, 0 to 1
-    silent: int
+    silent: int  # assigned upstreams whose daemon sends no heartbeats
 
 
 class FleetProgress(msgspec.Struct):
@@ -43,7 +43,7 @@
 
 
 async def watch(address: Address, until_converged: bool, seconds: float) -> int:
-    """Print progress until converged (if `until_converged`) or timed out; return the exit code.
+    """Print progress for `seconds`, or until converged if `until_converged`; return the exit code.
 
     `address` is the administration address of an entry. A daemon that does not answer ends the
     command, unless `until_converged` is set.
@@ -95,8 +95,8 @@
                 silent=sum(row.silent for row in known),
             )
         )
-    short = [p for p in pools if p.serving < p.wanted or p.wanted == 0]
-    return FleetProgress(in_force.revision, bool(pools) and not short, pools)
+    unfinished = [p for p in pools if p.serving < p.wanted or p.wanted == 0]
+    return FleetProgress(in_force.revision, bool(pools) and not unfinished, pools)
 
 
 def print_progress(progress: FleetProgress) -> None:
--- a/misc/capacity.py
+++ b/misc/capacity.py
@@ -2,8 +2,8 @@
 
     python -m misc.capacity SLOPES_FILE
 
-Every value is a fitted line extrapolated to the size of the target deployment; the table shows the
-line, its residual and the largest size at which it was measured.
+Every value is taken from a fitted line at the size of the target deployment. The table also shows
+the line, its residual and the largest size at which it was measured.
 """
 
 import json
@@ -14,6 +14,7 @@
 
 from headcross_fleet.membership import heartbeat_period
 
+# The size and traffic of the target deployment.
 ENTRIES, UPSTREAM_DAEMONS = 40, 300
 CHANGES_PER_DAY = 620
 REQUESTS_PER_SECOND, TOKENS_PER_SECOND = 2_600, 1_200_000
@@ -166,8 +167,8 @@
 
 def main() -> None:
     """Print the Markdown table."""
-    found = [json.loads(x) for x in Path(sys.argv[1]).read_text().splitlines() if x[:1] == "{"]
-    lines = {line["name"]: line for line in found}
+    slopes = [json.loads(x) for x in Path(sys.argv[1]).read_text().splitlines() if x[:1] == "{"]
+    lines = {line["name"]: line for line in slopes}
     print("| role | figure | slope + start | residual | measured to | size | at that size |")
     print("|---|---|---|---|---|---|---|")
     for row in rows():
