--- a/testing/answeringpeers.py
+++ b/testing/answeringpeers.py
@@ -1,8 +1,8 @@
 """Runs one transfer against in-memory peers, of which some are silent and the others answer.
 
-Each chunk is imported by the first host in its import order that is not silent, and is available
-from it at once. The transfer must therefore read from the origin only those chunks for which its
-own host is the first; any other read duplicates the work of a responsive peer.
+The first host in a chunk's import order that is not silent imports the chunk and offers it at
+once. The transfer must therefore read from the origin only the chunks that its own host imports;
+any other read duplicates the work of a responsive peer.
 """
 
 from collections import Counter
@@ -121,7 +121,7 @@
             ChunkStore(STORE_BYTES),
             Importer([fleet.origin], downlink),
             downlink,
-            self._connect,
+            self._send,
             lambda host: None,
             lambda stored: None,
             lambda digest, index: None,
@@ -130,7 +130,8 @@
         )
         self.transfer = fleet.make_transfer(me, context)
 
-    def _connect(self, host: str, message: PeerMessage) -> bool:
+    def _send(self, host: str, message: PeerMessage) -> bool:
+        """Send a message to a host, which answers it unless it is silent."""
         if host not in self._fleet.silent:
             self._nursery.start_soon(self._answer, host, message)
         return True
@@ -139,9 +140,9 @@
         await trio.sleep(ANSWER_SECONDS)
         match message:
             case AskIntent(artifact=artifact, indexes=indexes):
-                mine = [index for index in indexes if self._fleet.fetcher(index) == host]
-                view = self.transfer.view(host, lambda answer: self._connect(host, answer))
-                self.transfer.receive_intent(view, Intent(host, artifact, mine, []))
+                fetched = [index for index in indexes if self._fleet.fetcher(index) == host]
+                view = self.transfer.view(host, lambda answer: self._send(host, answer))
+                self.transfer.receive_intent(view, Intent(host, artifact, fetched, []))
             case AskChunk(artifact=artifact, index=index):
                 data = self._fleet.chunk(index)
                 head = Chunk(host, artifact, index, 0, len(data))
--- a/testing/caller.py
+++ b/testing/caller.py
@@ -65,14 +65,17 @@
     headers: Headers | None = None,
     seconds: float = 60.0,
 ) -> tuple[Reply, str]:
-    """Request an answer of a model; return the reply and the prompt, random by default."""
+    """Request an answer of a model; return the reply and the prompt, which is random if empty."""
     prompt = prompt or uuid.uuid4().hex
     body = json.dumps({"prompt": prompt, "max_tokens": tokens}).encode()
     return await send(address, path, body, headers=headers, seconds=seconds), prompt
 
 
 def check_tokens(reply: Reply, prompt: str, tokens: int, digests: list[str]) -> str:
-    """Return the digest that produced a stream; "" if it is incomplete, "mixed" if none did."""
+    """Return the digest whose weights produced a whole stream.
+
+    Return "" if the stream is incomplete, "mixed" if no single digest produced all its tokens.
+    """
     events = reply.body.decode().split("\n\n")
     if events[-2:] != ["data: [DONE]", ""]:
         return ""
--- a/testing/demo.py
+++ b/testing/demo.py
@@ -21,9 +21,9 @@
 WEIGHTS_BYTES = 64 * MIB
 CHUNK_BYTES = MIB // 4
 REPLICAS = 6
-# Within the burst window the origin's link carries four copies of the weights, a host's two.
+# Within the burst window the origin's link carries four copies of the weights, a host's link two.
 WINDOW_SECONDS = 16.0
-HOST_RATE = 2 * WEIGHTS_BYTES / WINDOW_SECONDS
+HOST_RATE = 2 * WEIGHTS_BYTES / WINDOW_SECONDS  # bytes per second
 ORIGIN_RATE = 4 * WEIGHTS_BYTES / WINDOW_SECONDS
 ZONES = [("honam", "honam-a"), ("yeongnam", "yeongnam-a"), ("jeju", "jeju-a")]
 TOKENS = 6
@@ -114,10 +114,10 @@
         for name in fleet.nodes:
             fleet.start(name)
         print_progress(f"started {len(specs)} daemons; filling the fleet with v1")
-        first = time.monotonic()
+        started = time.monotonic()
         await fleet.wait_serving(v1, REPLICAS)
         print_progress(
-            f"all serve v1 after {time.monotonic() - first:.1f} s; now v2 under requests"
+            f"all serve v1 after {time.monotonic() - started:.1f} s; now v2 under requests"
         )
         load_generator = LoadGenerator(fleet, [v1, v2])
         sent_before = fleet.origin.sent_bytes
@@ -125,9 +125,9 @@
             nursery.start_soon(load_generator.run)
             await trio.sleep(1)
             fleet.publish_fleet(FLEET_FILE.format(v1=v1, v2=v2, version="v2"))
-            published = time.monotonic()
+            published_at = time.monotonic()
             await fleet.wait_serving(v2, REPLICAS)
-            time_to_n = time.monotonic() - published
+            rollout_seconds = time.monotonic() - published_at
             await trio.sleep(1)
             load_generator.stopped = True
         serving = sum(
@@ -138,7 +138,7 @@
         return {
             "replicas": REPLICAS,
             "serving": serving,
-            "time_to_n_seconds": round(time_to_n, 2),
+            "time_to_n_seconds": round(rollout_seconds, 2),
             "floor_seconds": WEIGHTS_BYTES / HOST_RATE,
             "origin_copies": round((fleet.origin.sent_bytes - sent_before) / WEIGHTS_BYTES, 3),
             "requests": load_generator.requests,
--- a/testing/engine.py
+++ b/testing/engine.py
@@ -55,19 +55,19 @@
         self.error = ""
         self.runs: list[Run] = []
         self.orders: list[Order] = []
-        self.running = 0
+        self.running = 0  # requests that are running or wait for a slot
         self.token_seconds = 0.005
         self.load_seconds = 0.2
         self.report_digest: str | None = None  # digest to report instead of the loaded one
         self.break_after: int | None = None  # cuts the next stream after this many tokens
-        self.cancelled = 0
+        self.cancelled = 0  # requests that did not run to their end
         self.down = False
         self.order_answer_seconds = 0.0  # delay of the answer to an order
         self.verifies_chunks = True  # fetches and verifies all chunks, not only the manifest
         # Capacity: concurrent requests, and the cost of a prompt whose prefix is not cached.
         self.slots = trio.CapacityLimiter(10_000)
         self.prefill_seconds = 0.0
-        self.cached_prefixes = 0
+        self.cached_prefixes = 0  # capacity of the prefix cache
         self.prefix_hits = 0
         self._prefixes: dict[str, None] = {}
         self._loads = 0
@@ -117,6 +117,10 @@
                 await exchange.respond(202, [], b"")
 
     async def _load(self, order: Order, number: int) -> None:
+        """Fetch the weights of an order and load them unless a later order was accepted meanwhile.
+
+        `number` is the order's count among all orders accepted.
+        """
         self.error = ""
         loaded: list[WeightsOrder] = []
         for weights in order.weights:
@@ -152,8 +156,8 @@
     async def _generate(self, exchange: Exchange) -> None:
         request = exchange.request
         digest = self.loaded[0].digest if self.loaded else ""
-        held = serving_digest([w.digest for w in self.loaded]) if self.loaded else ""
-        if request.header("if-match") != f'"{held}"':
+        loaded_digest = serving_digest([w.digest for w in self.loaded]) if self.loaded else ""
+        if request.header("if-match") != f'"{loaded_digest}"':
             await exchange.respond(412, [], b"")
             return
         parameters = msgspec.json.decode(request.body, type=Generate)
--- a/testing/faultproxy.py
+++ b/testing/faultproxy.py
@@ -1,4 +1,4 @@
-"""A TCP proxy that injects faults depending on the source of a connection.
+"""A TCP proxy that injects faults depending on the source and target of a connection.
 
 Each proxy forwards to one listener of one daemon; the host list names the proxy's address. Since
 every daemon sends from its own IP address, faults can be limited to single pairs of hosts.
@@ -12,7 +12,7 @@
 from headcross_base.addresses import Address
 
 Fault = Literal["pass", "cut", "stall", "corrupt"]
-BUFFER = 64 * 1024
+BUFFER_BYTES = 64 * 1024
 
 
 class FaultProxy:
@@ -33,45 +33,48 @@
         await trio.serve_listeners(self._serve, listeners)
 
     async def _serve(self, client: trio.SocketStream) -> None:
-        source = client.socket.getpeername()[0]
-        if self._fault(source) == "cut":
+        source_ip = client.socket.getpeername()[0]
+        if self._fault(source_ip) == "cut":
             await trio.aclose_forcefully(client)
             return
         try:
             target = await trio.open_tcp_stream(
-                self.target.ip, self.target.port, local_address=source
+                self.target.ip, self.target.port, local_address=source_ip
             )
         except OSError:
             await trio.aclose_forcefully(client)
             return
         try:
             async with trio.open_nursery() as nursery:
-                nursery.start_soon(self._close_when_cut, source, nursery.cancel_scope)
-                nursery.start_soon(self._copy, client, target, source)
-                await self._copy(target, client, source)
+                nursery.start_soon(self._close_when_cut, source_ip, nursery.cancel_scope)
+                nursery.start_soon(self._copy, client, target, source_ip)
+                await self._copy(target, client, source_ip)
                 nursery.cancel_scope.cancel()
         finally:
             for stream in (client, target):
                 await trio.aclose_forcefully(stream)
 
-    async def _copy(self, source: trio.SocketStream, target: trio.SocketStream, name: str) -> None:
+    async def _copy(
+        self, reader: trio.SocketStream, writer: trio.SocketStream, source_ip: str
+    ) -> None:
         try:
-            while data := await source.receive_some(BUFFER):
-                while self._fault(name) == "stall":
+            while data := await reader.receive_some(BUFFER_BYTES):
+                while self._fault(source_ip) == "stall":
                     await trio.sleep(0.05)
-                if self._fault(name) == "corrupt" and len(data) > 2048:
-                    place = random.randrange(1024, len(data))
-                    data = data[:place] + bytes([data[place] ^ 1]) + data[place + 1 :]
+                if self._fault(source_ip) == "corrupt" and len(data) > 2048:
+                    offset = random.randrange(1024, len(data))
+                    data = data[:offset] + bytes([data[offset] ^ 1]) + data[offset + 1 :]
                 self.forwarded_bytes += len(data)
-                await target.send_all(data)
-            await target.send_eof()
+                await writer.send_all(data)
+            await writer.send_eof()
         except (trio.BrokenResourceError, trio.ClosedResourceError):
             pass
 
-    async def _close_when_cut(self, name: str, scope: trio.CancelScope) -> None:
-        while self._fault(name) != "cut":
+    async def _close_when_cut(self, source_ip: str, scope: trio.CancelScope) -> None:
+        """Cancel the scope of a connection once the fault between its ends is a cut."""
+        while self._fault(source_ip) != "cut":
             await trio.sleep(0.05)
         scope.cancel()
 
-    def _fault(self, source: str) -> Fault:
-        return self._fault_of(source, self.target.ip)
+    def _fault(self, source_ip: str) -> Fault:
+        return self._fault_of(source_ip, self.target.ip)
--- a/testing/fleet.py
+++ b/testing/fleet.py
@@ -45,9 +45,8 @@
     region: str
     service: str = ""  # plain service of the upstream; empty for a model upstream
     checks_fences: bool = True
-    settings: str = (
-        ""  # TOML to append to the generated settings, replacing the default [stop] table
-    )
+    # TOML to append to the generated settings in place of the default [stop] table.
+    settings: str = ""
     upstream: str = ""  # TOML to append to the [[upstreams]] table
     module: str = "headcross_daemon.main"  # module to run as the daemon
 
@@ -74,7 +73,7 @@
     """A running fleet with its platform."""
 
     directory: Path
-    block: str
+    block: str  # second and third octet of all IP addresses, such as "20.7"
     nursery: trio.Nursery
     proxied: bool
     config: FakeConfigService = field(default_factory=FakeConfigService)
@@ -82,9 +81,9 @@
     nodes: dict[str, Node] = field(default_factory=dict)
     # Returns the fault to inject between a source and a target IP address.
     fault_of: Callable[[str, str], Fault] = lambda source, target: "pass"
-    uplink: float = 0.0
+    uplink: float = 0.0  # bytes per second; 0 for no bound
     downlink: float = 0.0
-    memory: int = 1 << 30
+    memory: int = 1 << 30  # bytes for weights
 
     async def serve(self, handler: HttpHandler, address: Address) -> None:
         """Run an HTTP server for a fake in the background."""
@@ -265,7 +264,10 @@
     memory: int = 1 << 30,
     origin_rate: float = 0.0,
 ) -> AsyncIterator[Fleet]:
-    """Set up a fleet and its platform; daemons still running at the end are killed."""
+    """Set up a fleet and its platform without starting daemons.
+
+    Daemons that are still running on exit from the context are killed.
+    """
     block = f"{random.randrange(2, 250)}.{random.randrange(1, 250)}"
     SOURCE_IP.set(f"127.{block}.1")
     async with trio.open_nursery() as nursery:
--- a/testing/heldlink.py
+++ b/testing/heldlink.py
@@ -15,7 +15,7 @@
 
     def __init__(self, public: Address, private: Address) -> None:
         self.public = public
-        self.connections = 0
+        self.connections = 0  # connections from other hosts so far
         self.held = 0  # bytes received while holding
         # Connections whose last bytes were a delivery proof; a request follows at once.
         self._proving: set[trio.SocketStream] = set()
--- a/testing/latereplica.py
+++ b/testing/latereplica.py
@@ -19,9 +19,9 @@
 
 MODEL: Final = "m"
 CHUNKS: Final = 8
-LATE_SECONDS: Final = 12.0
-BAD_SECONDS: Final = 3.0
-SILENT_SECONDS: Final = 1.0
+LATE_SECONDS: Final = 12.0  # longest delay of a call that takes effect late
+BAD_SECONDS: Final = 3.0  # longest time for which a corrupted chunk excuses a load
+SILENT_SECONDS: Final = 1.0  # time until a call without an answer fails
 LOAD_SECONDS: Final = 0.3
 
 
@@ -54,7 +54,7 @@
 
 @dataclass(frozen=True)
 class CorruptedChunk:
-    """The time of a chunk's corruption and its bytes before."""
+    """The time at which a chunk was corrupted, and its previous bytes."""
 
     at: float
     before: bytes
@@ -138,10 +138,10 @@
         """Return the state of the replica."""
         if not await self._delay_read():
             return Failure(LINK_LOST, "no answer")
-        held = (LoadedModel(MODEL, self.loaded),) if self.loaded else ()
+        loaded = (LoadedModel(MODEL, self.loaded),) if self.loaded else ()
         started = self._incarnation if self._reports_start else None
         return Ok(
-            ReplicaReport(held, self._loading, self._orders, 0, 0, 0, 1, 1.0, started_ms=started)
+            ReplicaReport(loaded, self._loading, self._orders, 0, 0, 0, 1, 1.0, started_ms=started)
         )
 
     async def staged_chunks(self, model: str) -> Ok[frozenset[int]] | Failure:
@@ -172,7 +172,7 @@
         """Open an order line to the current incarnation."""
         if self._generator.random() < self.fault_rates.lost / 2:
             return Failure(CONNECT_FAILED, "refused")
-        return Ok(_Line(self, self._incarnation))
+        return Ok(_OrderLine(self, self._incarnation))
 
     # Orders.
 
@@ -218,9 +218,9 @@
         for index in range(CHUNKS):
             wanted, staged = chunk_of(version, index), self._staged.get(index)
             corrupted = self._corrupted.get(index)
-            recent = corrupted is not None and now - corrupted.at <= BAD_SECONDS
+            is_recent = corrupted is not None and now - corrupted.at <= BAD_SECONDS
             if staged == wanted or (
-                recent and corrupted is not None and corrupted.before == wanted
+                is_recent and corrupted is not None and corrupted.before == wanted
             ):
                 continue
             self.violations.append(f"{now:.2f}: version {version}, chunk {index} is {staged!r}")
@@ -266,20 +266,20 @@
             effect()
 
     def _draw_result(self) -> CallResult:
-        number = self._generator.random()
+        threshold = self._generator.random()
         fault_rates = self.fault_rates
-        for result, part in (
+        for result, share in (
             (CallResult.LOST, fault_rates.lost),
             (CallResult.UNANSWERED, fault_rates.unanswered),
             (CallResult.LATE, fault_rates.late),
         ):
-            if number < part:
+            if threshold < share:
                 return result
-            number -= part
+            threshold -= share
         return CallResult.ANSWERED
 
 
-class _Line:
+class _OrderLine:
     """An order line to one incarnation of the replica."""
 
     def __init__(self, replica: LateReplica, incarnation: int) -> None:
@@ -289,7 +289,7 @@
     async def start(
         self, model: str, version: int, expected: ReplicaReport, *, break_off: bool
     ) -> Ok[OrderTaken | OrderRefused] | Failure:
-        """Send an order to that incarnation."""
+        """Send an order to the incarnation of this line."""
         return await self._replica.take_order(self._incarnation, version, expected)
 
     async def close(self) -> None:
--- a/testing/machinecaller.py
+++ b/testing/machinecaller.py
@@ -54,7 +54,10 @@
     headers: Headers | None = None,
     seconds: float = 20.0,
 ) -> Reply:
-    """Send a request on a connection of its own and read the answer to the end."""
+    """Send a request on a connection of its own and read the answer to the end.
+
+    Failures are recorded in the reply; `seconds` limits the whole call.
+    """
     reply = Reply(request_id or new_request_id())
     head: Headers = [
         ("host", HOST),
--- a/testing/machinedemo.py
+++ b/testing/machinedemo.py
@@ -26,7 +26,7 @@
 LINK_MBITS: Final = 3.8
 ORIGIN_MBITS: Final = 9.9
 REQUEST_EVERY_SECONDS: Final = 0.05
-LIMIT_SECONDS: Final = 60.0
+ROLLOUT_TIMEOUT_SECONDS: Final = 60.0
 
 
 class LoadGenerator:
@@ -85,19 +85,24 @@
             await trio.sleep(1.0)
             named_at = trio.current_time()
             site.name_version(2)
-            taken: list[float] = []
-            with trio.fail_after(LIMIT_SECONDS):
-                while len(taken) < REPLICAS:
-                    done = sum(replica.version == 2 for replica in replicas)
-                    taken += [trio.current_time() - named_at] * (done - len(taken))
+            update_seconds: list[float] = []
+            with trio.fail_after(ROLLOUT_TIMEOUT_SECONDS):
+                while len(update_seconds) < REPLICAS:
+                    updated = sum(replica.version == 2 for replica in replicas)
+                    update_seconds += [trio.current_time() - named_at] * (
+                        updated - len(update_seconds)
+                    )
                     await trio.sleep(0.01)
             await trio.sleep(1.0)
             load_generator.stopped = True
-        return report(site, load_generator, taken)
+        return report(site, load_generator, update_seconds)
 
 
-def report(site: Machines, load_generator: LoadGenerator, taken: list[float]) -> bool:
-    """Print the figures; return whether no request was lost or run twice."""
+def report(site: Machines, load_generator: LoadGenerator, update_seconds: list[float]) -> bool:
+    """Print the figures; return whether no request was lost or run twice.
+
+    `update_seconds` are the times from the naming of the version until each replica served it.
+    """
     runs: Counter[tuple[str, str | None]] = Counter()
     for replica in replicas_of(site, MODEL_SERVICE):
         runs.update((run.id, run.headers.get("last-event-id")) for run in replica.runs)
@@ -105,10 +110,10 @@
     for lost in load_generator.lost:
         print(f"lost: {lost}", file=sys.stderr)
     line = {
-        "replicas": len(taken),
-        "first_seconds": round(taken[0], 1),
-        "half_seconds": round(taken[len(taken) // 2 - 1], 1),
-        "last_seconds": round(taken[-1], 1),
+        "replicas": len(update_seconds),
+        "first_seconds": round(update_seconds[0], 1),
+        "half_seconds": round(update_seconds[len(update_seconds) // 2 - 1], 1),
+        "last_seconds": round(update_seconds[-1], 1),
         "floor_seconds": round(CHUNKS * CHUNK_BYTES * 8 / (LINK_MBITS * 1e6), 1),
         "origin_copies": round(site.origin.sent_chunks / CHUNKS, 2),
         "requests": len(load_generator.replies),
--- a/testing/machines.py
+++ b/testing/machines.py
@@ -84,7 +84,7 @@
     """A running set of hosts with their platform."""
 
     directory: Path
-    block: str
+    block: str  # second and third octet of the public IP addresses, such as "20.7"
     nursery: trio.Nursery
     store: FakePlatformStore = field(default_factory=FakePlatformStore)
     origin: FakePlatformOrigin = field(default_factory=lambda: FakePlatformOrigin(CHUNK_BYTES))
@@ -102,7 +102,7 @@
     # `running_machines` runs proxies between them and the public addresses that clients use.
     private_block: str = ""
     listing_seconds: float = 0.01  # interval at which entries in the list are updated
-    _numbers: int = 10
+    _last_ip_number: int = 10  # last octet of the IP address assigned last
 
     # The platform.
 
@@ -241,13 +241,14 @@
         self.store.remove(f"{names.REPLICA_PREFIX}{listed.replica.id}")
 
     async def _keep_listed(self, listed: ListedReplica) -> None:
-        before: object = None
+        """Complete due loads and write the entry whenever it changes, until cancelled."""
+        listed_state: object = None
         while True:
             listed.replica.complete_load()
             replica = listed.replica
             state = (replica.version, replica.draining, replica.started_ms)
-            if state != before and listed.writes_entry:
-                before = state
+            if state != listed_state and listed.writes_entry:
+                listed_state = state
                 self.list_replica(listed)
             await trio.sleep(self.listing_seconds)
 
@@ -259,8 +260,8 @@
 
     def new_ip(self) -> str:
         """Return an unused IP address."""
-        self._numbers += 1
-        return f"127.{self.block}.{self._numbers}"
+        self._last_ip_number += 1
+        return f"127.{self.block}.{self._last_ip_number}"
 
     def add_entry(self, name: str, zone: str) -> Machine:
         """Add an entry host without starting its process."""
@@ -317,8 +318,8 @@
         outcome = await call(address, "GET", "/state", seconds=2, max_bytes=1 << 20)
         if isinstance(outcome, Failure):
             return {}
-        found: dict[str, Any] = msgspec.json.decode(outcome.value.body)
-        return found
+        state: dict[str, Any] = msgspec.json.decode(outcome.value.body)
+        return state
 
     async def ready(self, name: str) -> bool:
         """Return whether an entry reports that it is ready."""
@@ -348,8 +349,9 @@
     def _seeds_of(self, machine: Machine) -> list[str]:
         """Return the seeds for a process's settings.
 
-        A process recognises itself among the seeds by its listening address. With a private
-        address it would take its own public one for another entry, so that one is left out.
+        A process recognises itself among the seeds by its listening address. If it listens on a
+        private address, it would take its own public address for another entry, so the public
+        address is left out.
         """
         own = f"{machine.ip}:{PEERS}"
         return [seed for seed in self.seeds if not self.private_block or seed != own]
@@ -391,7 +393,7 @@
 ) -> AsyncIterator[Machines]:
     """Run a platform without hosts; all processes are killed on exit from the context.
 
-    With `interposed`, all listeners bind to private addresses, for proxies in between.
+    With `interposed`, all listeners bind to private addresses, and the caller runs the proxies.
     """
     seed = random.randrange(1 << 30)
     generator = random.Random(os.getpid() * 7919 + seed)
@@ -429,7 +431,10 @@
     mirrors: bool = True,
     weights_ms: float = 8000.0,
 ) -> AsyncIterator[Machines]:
-    """Run entries and replicas that serve version 1; wait until the entries are ready."""
+    """Run entries and replicas that serve version 1; wait until the entries are ready.
+
+    `named`, if not 0, is the version that the platform names from the start.
+    """
     async with running_machines(directory) as site:
         site.link_mbits = link_mbits
         site.entry_link_mbits = entry_link_mbits
--- a/testing/origin.py
+++ b/testing/origin.py
@@ -35,8 +35,8 @@
         self.link = LinkRate(bytes_per_second, 64 * 1024)
         self.versions: dict[str, tuple[bytes, bytes]] = {}
         self.sent_bytes = 0
-        self.ranges = 0
-        self.requests: dict[tuple[str, str], int] = {}
+        self.ranges = 0  # number of ranges requested
+        self.requests: dict[tuple[str, str], int] = {}  # by version and first byte of the range
         self.down = False
         self.corrupt_next = 0  # how many of the next ranges to corrupt
         self.limited_every = 0  # refuses every nth range with status 429; 0 for none
@@ -64,8 +64,8 @@
         if self.limited_every and self.ranges % self.limited_every == 0:
             await exchange.respond(429, [("retry-after", "1")], b"")
             return
-        wanted = (exchange.request.header("range") or "").removeprefix("bytes=")
-        first, _, last = wanted.partition("-")
+        requested_range = (exchange.request.header("range") or "").removeprefix("bytes=")
+        first, _, last = requested_range.partition("-")
         piece = data[int(first) : int(last) + 1]
         self.requests[name, first] = self.requests.get((name, first), 0) + 1
         if self.corrupt_next:
--- a/testing/platformorigin.py
+++ b/testing/platformorigin.py
@@ -26,7 +26,7 @@
 
     @property
     def sent_chunks(self) -> int:
-        """How many chunks were sent."""
+        """The number of chunks sent, repeated ones included."""
         return sum(self.sent.values())
 
     async def serve_connection(self, stream: trio.SocketStream) -> None:
--- a/testing/platformreplica.py
+++ b/testing/platformreplica.py
@@ -131,18 +131,19 @@
     events: int = 4
     event_seconds: float = 0.0
     service_seconds: float = 0.0
-    # Queueing time of a request; it does not run if its caller disconnects meanwhile.
+    # Queueing time of a request, which does not run if its caller disconnects meanwhile.
     wait_seconds: float = 0.0
     load_seconds: float = 0.02
     faults: deque[Fault] = field(default_factory=deque)
     runs: list[Run] = field(default_factory=list)
+    # Ids of requests that lost their connection.
     cancelled: list[str] = field(default_factory=list)
-    arrivals: int = 0
+    arrivals: int = 0  # requests that reached the replica, run or not
     arrived: list[ArrivedRequest] = field(default_factory=list)
     faulty: int = 0  # requests in flight with an injected fault
-    active: int = 0
-    connections: int = 0
-    opened: int = 0
+    active: int = 0  # requests in flight
+    connections: int = 0  # open connections
+    opened: int = 0  # connections opened so far
     loading: bool = False
     loading_version: int = 0
     load_due: float = 0.0  # trio clock
@@ -151,13 +152,12 @@
     serves_draining: bool = False  # accepts requests while draining
     limit: str | None = None  # requests per second, sent in responses
     announces_leaving: bool = False  # in responses to requests
-    # Seconds of rest to ask for; if set, every request is refused.
+    # Retry-After value, in seconds, with which every request is refused; None for no refusals.
     rest: str | None = None
     reports_leaving: bool = False  # in reports to the daemon on its host
-    names_versions: bool = (
-        False  # each event ends with the version of the weights that produced it
-    )
-    orders: int = 0
+    # Whether each event ends with the version of the weights that produced it.
+    names_versions: bool = False
+    orders: int = 0  # orders accepted by this incarnation
     # Awaited before each call of the daemon; if it returns true, the call has no effect and gets
     # no answer.
     drops_call: Callable[[DaemonCall], Awaitable[bool]] | None = None
@@ -198,7 +198,7 @@
             await trio.aclose_forcefully(stream)
 
     async def end(self) -> None:
-        """Fail in the way of `ending`; the owner closes other connections and restarts it."""
+        """Fail as `ending` says; the owner closes what is still open and restarts the replica."""
         self.ended.set()
         if self.ending is Ending.RESET:
             for stream in list(self.streams):
@@ -221,9 +221,9 @@
                 with suppress(CallerDisconnected):
                     await sleep_while_connected(stream, float("inf"))
                 return
-            reply = self._answer_call(call)
-            if reply is not None:
-                await stream.send_all(reply)
+            call_response = self._answer_call(call)
+            if call_response is not None:
+                await stream.send_all(call_response)
                 connection = next_cycle(connection)
                 continue
             if not await self._run(stream, head, headers, body):
@@ -233,6 +233,7 @@
     # Calls from the daemon on its host.
 
     async def _drops_call(self, call: DaemonCall) -> bool:
+        """Return whether a call gets no answer; hold it if it is an order that is to be held."""
         if call.orders and self.orders_to_hold:
             self.orders_to_hold -= 1
             self.held_orders.append(msgspec.json.decode(call.body))
@@ -240,6 +241,7 @@
         return self.drops_call is not None and await self.drops_call(call)
 
     def _answer_call(self, call: DaemonCall) -> bytes | None:
+        """Perform a call of the daemon; return the response, None if it is another request."""
         if call.path == names.REPORT_PATH:
             leaving = [(names.LEAVING, "1")] if self.reports_leaving else []
             return json_bytes(200, self._report(), leaving)
@@ -247,8 +249,8 @@
             self.staged[call.number] = call.body
             return json_bytes(200, {})
         if call.reads_chunk:
-            held = self.staged.get(call.number)
-            return json_bytes(404, {}) if held is None else response_bytes(200, [], held)
+            chunk = self.staged.get(call.number)
+            return json_bytes(404, {}) if chunk is None else response_bytes(200, [], chunk)
         if call.path.startswith(names.STAGE_GET_PATH):
             return json_bytes(200, {"held": sorted(self.staged)})
         if call.orders:
--- a/testing/platformstore.py
+++ b/testing/platformstore.py
@@ -27,27 +27,26 @@
 
 @dataclass
 class StoredItem:
-    """A stored value with the revisions of its last write and of its creation."""
+    """A stored value with the revision of its last write."""
 
     value: bytes
     revision: int
-    made: int
+    made: int  # revision of its creation
 
 
 @dataclass
 class FakePlatformStore:
-    """The store; its state lives in memory and every write increments its revision."""
+    """The store; it keeps its state in memory, and every write increments its revision."""
 
     page_size: int = 500
     items: dict[str, StoredItem] = field(default_factory=dict)
     revision: int = 0
     compacted_revision: int = 0  # the history up to this revision is discarded
     condition: StoreCondition = StoreCondition.WELL
-    condition_by_ip: dict[str, StoreCondition] = field(
-        default_factory=dict
-    )  # by the caller's IP address
-    calls: Counter[str] = field(default_factory=Counter)
-    _log: list[tuple[int, str]] = field(default_factory=list)
+    # Conditions that differ from `condition`, by the caller's IP address.
+    condition_by_ip: dict[str, StoreCondition] = field(default_factory=dict)
+    calls: Counter[str] = field(default_factory=Counter)  # by the caller's IP address and path
+    _log: list[tuple[int, str]] = field(default_factory=list)  # revision and key of each change
     _changed: trio.Event = field(default_factory=trio.Event)
 
     def put(self, key: str, value: object) -> int:
@@ -85,7 +84,7 @@
         query = {k: v[0] for k, v in parse_qs(exchange.request.target.partition("?")[2]).items()}
         ip = exchange.peer_ip
         self.calls[f"{ip} {path}"] += 1
-        if not await self._answers(exchange, ip):
+        if not await self._check_condition(exchange, ip):
             return
         if path == names.STORE_RANGE:
             await exchange.respond_json(200, self._range(query))
@@ -94,7 +93,8 @@
         else:
             await exchange.respond_json(404, {"error": "no such call"})
 
-    async def _answers(self, exchange: Exchange, ip: str) -> bool:
+    async def _check_condition(self, exchange: Exchange, ip: str) -> bool:
+        """Return whether a call is answered normally; otherwise respond as the condition says."""
         match self.condition_by_ip.get(ip, self.condition):
             case StoreCondition.WELL:
                 return True
@@ -127,7 +127,7 @@
                     break
                 await self._changed.wait()
         if self.condition_by_ip.get(ip, self.condition) is not StoreCondition.WELL:
-            await self._answers(exchange, ip)
+            await self._check_condition(exchange, ip)
             return
         if after < self.compacted_revision:
             await exchange.respond_json(410, {"error": "history is gone"})
--- a/testing/rawhttp.py
+++ b/testing/rawhttp.py
@@ -17,7 +17,7 @@
 
 
 async def sleep_while_connected(stream: trio.SocketStream, seconds: float) -> None:
-    """Sleep for some seconds.
+    """Sleep for some seconds; data from the caller ends the sleep early.
 
     Raises:
         CallerDisconnected: The caller closed the connection meanwhile.
@@ -50,11 +50,14 @@
 
 
 def next_cycle(connection: h11.Connection) -> h11.Connection:
-    """Return an h11 connection for the next request, since h11 does not see the responses."""
+    """Return an h11 connection for the next request.
+
+    A new one is needed for each request, since h11 does not see the responses.
+    """
     fresh = h11.Connection(h11.SERVER)
-    rest = connection.trailing_data[0]
-    if rest:
-        fresh.receive_data(rest)
+    unread = connection.trailing_data[0]
+    if unread:
+        fresh.receive_data(unread)
     return fresh
 
 
--- a/testing/small.py
+++ b/testing/small.py
@@ -87,7 +87,11 @@
     checks_fences: bool = True,
     serving: bool = True,
 ) -> AsyncIterator[SmallFleet]:
-    """Run a small fleet; with `serving`, wait until all its model hosts serve v1."""
+    """Run a small fleet; with `serving`, wait until all its model hosts serve v1.
+
+    `link` is the rate of a host's link in bytes per second, 0 for no bound; the origin's is twice
+    that. `memory` is in bytes.
+    """
     seed = random.randrange(1 << 30)
     print(f"seed {seed}")
     random.seed(seed)
