--- a/bench/soak/actionrunner.py
+++ b/bench/soak/actionrunner.py
@@ -9,8 +9,8 @@
 from bench.soak.processes import Processes
 from bench.soak.proxies import LinkFault, LinkKind
 from bench.soak.record import ReplicaLeaves, ReplicaLimit
-from bench.soak.site import SeatState, Site
-from bench.soak.sizes import Seat, daemon_of
+from bench.soak.site import ReplicaHostState, Site
+from bench.soak.sizes import ReplicaHost, daemon_of
 from testing.machinelayout import MODEL_SERVICE
 from testing.platformstore import StoreCondition
 
@@ -129,29 +129,29 @@
     # recorded as disturbances.
 
     async def _crash_replica(self, action: Action) -> None:
-        seat = self._seat(action)
+        replica_host = self._replica_host(action)
         disturbance = self._site.begin_disturbance(
-            action.kind.value, self._site.machines_at(seat.seat.name)
+            action.kind.value, self._site.machines_at(replica_host.host.name)
         )
-        gone = seat.listed
-        self._site.end_replica(seat)
+        gone = replica_host.listed
+        self._site.end_replica(replica_host)
         await trio.sleep(action.seconds)
-        await self._site.start_replica(seat)
+        await self._site.start_replica(replica_host)
         disturbance.ended_at = trio.current_time()
         await trio.sleep(max(0.0, LISTING_EXPIRY_SECONDS - action.seconds))
         if gone is not None:
             self._site.machines.unlist(gone)
 
     async def _restart_replica(self, action: Action) -> None:
-        seat = self._seat(action)
+        replica_host = self._replica_host(action)
         disturbance = self._site.begin_disturbance(
-            action.kind.value, self._site.machines_at(seat.seat.name)
+            action.kind.value, self._site.machines_at(replica_host.host.name)
         )
-        await self._site.restart_replica(seat, clock_step_ms=round(action.amount))
+        await self._site.restart_replica(replica_host, clock_step_ms=round(action.amount))
         disturbance.ended_at = trio.current_time()
 
     async def _slow_replica(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         before = replica.event_seconds, replica.service_seconds
@@ -160,7 +160,7 @@
         replica.event_seconds, replica.service_seconds = before
 
     async def _delay_requests(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.wait_seconds = action.amount
@@ -168,7 +168,7 @@
         replica.wait_seconds = 0.0
 
     async def _break_answers(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.faults.extend(action.faults)
@@ -179,17 +179,17 @@
                 await trio.sleep(0.05)
 
     async def _hold_orders(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.orders_to_hold = round(action.amount)
         await trio.sleep(action.seconds)
         replica.orders_to_hold = 0
-        if self._seat(action).replica is replica:
+        if self._replica_host(action).replica is replica:
             replica.take_held_orders()
 
     async def _limit_replica(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.limit = f"{action.amount:.1f}"
@@ -200,7 +200,7 @@
         limit.ended_at = trio.current_time()
 
     async def _request_rest(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.rest = f"{action.amount:.2f}"
@@ -208,32 +208,32 @@
         replica.rest = None
 
     async def _announce_leaving(self, action: Action) -> None:
-        seat = self._seat(action)
-        if seat.replica is None:
+        replica_host = self._replica_host(action)
+        if replica_host.replica is None:
             return
-        seat.replica.announces_leaving = True
-        said = ReplicaLeaves(seat.replica.id, trio.current_time())
+        replica_host.replica.announces_leaving = True
+        said = ReplicaLeaves(replica_host.replica.id, trio.current_time())
         self._site.record.leaving.append(said)
-        await self._replace_later(seat, action.seconds)
+        await self._replace_later(replica_host, action.seconds)
 
     async def _drain(self, action: Action) -> None:
-        seat = self._seat(action)
-        self._site.drain(seat)
-        await self._replace_later(seat, action.seconds)
+        replica_host = self._replica_host(action)
+        self._site.drain(replica_host)
+        await self._replace_later(replica_host, action.seconds)
 
-    async def _replace_later(self, seat: SeatState, seconds: float) -> None:
+    async def _replace_later(self, replica_host: ReplicaHostState, seconds: float) -> None:
         """End a leaving replica after some seconds, and start its next incarnation."""
-        gone = seat.listed
+        gone = replica_host.listed
         await trio.sleep(seconds)
-        if gone is None or seat.listed is not gone:
+        if gone is None or replica_host.listed is not gone:
             return  # the replica crashed meanwhile
-        self._site.end_replica(seat)
-        self._site.unlist_replica(seat)
+        self._site.end_replica(replica_host)
+        self._site.unlist_replica(replica_host)
         await trio.sleep(RESTART_SECONDS)
-        await self._site.start_replica(seat)
+        await self._site.start_replica(replica_host)
 
-    def _seat(self, action: Action) -> SeatState:
-        return self._site.seats[action.targets[0]]
+    def _replica_host(self, action: Action) -> ReplicaHostState:
+        return self._site.replica_hosts[action.targets[0]]
 
     # The platform.
 
@@ -284,9 +284,9 @@
 
     async def _add_replica(self, action: Action) -> None:
         name = action.targets[0]
-        pattern = self._site.plan.seats[0]
-        seat = Seat(name, pattern.service_seconds, pattern.slots)
-        await self._site.add_seat(seat, "z0", MODEL_SERVICE, 0)
+        pattern = self._site.plan.replica_hosts[0]
+        host = ReplicaHost(name, pattern.service_seconds, pattern.slots)
+        await self._site.add_replica_host(host, "z0", MODEL_SERVICE, 0)
         await self._site.start_process(daemon_of(name))
 
     async def _add_entry(self, action: Action) -> None:
--- a/bench/soak/actions.py
+++ b/bench/soak/actions.py
@@ -8,7 +8,7 @@
 
 
 class ActionKind(Enum):
-    """What an action does; its targets are names of machines or seats."""
+    """What an action does; its targets are names of processes or replica hosts."""
 
     # Link faults, injected by the proxies. Two targets select the links between them, one target
     # all of its links.
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -8,7 +8,7 @@
 from bench.soak.actions import BACKPRESSURE_KINDS, Action, ActionKind
 from bench.soak.bounds import BOUNDS
 from bench.soak.sizes import (
-    Seat,
+    ReplicaHost,
     Sizes,
     daemon_of,
     draw_sizes,
@@ -30,7 +30,8 @@
 ACTIONS_PER_SECOND: Final = 0.9  # in a fault phase
 SERVICE_SECONDS: Final = (0.02, 0.25)  # service time, or the interval between events
 SLOTS: Final = (8, 16)
-SEAT_KINDS: Final = frozenset(
+# Actions that end or start the replica on a host.
+REPLICA_LIFECYCLE_KINDS: Final = frozenset(
     {
         ActionKind.REPLICA_CRASH,
         ActionKind.DRAIN,
@@ -49,7 +50,7 @@
 BACKPRESSURE_SECONDS: Final = 6.0
 LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # in requests
 REST_SECONDS: Final = (0.8, 2.5)
-# Restarts of one seat stay this far from its other starts and ends, so that none overlap.
+# Restarts on one host stay this far from other starts and ends there, so that none overlap.
 RESTART_MARGIN_SECONDS: Final = 6.0
 
 
@@ -60,7 +61,7 @@
     seed: int
     seconds: float
     sizes: Sizes
-    seats: tuple[Seat, ...]
+    replica_hosts: tuple[ReplicaHost, ...]
     requests_per_second: float
     actions: tuple[Action, ...]  # in order of time
     last_fault_phase_ends_at: float
@@ -71,8 +72,8 @@
     generator = random.Random(seed)
     drawn = draw_sizes(generator, processes)
     sizes = sizes or drawn
-    seats = tuple(
-        Seat(name, generator.uniform(*SERVICE_SECONDS), generator.randint(*SLOTS))
+    replica_hosts = tuple(
+        ReplicaHost(name, generator.uniform(*SERVICE_SECONDS), generator.randint(*SLOTS))
         for name in [*model_names(sizes), *plain_names(sizes)]
     )
     rate = generator.uniform(15.0, 35.0)
@@ -83,7 +84,7 @@
     builder.draw_restarts(random.Random(f"{seed} lives"))
     builder.draw_backpressure(random.Random(f"{seed} backpressure"))
     actions = tuple(sorted(builder.actions, key=lambda action: action.at))
-    return Plan(seed, seconds, sizes, seats, rate, actions, last_fault_phase_ends_at)
+    return Plan(seed, seconds, sizes, replica_hosts, rate, actions, last_fault_phase_ends_at)
 
 
 class _PlanBuilder:
@@ -95,7 +96,7 @@
         self._entries = entry_names(sizes)
         self._models = model_names(sizes)
         self._plain = plain_names(sizes)
-        self._busy_until: dict[str, float] = {}  # by process or seat
+        self._busy_until: dict[str, float] = {}  # by process or replica host
         self._added_entries = 0
         self._added_models = 0
         self._fault_phases: list[tuple[float, float]] = []
@@ -141,9 +142,9 @@
                     seconds = min(
                         generator.uniform(*ORDER_DELAY_SECONDS), max(0.1, until - naming.at)
                     )
-                    seat, count = generator.choice(self._models), generator.randint(1, 3)
+                    host_name, count = generator.choice(self._models), generator.randint(1, 3)
                     self._add(
-                        naming.at, ActionKind.ORDERS_LATE, seat, seconds=seconds, amount=count
+                        naming.at, ActionKind.ORDERS_LATE, host_name, seconds=seconds, amount=count
                     )
 
     def draw_restarts(self, generator: random.Random) -> None:
@@ -152,38 +153,40 @@
             if generator.random() >= REPLICA_RESTART_SHARE:
                 continue
             at = generator.uniform(since, until - 1.0)
-            seat, step = generator.choice(self._models), generator.choice(CLOCK_STEPS_MS)
-            if not self._is_restarted_near(seat, at):
-                self._add(at, ActionKind.REPLICA_RESTART, seat, amount=step)
+            host_name, step = generator.choice(self._models), generator.choice(CLOCK_STEPS_MS)
+            if not self._is_restarted_near(host_name, at):
+                self._add(at, ActionKind.REPLICA_RESTART, host_name, amount=step)
 
     def draw_backpressure(self, generator: random.Random) -> None:
         """Draw replicas that ask for less load, during fault phases and after them."""
         for since, until in self._fault_phases:
             for at in (generator.uniform(since, until - 1.0), until + BOUNDS.reached + 0.5):
                 kind = generator.choice(sorted(BACKPRESSURE_KINDS, key=lambda kind: kind.value))
-                seat = generator.choice([*self._models, *self._plain])
+                host_name = generator.choice([*self._models, *self._plain])
                 amount = generator.choice(LIMITS_PER_SECOND)
                 if kind is ActionKind.REPLICA_REST:
                     amount = generator.uniform(*REST_SECONDS)
                 drawn = generator.random() < BACKPRESSURE_SHARE
-                if drawn and not self._is_restarted_within(seat, at, at + BACKPRESSURE_SECONDS):
-                    self._add(at, kind, seat, seconds=BACKPRESSURE_SECONDS, amount=amount)
+                if drawn and not self._is_restarted_within(
+                    host_name, at, at + BACKPRESSURE_SECONDS
+                ):
+                    self._add(at, kind, host_name, seconds=BACKPRESSURE_SECONDS, amount=amount)
 
-    def _is_restarted_within(self, seat: str, since: float, until: float) -> bool:
-        """Return whether an action ends or starts a seat's replica between two times."""
+    def _is_restarted_within(self, host_name: str, since: float, until: float) -> bool:
+        """Return whether an action ends or starts the replica on a host between two times."""
         return any(
-            seat in action.targets
-            and action.kind in SEAT_KINDS
+            host_name in action.targets
+            and action.kind in REPLICA_LIFECYCLE_KINDS
             and action.at < until + RESTART_MARGIN_SECONDS
             and since < action.at + action.seconds + 1.0
             for action in self.actions
         )
 
-    def _is_restarted_near(self, seat: str, at: float) -> bool:
-        """Return whether an action ends or starts a seat's replica near a time."""
+    def _is_restarted_near(self, host_name: str, at: float) -> bool:
+        """Return whether an action ends or starts the replica on a host near a time."""
         return any(
-            seat in action.targets
-            and action.kind in SEAT_KINDS
+            host_name in action.targets
+            and action.kind in REPLICA_LIFECYCLE_KINDS
             and action.at - RESTART_MARGIN_SECONDS < at < action.at + action.seconds + 1.0
             for action in self.actions
         )
@@ -258,23 +261,23 @@
             self._add(at, kind, name, seconds=seconds)
 
     def _draw_crash(self, at: float, until: float) -> None:
-        seat = self._generator.choice([*self._models, *self._plain])
-        if self._reserve(seat, at, 4.0):
+        host_name = self._generator.choice([*self._models, *self._plain])
+        if self._reserve(host_name, at, 4.0):
             seconds = self._length(at, until, 0.3, 2.0)
-            self._add(at, ActionKind.REPLICA_CRASH, seat, seconds=seconds)
+            self._add(at, ActionKind.REPLICA_CRASH, host_name, seconds=seconds)
 
     def _draw_slowness(self, at: float, until: float) -> None:
         kind = self._generator.choice([ActionKind.REPLICA_SLOW, ActionKind.REPLICA_WAIT])
-        seat = self._generator.choice([*self._models, *self._plain])
+        host_name = self._generator.choice([*self._models, *self._plain])
         seconds = self._length(at, until, 1.0, 8.0)
-        self._add(at, kind, seat, seconds=seconds, amount=self._generator.uniform(0.1, 1.5))
+        self._add(at, kind, host_name, seconds=seconds, amount=self._generator.uniform(0.1, 1.5))
 
     def _draw_replica_faults(self, at: float, until: float) -> None:
-        seat = self._generator.choice([*self._models, *self._plain])
+        host_name = self._generator.choice([*self._models, *self._plain])
         kinds = list(Fault)
         faults = tuple(self._generator.choice(kinds) for _ in range(self._generator.randint(1, 6)))
         seconds = self._length(at, until, 1.0, 5.0)
-        self._add(at, ActionKind.REPLICA_FAULT, seat, seconds=seconds, faults=faults)
+        self._add(at, ActionKind.REPLICA_FAULT, host_name, seconds=seconds, faults=faults)
 
     def _draw_store(self, at: float, until: float) -> None:
         if self._generator.random() < 0.2:
@@ -312,10 +315,10 @@
         self._add(at, ActionKind.PUBLISH, seconds=gap, amount=count)
 
     def _draw_drain(self, at: float, until: float) -> None:
-        seat = self._generator.choice([*self._models, *self._plain])
+        host_name = self._generator.choice([*self._models, *self._plain])
         serves_on = BOUNDS.leaving + self._generator.uniform(0.5, 2.0)
-        if self._reserve(seat, at, serves_on + 2.0):
-            self._add(at, ActionKind.DRAIN, seat, seconds=serves_on)
+        if self._reserve(host_name, at, serves_on + 2.0):
+            self._add(at, ActionKind.DRAIN, host_name, seconds=serves_on)
 
     def _draw_addition(self, at: float, until: float) -> None:
         if self._generator.random() < 0.5 and not self._added_entries:
@@ -332,7 +335,7 @@
         return [*self._entries, *map(daemon_of, self._models)]
 
     def _reserve(self, name: str, at: float, seconds: float) -> bool:
-        """Reserve a process or seat; return False if another action still holds it."""
+        """Reserve a process or replica host; return False if another action still holds it."""
         if self._busy_until.get(name, 0.0) > at:
             return False
         self._busy_until[name] = at + seconds
--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -25,7 +25,7 @@
     ReplicaDrains,
     VersionNamed,
 )
-from bench.soak.sizes import Seat, daemon_of, entry_names
+from bench.soak.sizes import ReplicaHost, daemon_of, entry_names
 from testing.machinelayout import (
     CALLERS,
     HOST,
@@ -43,7 +43,7 @@
 from testing.platformreplica import FakeReplica, new_replica_id
 
 PROBE_SERVICE: Final = "probe"  # its replicas are fault-free, so probes test the entry only
-PROBE_SEATS: Final = 2
+PROBE_HOSTS: Final = 2
 PROBE_SLOTS: Final = 64
 ENTRY_PORTS: Final = (CALLERS, READINESS, PEERS, SWARM)
 DAEMON_PORTS: Final = (PEERS, SWARM)
@@ -62,10 +62,10 @@
 
 
 @dataclass
-class SeatState:
-    """A seat and its current replica incarnation."""
+class ReplicaHostState:
+    """A host of replicas and its current replica incarnation."""
 
-    seat: Seat
+    host: ReplicaHost
     ip: str
     zone: str
     service: str
@@ -86,11 +86,11 @@
     nursery: trio.Nursery
     record: Record
     links: LinkFaults = field(default_factory=LinkFaults)
-    seats: dict[str, SeatState] = field(default_factory=dict)
+    replica_hosts: dict[str, ReplicaHostState] = field(default_factory=dict)
     start_counts: Counter[str] = field(default_factory=Counter)  # by process
     ready: set[str] = field(default_factory=set)  # entries to which the platform routes callers
     faults: Counter[str] = field(default_factory=Counter)  # by kind
-    proxies: dict[str, list[Proxy]] = field(default_factory=dict)  # by process or seat
+    proxies: dict[str, list[Proxy]] = field(default_factory=dict)  # by process or replica host
     newest_version: int = 1
 
     # Progress and disturbances.
@@ -107,17 +107,17 @@
         return found
 
     def machines_at(self, target: str) -> frozenset[str]:
-        """Return the names of everything on the machine of a process or seat."""
-        seat = self.seats.get(target.replace("daemon", "model"))
-        if seat is None:
+        """Return the names of everything on the machine of a process or replica host."""
+        replica_host = self.replica_hosts.get(target.replace("daemon", "model"))
+        if replica_host is None:
             return frozenset({target})
-        own = {target, seat.seat.name, daemon_of(seat.seat.name)}
-        return frozenset(own | ({seat.replica.id} if seat.replica else set()))
+        own = {target, replica_host.host.name, daemon_of(replica_host.host.name)}
+        return frozenset(own | ({replica_host.replica.id} if replica_host.replica else set()))
 
     def ip_of(self, target: str) -> str:
-        """Return the IP address of a process or seat."""
-        if target in self.seats:
-            return self.seats[target].ip
+        """Return the IP address of a process or replica host."""
+        if target in self.replica_hosts:
+            return self.replica_hosts[target].ip
         return self.machines.machines[target].ip
 
     # Operator actions.
@@ -135,66 +135,72 @@
         self.machines.name_version(self.newest_version)
         self.record.versions.append(VersionNamed(self.newest_version, trio.current_time()))
 
-    def drain(self, seat: SeatState) -> None:
+    def drain(self, replica_host: ReplicaHostState) -> None:
         """List a replica as leaving; it continues to serve."""
-        if seat.listed is None:
+        if replica_host.listed is None:
             return
-        seat.listed.replica.draining = True
-        self.machines.list_replica(seat.listed)
-        self.record.draining.append(ReplicaDrains(seat.listed.replica.id, trio.current_time()))
+        replica_host.listed.replica.draining = True
+        self.machines.list_replica(replica_host.listed)
+        self.record.draining.append(
+            ReplicaDrains(replica_host.listed.replica.id, trio.current_time())
+        )
 
     # Replicas.
 
-    async def start_replica(self, seat: SeatState, version: int = 0) -> None:
+    async def start_replica(self, replica_host: ReplicaHostState, version: int = 0) -> None:
         """Start the next incarnation; it keeps the staged chunks of the previous one."""
-        model = MODEL if seat.service == MODEL_SERVICE else None
-        replica = FakeReplica(new_replica_id(), model, version, seat.seat.slots)
+        model = MODEL if replica_host.service == MODEL_SERVICE else None
+        replica = FakeReplica(new_replica_id(), model, version, replica_host.host.slots)
         replica.events = STREAM_EVENTS
         replica.serves_draining = True
         replica.names_versions = True
-        replica.service_seconds = 0.0 if model else seat.seat.service_seconds
-        replica.event_seconds = seat.seat.service_seconds
+        replica.service_seconds = 0.0 if model else replica_host.host.service_seconds
+        replica.event_seconds = replica_host.host.service_seconds
         if version:
             replica.staged = dict(enumerate(self.machines.origin.versions[version]))
-        elif seat.listed is not None:
-            replica.staged = seat.listed.replica.staged
-        seat.listed = ListedReplica(replica, seat.ip, seat.zone, seat.service)
-        self.machines.replicas[replica.id] = seat.listed
-        await self.machines.start_replica(seat.listed)
-        await self._open_proxies(seat.seat.name, seat.ip, (REPLICA,))
-
-    def end_replica(self, seat: SeatState) -> None:
+        elif replica_host.listed is not None:
+            replica.staged = replica_host.listed.replica.staged
+        replica_host.listed = ListedReplica(
+            replica, replica_host.ip, replica_host.zone, replica_host.service
+        )
+        self.machines.replicas[replica.id] = replica_host.listed
+        await self.machines.start_replica(replica_host.listed)
+        await self._open_proxies(replica_host.host.name, replica_host.ip, (REPLICA,))
+
+    def end_replica(self, replica_host: ReplicaHostState) -> None:
         """End an incarnation; its listing remains."""
-        if seat.listed is None:
+        if replica_host.listed is None:
             return
-        self._stop_proxies(seat.seat.name)
-        self.machines.crash_replica(seat.listed)
-        seat.listed.replica.held_orders.clear()
+        self._stop_proxies(replica_host.host.name)
+        self.machines.crash_replica(replica_host.listed)
+        replica_host.listed.replica.held_orders.clear()
 
-    async def restart_replica(self, seat: SeatState, clock_step_ms: int) -> None:
+    async def restart_replica(self, replica_host: ReplicaHostState, clock_step_ms: int) -> None:
         """Restart a running incarnation under its id; it keeps no state."""
-        listed = seat.listed
+        listed = replica_host.listed
         if listed is None or listed.ended.is_set():
             return
-        self.end_replica(seat)
+        self.end_replica(replica_host)
         await listed.ended.wait()
         listed.replica.start_again(clock_step_ms)
         await self.machines.start_replica(listed)
-        await self._open_proxies(seat.seat.name, seat.ip, (REPLICA,))
+        await self._open_proxies(replica_host.host.name, replica_host.ip, (REPLICA,))
 
-    def unlist_replica(self, seat: SeatState) -> None:
+    def unlist_replica(self, replica_host: ReplicaHostState) -> None:
         """Remove the listing of an incarnation."""
-        if seat.listed is not None:
-            self.machines.unlist(seat.listed)
+        if replica_host.listed is not None:
+            self.machines.unlist(replica_host.listed)
 
-    async def add_seat(self, seat: Seat, zone: str, service: str, version: int) -> SeatState:
+    async def add_replica_host(
+        self, host: ReplicaHost, zone: str, service: str, version: int
+    ) -> ReplicaHostState:
         """Add a machine with a replica, and with a daemon if the replica has weights."""
-        state = SeatState(seat, self.machines.new_ip(), zone, service)
-        self.seats[seat.name] = state
+        state = ReplicaHostState(host, self.machines.new_ip(), zone, service)
+        self.replica_hosts[host.name] = state
         await self.start_replica(state, version)
         if service == MODEL_SERVICE:
             assert state.listed is not None
-            self.machines.add_daemon(daemon_of(seat.name), state.listed)
+            self.machines.add_daemon(daemon_of(host.name), state.listed)
         return state
 
     # Processes.
@@ -296,11 +302,11 @@
     zones = [f"z{index}" for index in range(sizes.zones)]
     for index, name in enumerate(entry_names(sizes)):
         site.machines.add_entry(name, zones[index % len(zones)])
-    for index, seat in enumerate(site.plan.seats):
-        is_model = seat.name.startswith("model")
+    for index, host in enumerate(site.plan.replica_hosts):
+        is_model = host.name.startswith("model")
         service = MODEL_SERVICE if is_model else PLAIN_SERVICE
         version = site.newest_version if is_model else 0
-        await site.add_seat(seat, zones[index % len(zones)], service, version)
-    for index in range(PROBE_SEATS):
-        seat = Seat(f"probe{index}", 0.0, PROBE_SLOTS)
-        await site.add_seat(seat, zones[index % len(zones)], PROBE_SERVICE, 0)
+        await site.add_replica_host(host, zones[index % len(zones)], service, version)
+    for index in range(PROBE_HOSTS):
+        host = ReplicaHost(f"probe{index}", 0.0, PROBE_SLOTS)
+        await site.add_replica_host(host, zones[index % len(zones)], PROBE_SERVICE, 0)
--- a/bench/soak/sizes.py
+++ b/bench/soak/sizes.py
@@ -15,7 +15,7 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Seat:
+class ReplicaHost:
     """A machine on which successive incarnations of a replica run, one at a time."""
 
     name: str
@@ -29,22 +29,22 @@
 
 
 def model_names(sizes: Sizes) -> list[str]:
-    """Return the names of the seats of replicas with weights."""
+    """Return the names of the hosts of replicas with weights."""
     return [f"model{index}" for index in range(sizes.models)]
 
 
 def plain_names(sizes: Sizes) -> list[str]:
-    """Return the names of the seats of plain replicas."""
+    """Return the names of the hosts of plain replicas."""
     return [f"plain{index}" for index in range(sizes.plain)]
 
 
-def daemon_of(seat: str) -> str:
-    """Return the name of the daemon beside a replica with weights.
+def daemon_of(host_name: str) -> str:
+    """Return the name of the daemon on the host of a replica with weights.
 
     >>> daemon_of("model3")
     'daemon3'
     """
-    return seat.replace("model", "daemon")
+    return host_name.replace("model", "daemon")
 
 
 def draw_sizes(generator: random.Random, processes: int = 0) -> Sizes:
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -59,7 +59,7 @@
     sizes = Sizes(2, 3, 2, 2)
     plan = draw_plan(5, 60.0, sizes=sizes)
     assert plan.sizes == sizes
-    assert [seat.name for seat in plan.seats] == [*model_names(sizes), *plain_names(sizes)]
+    assert [host.name for host in plan.replica_hosts] == [*model_names(sizes), *plain_names(sizes)]
 
 
 def test_every_fault_ends_by_the_end_of_the_last_fault_phase() -> None:
