--- a/bench/baselinerun.py
+++ b/bench/baselinerun.py
@@ -1,4 +1,4 @@
-"""Runs a baseline: N hosts fetch weights directly from the origin, or in a chain."""
+"""Runs a baseline: every host fetches weights from the origin, or from the previous host."""
 
 import random
 import subprocess
@@ -54,6 +54,7 @@
 async def _record_completion(
     process: subprocess.Popen[bytes], started: float, times: list[float]
 ) -> None:
+    """Append the seconds from `started` until a host prints that it holds all chunks."""
     assert process.stdout is not None
     await trio.lowlevel.wait_readable(process.stdout)
     times.append(time.monotonic() - started)
--- a/bench/choice.py
+++ b/bench/choice.py
@@ -1,4 +1,6 @@
-"""Measures the cost of selecting a chunk by the number of missing chunks, without any transfer.
+"""Measures how the cost of selecting a chunk grows with the number of missing chunks.
+
+It runs no transfer.
 
 python -m bench.choice
 """
@@ -19,7 +21,7 @@
 
 
 def measure(chunks: int) -> dict[str, float]:
-    """Return the milliseconds of one selection and of one search for chunks nobody offers."""
+    """Return the milliseconds of one selection and of one search for chunks that nobody offers."""
     digests = [f"{index:064x}" for index in range(chunks)]
     manifest = Manifest(1, 1, [ManifestFile("f", chunks, digests)])
     stored = StoredArtifact("d", manifest, b"")
--- a/bench/experiment.py
+++ b/bench/experiment.py
@@ -3,15 +3,15 @@
 Usage:
   experiment FILE [--output=DIR]
 
-FILE is a TOML file (see bench/experiments/overload.toml): the fleet, its engines, kinds of
-request, offered loads, seeds, and the variants to compare. Every run is one line of DIR/NAME.jsonl
-as soon as it ends, so that an experiment that is cut short leaves what it has; DIR/NAME.png is the
-plot.
+FILE is a TOML file that gives the fleet, its engines, the kinds of request, the offered loads, the
+seeds, and the variants to compare (see bench/experiments/overload.toml). The result of each run is
+written as one line of DIR/NAME.jsonl as soon as the run ends, so that an interrupted experiment
+keeps the results so far; the plot is DIR/NAME.png.
 
 Options:
   --output=DIR  Where results go [default: out].
 
-Exit code 2 for a file that cannot be played; the one line on standard error names file and field.
+The exit code is 2 if FILE is not valid; one line on standard error then names the file and field.
 """
 
 import sys
@@ -34,7 +34,7 @@
 
 
 class RunResult(msgspec.Struct, frozen=True):
-    """The outcomes of one run; in_aim to gone are shares of its callers."""
+    """The outcomes of one run; the fields from in_aim to gone are shares of its callers."""
 
     variant: str
     offered: float
@@ -80,15 +80,15 @@
 
 def run_all(spec: ExperimentSpec, results: Path) -> list[RunResult]:
     """Simulate every run; write and print each result as soon as it is known."""
-    done: list[RunResult] = []
-    counted = spec.seconds - spec.warm_up_seconds - spec.cool_down_seconds
+    run_results: list[RunResult] = []
+    counted_seconds = spec.seconds - spec.warm_up_seconds - spec.cool_down_seconds
     runs = [(o, v, s) for o in spec.offered for v in spec.variants for s in spec.seeds]
     with results.open("wb") as file:
         for number, (offered, variant, seed) in enumerate(runs, 1):
             started_at = time.monotonic()
             tally = simulate(spec, variant.settings(), offered, seed)
-            result = result_of(variant, offered, seed, tally, counted)
-            done.append(result)
+            result = result_of(variant, offered, seed, tally, counted_seconds)
+            run_results.append(result)
             file.write(msgspec.json.encode(result) + b"\n")
             file.flush()
             seconds = time.monotonic() - started_at
@@ -98,7 +98,7 @@
                 f" worth {result.worth:.3f}  ({seconds:.0f} s)",
                 flush=True,
             )
-    return done
+    return run_results
 
 
 def plot(spec: ExperimentSpec, results: Sequence[RunResult], path: Path) -> None:
--- a/bench/following.py
+++ b/bench/following.py
@@ -26,7 +26,7 @@
 
 ZONES = [f"z{index}" for index in range(7)]
 IDLE_SECONDS = 10.0
-FILE = "[services.s]\ndrain_seconds = {number}\n"
+FLEET_FILE = "[services.s]\ndrain_seconds = {number}\n"
 START_BATCH_SIZE = 16
 
 
@@ -38,7 +38,7 @@
         for i in range(daemons - 2)
     ]
     async with running_fleet(directory, specs) as fleet:
-        fleet.publish_fleet(FILE.format(number=1))
+        fleet.publish_fleet(FLEET_FILE.format(number=1))
         for index, name in enumerate(fleet.nodes):
             fleet.start(name)
             if index % START_BATCH_SIZE == START_BATCH_SIZE - 1:
@@ -75,6 +75,7 @@
 
 
 def _kill_readers(fleet: Fleet, zone: str) -> list[str]:
+    """Kill the daemons that read a document for their zone; return their names."""
     hosts = parse_host_list(fleet.config.documents["hosts"][1])
     assert isinstance(hosts, Ok)
     names = set(readers_of(hosts.value, zone, "fleet")) | set(
@@ -87,15 +88,15 @@
 
 async def _time_change(fleet: Fleet, alive: list[str], number: int) -> dict[str, float]:
     """Publish a change; return the median and maximum seconds until it is in force."""
-    published = time.time()
-    revision = fleet.publish_fleet(FILE.format(number=number))
+    published_at = time.time()
+    revision = fleet.publish_fleet(FLEET_FILE.format(number=number))
     times: dict[str, float] = {}
 
     async def in_force_everywhere() -> bool:
         for name in alive:
             at = _in_force_at(fleet.directory / f"{name}.log", revision)
             if name not in times and at is not None:
-                times[name] = at - published
+                times[name] = at - published_at
         return len(times) == len(alive)
 
     await wait_for(in_force_everywhere, "in force everywhere", 60, poll=0.5)
@@ -104,6 +105,7 @@
 
 
 def _in_force_at(log: Path, revision: int) -> float | None:
+    """Return the Unix time at which a fleet file came into force by a log; None if it did not."""
     for line in log.read_text().splitlines():
         if '"document in force"' not in line:
             continue
--- a/bench/load.py
+++ b/bench/load.py
@@ -131,7 +131,10 @@
 
 
 async def stream(address: Address, team: str, prompt: str, times: list[float]) -> str:
-    """Send a request, append the arrival time of each piece to times, and return the status."""
+    """Send a request and append the arrival time of each piece of the answer to `times`.
+
+    Return the status as text, "broken" if the connection failed.
+    """
     body = json.dumps({"prompt": prompt, "max_tokens": TOKENS}).encode()
     try:
         async with closing(await connect(address)) as connection:
@@ -152,14 +155,14 @@
     specs += [Spec(f"host{i}", "upstream", "z0", "r0", upstream=upstream) for i in range(HOSTS)]
     async with running_fleet(directory, specs) as fleet:
         digest = fleet.origin.add("m-v1", b"x" * 1024, 1024)
-        share = MAX_RATE_PER_SECOND / TEAMS * 1.5
-        teams = "".join(TEAM.format(number=n, rate=share) for n in range(TEAMS))
+        team_rate = MAX_RATE_PER_SECOND / TEAMS * 1.5
+        teams = "".join(TEAM.format(number=n, rate=team_rate) for n in range(TEAMS))
         fleet.publish_fleet(FLEET_FILE.format(digest=digest, hosts=HOSTS) + teams)
         for index, engine in enumerate(fleet.engines().values()):
-            slow = 4 if index < scenario.slow else 1
+            slowdown = 4 if index < scenario.slow else 1
             engine.slots = trio.CapacityLimiter(SLOTS)
-            engine.token_seconds = TOKEN_SECONDS * slow
-            engine.prefill_seconds = PREFILL_SECONDS * slow
+            engine.token_seconds = TOKEN_SECONDS * slowdown
+            engine.prefill_seconds = PREFILL_SECONDS * slowdown
             engine.cached_prefixes = CACHED_PREFIXES
         for name in fleet.nodes:
             fleet.start(name)
@@ -181,7 +184,10 @@
 
 
 def main() -> None:
-    """Run all scenarios, or those that SCENARIOS names, under each policy that applies."""
+    """Run the scenarios under each policy that applies, and print one JSON line for each run.
+
+    The environment variable SCENARIOS selects scenarios by name, separated by commas.
+    """
     scenarios = [Scenario(f"load {load}", load) for load in LOADS]
     scenarios += [
         Scenario("one slow", 0.4, slow=1),
@@ -189,9 +195,9 @@
         Scenario("calm", 0.4),
         Scenario("team floods", 0.4, flood=True),
     ]
-    wanted = os.environ.get("SCENARIOS", "")
+    selected = os.environ.get("SCENARIOS", "")
     for scenario in scenarios:
-        if wanted and scenario.name not in wanted.split(","):
+        if selected and scenario.name not in selected.split(","):
             continue
         for policy in POLICIES:
             if policy != "headcross" and scenario.name in ("calm", "team floods"):
--- a/bench/lostworth.py
+++ b/bench/lostworth.py
@@ -4,8 +4,8 @@
   lostworth REPORT...
 
 For each report (`--report FILE` of a run): the parts and prices of its worth, and what its
-requests lost in each window of the day, in hundredths of all that was owed: refused, failed, and
-late or broken off, which is the rest.
+requests lost in each window of the day, in hundredths of the worth owed: by refusals, by failures,
+and by answers that were late or broken off (all other losses).
 """
 
 import json
@@ -29,7 +29,7 @@
     start: str  # seconds since the start of the traffic
     refused: float
     failed: float
-    late: float
+    late: float  # late or broken off
 
     @property
     def total(self) -> float:
@@ -67,7 +67,7 @@
         if price >= MIN_PRICE:
             print(f"  price  {name:44} {price:.4f}")
     losses = window_losses(report["windows"])
-    for loss in [each for each in losses if each.total >= MIN_LOSS_HUNDREDTHS]:
+    for loss in [window for window in losses if window.total >= MIN_LOSS_HUNDREDTHS]:
         parts = f"refused {loss.refused:.2f}  failed {loss.failed:.2f}  late {loss.late:.2f}"
         print(f"  from {loss.start:>3} s  {loss.total:.2f}  {parts}")
     print(f"  lost by requests, in all: {sum(loss.total for loss in losses):.2f} hundredths")
--- a/bench/peerstress.py
+++ b/bench/peerstress.py
@@ -5,18 +5,18 @@
   peerstress --node ADDRESS --peers ADDRESSES --heartbeat MS
 
 Options:
-  --seconds N        How long to go on [default: 60].
-  --nodes N          Processes that speak to one another [default: 8].
-  --heartbeat MS     The transport's heartbeats, 0 for none [default: 60].
-  --port PORT        The first of as many ports on loopback [default: 21000].
-  --seed N           Of the kills and stops; drawn if not given.
-  --node ADDRESS     Be one of the processes, listening there (IP:PORT).
+  --seconds N        Duration of the test [default: 60].
+  --nodes N          Number of processes that exchange messages [default: 8].
+  --heartbeat MS     Heartbeat interval of the transport, 0 for none [default: 60].
+  --port PORT        The first port on loopback; each process uses one [default: 21000].
+  --seed N           Seed of the kills and stops; drawn if not given.
+  --node ADDRESS     Run as one of the processes, listening at this address (IP:PORT).
   --peers ADDRESSES  The other processes, separated by commas.
 
-Every process asks some others for chunks, resets a link now and then, and is killed, or stopped
-for up to 1.5 s, at random. One that ends in another way is told, with the end of its standard
-error.
-Ends with one JSON line; the exit code is 1 if any process ended by itself.
+Every process requests chunks from some others, resets a link now and then, and is killed, or
+stopped for up to 1.5 s, at random. A process that ends in any other way is reported with the last
+part of its standard error. The last line of output is JSON; the exit code is 1 if any process
+ended by itself.
 """
 
 import faulthandler
@@ -91,7 +91,7 @@
     crashes: int = 0
 
     def start(self, address: str) -> None:
-        """Start a process with its standard error written to a file."""
+        """Start the process that listens at an address; its standard error goes to a file."""
         peers = ",".join(other for other in self.addresses if other != address)
         command = [sys.executable, "-m", "bench.peerstress", "--node", address]
         command += ["--peers", peers, "--heartbeat", self.heartbeat]
@@ -107,11 +107,11 @@
         for address in self.addresses:
             self._restart_if_ended(address)
         victim = random.choice(self.addresses)
-        chance = random.random()
-        if chance < KILL_SHARE:
+        draw = random.random()
+        if draw < KILL_SHARE:
             self.kills += 1
             self.processes[victim].kill()
-        elif chance < KILL_SHARE + STOP_SHARE and victim not in self.stopped_until:
+        elif draw < KILL_SHARE + STOP_SHARE and victim not in self.stopped_until:
             self.stopped_until[victim] = time.monotonic() + random.uniform(
                 *STOP_DURATION_RANGE_SECONDS
             )
--- a/bench/pool/engine.py
+++ b/bench/pool/engine.py
@@ -20,7 +20,7 @@
     step_ms_per_request: float = 0.0219
     stride: int = 7  # steps per pass, and tokens per event
     prompt_tokens_per_ms: float = 30.6
-    first_ms: float = 12.0
+    first_ms: float = 12.0  # delay of a first event, besides that of the network
 
 
 @dataclass(eq=False)
@@ -81,9 +81,9 @@
 
     def _pass_seconds(self) -> float:
         spec = self._spec
-        step = spec.step_ms + spec.step_ms_per_request * len(self.running)
-        reading = self._unread_prompt_tokens / spec.prompt_tokens_per_ms
-        return (spec.stride * step + reading) / 1000
+        step_ms = spec.step_ms + spec.step_ms_per_request * len(self.running)
+        reading_ms = self._unread_prompt_tokens / spec.prompt_tokens_per_ms
+        return (spec.stride * step_ms + reading_ms) / 1000
 
     def _write_event(self, job: Job) -> None:
         job.began.set()
--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -84,7 +84,7 @@
         self._spec = spec
         self._offered = offered
         self._random = random.Random(seed)
-        self._numbers = itertools.count(1)
+        self._fingerprints = itertools.count(1)
         fleet = spec.fleet
         self._zones = [f"z{number}" for number in range(fleet.zones)]
         listed = [
@@ -169,6 +169,7 @@
             entry.overload.measure(trio.current_time())
 
     async def _share_refusals(self) -> None:
+        """Send new fingerprints of refused requests to the other entries of the zone."""
         while True:
             await trio.sleep(OVERLOAD_INTERVAL_SECONDS)
             for entry in self._entries:
@@ -180,6 +181,7 @@
     # Callers.
 
     async def _generate_callers(self, kind: KindSpec, callers: trio.Nursery) -> None:
+        """Start callers as a Poisson process whose rate follows the load steps."""
         peak_rate = kind.per_second * self._offered
         while True:
             await trio.sleep(self._random.expovariate(peak_rate))
@@ -194,7 +196,7 @@
         started_at = trio.current_time()
         is_counted = started_at >= self._spec.warm_up_seconds
         zone = self._random.choice(self._zones)
-        fingerprint = next(self._numbers)
+        fingerprint = next(self._fingerprints)
         job = Job(
             self._draw_size(kind.prompt_tokens),
             self._draw_size(kind.events),
@@ -203,8 +205,8 @@
         retried = retry_after is not None
         if retry_after is not None:
             await trio.sleep(min(retry_after, MAX_RETRY_DELAY_SHARE * kind.deadline_seconds))
-            left = kind.deadline_seconds - (trio.current_time() - started_at)
-            retry_after = await self._send_attempt(kind, job, zone, fingerprint, left)
+            seconds_left = kind.deadline_seconds - (trio.current_time() - started_at)
+            retry_after = await self._send_attempt(kind, job, zone, fingerprint, seconds_left)
         if is_counted:
             self._count_outcome(
                 kind, job, started_at, refused=retry_after is not None, retried=retried
@@ -218,22 +220,24 @@
         self, kind: KindSpec, job: Job, zone: str, fingerprint: int, seconds_left: float
     ) -> float | None:
         """Send a request to one entry; return the Retry-After seconds if refused, else None."""
-        entry = self._random.choice([each for each in self._entries if each.zone == zone])
+        entry = self._random.choice(
+            [candidate for candidate in self._entries if candidate.zone == zone]
+        )
         now = trio.current_time()
         returning = entry.overload.refused.was_refused(fingerprint, now)
         entry.overload.note_request(SERVICE, returning=returning)
         queue_last = entry.overload.queues_last(returning=returning)
-        aim = kind.aim_seconds
-        wait = entry.overload.wait_seconds(aim, any_serves=True)
+        aim_seconds = kind.aim_seconds
+        wait_seconds = entry.overload.wait_seconds(aim_seconds, any_serves=True)
         if returning:
-            wait = entry.overload.returning_wait_seconds(
-                SERVICE, aim, seconds_left, any_serves=True
+            wait_seconds = entry.overload.returning_wait_seconds(
+                SERVICE, aim_seconds, seconds_left, any_serves=True
             )
         replica_state = await entry.admission.acquire_slot(
             Requirements(SERVICE, MODEL, None, (), True),
             self._configuration,
             QueueOrder(kind.priority, queue_last, now + seconds_left),
-            now + wait,
+            now + wait_seconds,
             returning=returning,
         )
         if replica_state is None:
@@ -261,6 +265,7 @@
     async def _serve(
         self, replica: BatchReplica, job: Job, one_way_seconds: float, seconds_left: float
     ) -> None:
+        """Run a job until it ends or its caller disconnects."""
         replica.submit(job)
         with trio.move_on_after(seconds_left):
             with trio.move_on_after(FIRST_EVENT_TIMEOUT_SECONDS):
@@ -294,12 +299,12 @@
 @contextmanager
 def virtual_time() -> Iterator[None]:
     """Make the product's clock follow trio's inside the block."""
-    real = time.clock_gettime
+    real_clock_gettime = time.clock_gettime
     time.clock_gettime = lambda _: trio.current_time()
     try:
         yield
     finally:
-        time.clock_gettime = real
+        time.clock_gettime = real_clock_gettime
 
 
 def simulate(spec: ExperimentSpec, settings: OverloadSettings, offered: float, seed: int) -> Tally:
--- a/bench/pool/specs.py
+++ b/bench/pool/specs.py
@@ -75,10 +75,10 @@
     offered: tuple[float, ...] = (1.0,)  # factors for the rates of the kinds
     seeds: tuple[int, ...] = (1,)
     seconds: float = 20.0
-    # Callers that arrive in the first seconds are not counted; in the last ones none arrive.
+    # Callers that arrive during the warm-up are not counted; none arrive during the cool-down.
     warm_up_seconds: float = 4.0
     cool_down_seconds: float = 4.0
-    # The fraction of the offered load from each second on; the whole load by default.
+    # Changes of the load during the run; without any, the whole offered load applies.
     steps: tuple[LoadStep, ...] = ()
     fleet: FleetSpec = FleetSpec()
     engine: EngineSpec = EngineSpec()
--- a/bench/probe.py
+++ b/bench/probe.py
@@ -60,22 +60,25 @@
 
 
 async def measure_rates(fleet: Fleet, names: list[str], seconds: float) -> dict[str, float]:
-    """Return mean memory, and control bytes and processor seconds per second, of some daemons."""
+    """Return the means over some daemons: memory, and control bytes and CPU time per second."""
     before = {name: await take_sample(fleet, name) for name in names}
     started = trio.current_time()
     await trio.sleep(seconds)
     after = {name: await take_sample(fleet, name) for name in names}
-    passed = trio.current_time() - started
+    elapsed = trio.current_time() - started
     return {
         "rss_bytes": mean(s.rss_bytes for s in after.values()),
         "private_bytes": mean(s.private_bytes for s in after.values()),
         "control_bytes_per_second": mean(
-            (after[n].control_bytes - before[n].control_bytes) / passed for n in names
+            (after[n].control_bytes - before[n].control_bytes) / elapsed for n in names
+        ),
+        "core_share": mean(
+            (after[n].cpu_seconds - before[n].cpu_seconds) / elapsed for n in names
         ),
-        "core_share": mean((after[n].cpu_seconds - before[n].cpu_seconds) / passed for n in names),
     }
 
 
 def _read_sizes(path: Path) -> dict[str, int]:
+    """Return the sizes in a smaps_rollup file, in bytes by field."""
     lines = (line.split() for line in path.read_text().splitlines()[1:])
     return {fields[0].rstrip(":"): int(fields[1]) * KIB for fields in lines}
--- a/bench/slopes.py
+++ b/bench/slopes.py
@@ -144,7 +144,7 @@
     for measure in (measure_peers, measure_changes, measure_chunks, measure_requests):
         await measure(directory, points)
         print(f"{measure.__name__} done", file=sys.stderr)
-    lines: dict[str, Line] = {name: fit(found) for name, found in points.items()}
+    lines: dict[str, Line] = {name: fit(measured) for name, measured in points.items()}
     return {name: {**asdict(lines[name]), "points": points[name]} for name in points}
 
 
--- a/bench/soak/actionrunner.py
+++ b/bench/soak/actionrunner.py
@@ -50,8 +50,8 @@
             ActionKind.REPLICA_LIMIT: self._limit_replica,
             ActionKind.REPLICA_REST: self._request_rest,
             ActionKind.REPLICA_LEAVES: self._announce_leaving,
-            ActionKind.STORE_MOOD: self._set_mood,
-            ActionKind.STORE_FORGET: self._forget,
+            ActionKind.STORE_MOOD: self._set_store_condition,
+            ActionKind.STORE_FORGET: self._forget_history,
             ActionKind.ORIGIN_DOWN: self._take_origin_down,
             ActionKind.ORIGIN_SLOW: self._slow_origin,
             ActionKind.ORIGIN_CORRUPT: self._corrupt_origin,
@@ -104,6 +104,7 @@
         disturbance.ended_at = trio.current_time()
 
     def _sides(self, action: Action) -> tuple[frozenset[str], frozenset[str]]:
+        """Return the addresses of both sides of a link; an empty second side is every address."""
         ips = [self._site.ip_of(target) for target in action.targets]
         return frozenset(ips[:1]), frozenset(ips[1:])
 
@@ -133,14 +134,14 @@
         disturbance = self._site.begin_disturbance(
             action.kind.value, self._site.machines_at(replica_host.host.name)
         )
-        gone = replica_host.listed
+        crashed = replica_host.listed
         self._site.end_replica(replica_host)
         await trio.sleep(action.seconds)
         await self._site.start_replica(replica_host)
         disturbance.ended_at = trio.current_time()
         await trio.sleep(max(0.0, LISTING_EXPIRY_SECONDS - action.seconds))
-        if gone is not None:
-            self._site.machines.unlist(gone)
+        if crashed is not None:
+            self._site.machines.unlist(crashed)
 
     async def _restart_replica(self, action: Action) -> None:
         replica_host = self._replica_host(action)
@@ -212,8 +213,8 @@
         if replica_host.replica is None:
             return
         replica_host.replica.announces_leaving = True
-        said = ReplicaLeaves(replica_host.replica.id, trio.current_time())
-        self._site.record.leaving.append(said)
+        announcement = ReplicaLeaves(replica_host.replica.id, trio.current_time())
+        self._site.record.leaving.append(announcement)
         await self._replace_later(replica_host, action.seconds)
 
     async def _drain(self, action: Action) -> None:
@@ -223,9 +224,9 @@
 
     async def _replace_later(self, replica_host: ReplicaHostState, seconds: float) -> None:
         """End a leaving replica after some seconds, and start its next incarnation."""
-        gone = replica_host.listed
+        leaving = replica_host.listed
         await trio.sleep(seconds)
-        if gone is None or replica_host.listed is not gone:
+        if leaving is None or replica_host.listed is not leaving:
             return  # the replica crashed meanwhile
         self._site.end_replica(replica_host)
         self._site.unlist_replica(replica_host)
@@ -237,19 +238,19 @@
 
     # The platform.
 
-    async def _set_mood(self, action: Action) -> None:
-        assert action.mood is not None
+    async def _set_store_condition(self, action: Action) -> None:
+        assert action.condition is not None
         targets = [self._site.ip_of(target) for target in action.targets] or None
         disturbance = self._site.begin_disturbance(
-            f"store {action.mood.value}", self._affected_machines(action)
+            f"store {action.condition.value}", self._affected_machines(action)
         )
         store = self._site.machines.store
-        store.set_condition(action.mood, targets)
+        store.set_condition(action.condition, targets)
         await trio.sleep(action.seconds)
         store.set_condition(StoreCondition.WELL, targets)
         disturbance.ended_at = trio.current_time()
 
-    async def _forget(self, action: Action) -> None:
+    async def _forget_history(self, action: Action) -> None:
         disturbance = self._site.begin_disturbance(action.kind.value, frozenset())
         self._site.machines.store.forget_history()
         disturbance.ended_at = trio.current_time()
@@ -284,8 +285,8 @@
 
     async def _add_replica(self, action: Action) -> None:
         name = action.targets[0]
-        pattern = self._site.plan.replica_hosts[0]
-        host = ReplicaHost(name, pattern.service_seconds, pattern.slots)
+        first_host = self._site.plan.replica_hosts[0]
+        host = ReplicaHost(name, first_host.service_seconds, first_host.slots)
         await self._site.add_replica_host(host, "z0", MODEL_SERVICE, 0)
         await self._site.start_process(daemon_of(name))
 
@@ -303,6 +304,6 @@
     parts = [action.kind.value, *action.targets]
     parts += [f"{action.seconds:.2f} s"] if action.seconds else []
     parts += [f"amount {action.amount:.3g}"] if action.amount else []
-    parts += [action.mood.value] if action.mood is not None else []
+    parts += [action.condition.value] if action.condition is not None else []
     parts += [fault.value for fault in action.faults]
     return " ".join(parts)
--- a/bench/soak/actions.py
+++ b/bench/soak/actions.py
@@ -73,5 +73,5 @@
     targets: tuple[str, ...] = ()
     seconds: float = 0.0  # duration, downtime, or interval between repeats
     amount: float = 0.0  # delay in seconds, rate in bytes a second, or a count
-    mood: StoreCondition | None = None  # of STORE_MOOD
+    condition: StoreCondition | None = None  # of STORE_MOOD
     faults: tuple[Fault, ...] = ()  # of REPLICA_FAULT
--- a/bench/soak/badrequests.py
+++ b/bench/soak/badrequests.py
@@ -69,17 +69,17 @@
         case BadForm.TWO_LENGTHS:
             text = f"{_head(request_id)}Content-Length: 0\r\nContent-Length: 3\r\n\r\n{hidden}"
         case BadForm.LENGTH_AND_CHUNKS:
-            both = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
-            text = f"{_head(request_id)}{both}{hidden}"
+            framing = "Content-Length: 5\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
+            text = f"{_head(request_id)}{framing}{hidden}"
         case BadForm.LONG_HEADERS:
             text = f"{_head(request_id)}X-Long: {'x' * 8192}\r\n\r\n{hidden}"
         case BadForm.LONG_BODY:
             text = f"{_head(request_id)}Content-Length: 70000\r\n\r\n{hidden}"
         case BadForm.NO_ID:
-            kept = [
+            lines = [
                 line for line in _head(request_id).split("\r\n") if names.REQUEST_ID not in line
             ]
-            text = "\r\n".join(kept) + "Content-Length: 0\r\n\r\n"
+            text = "\r\n".join(lines) + "Content-Length: 0\r\n\r\n"
         case BadForm.UNKNOWN_KEY:
             text = _head(request_id).replace(KEY, "no-such-key") + "Content-Length: 0\r\n\r\n"
         case BadForm.NO_ROUTE:
--- a/bench/soak/callers.py
+++ b/bench/soak/callers.py
@@ -20,14 +20,14 @@
     RequestKind.STRICT_STREAM: 2,
 }
 NEW_CONNECTION_SHARE: Final = 0.4  # requests on a new connection
-LEAVING_SHARE: Final = 0.06
-REPEATING_SHARE: Final = 0.15
-BAD_SHARE: Final = 0.03
+LEAVING_SHARE: Final = 0.06  # callers that disconnect early
+REPEATING_SHARE: Final = 0.15  # callers that repeat a failed request
+BAD_SHARE: Final = 0.03  # malformed or invalid requests
 MAX_REPEATS: Final = 2
 MAX_FILLER_BYTES: Final = 4000
 DEADLINE_SECONDS: Final = (1.5, 7.0)
-LEAVING_SECONDS: Final = (0.0, 0.6)
-# A caller gives up this long after its deadline, by when it must have been answered.
+LEAVING_SECONDS: Final = (0.0, 0.6)  # time after which a caller disconnects
+# A caller gives up this long after its deadline; it must have been answered by then.
 ANSWER_GRACE_SECONDS: Final = 3.0
 MAX_KEPT_CONNECTIONS: Final = 12  # per entry
 CONNECT_TIMEOUT_SECONDS: Final = 1.0  # the time that the platform's pages allow
@@ -79,9 +79,9 @@
                     if entry is not None:
                         nursery.start_soon(self.bad.send, self.site.machines.callers(entry))
                     continue
-                nursery.start_soon(self._call, self._draw(), 0)
+                nursery.start_soon(self._call, self._draw_request(), 0)
 
-    def _draw(self) -> Draft:
+    def _draw_request(self) -> Draft:
         generator = self.generator
         self._count += 1
         (kind,) = generator.choices(list(KIND_WEIGHTS), list(KIND_WEIGHTS.values()))
@@ -99,10 +99,10 @@
         )
 
     async def _call(self, draft: Draft, repeats: int) -> None:
-        found = await self._connect(draft)
-        if found is None:
+        connected = await self._connect(draft)
+        if connected is None:
             return
-        entry, link = found
+        entry, link = connected
         request = draft.to_record(entry)
         self.site.record.requests[draft.id] = request
         await self._exchange(draft, request, link)
@@ -125,9 +125,9 @@
 
     def _repeat(self, draft: Draft) -> Draft:
         self._count += 1
-        fresh_id = f"q{self._count:06d}-{self.generator.getrandbits(32):08x}"
+        new_id = f"q{self._count:06d}-{self.generator.getrandbits(32):08x}"
         return Draft(
-            fresh_id,
+            new_id,
             draft.kind,
             draft.filler,
             draft.deadline_seconds,
@@ -149,8 +149,8 @@
         entry = self._pick(list(self.site.ready) or self.site.running_entries())
         if entry is None:
             return None
-        fresh = await dial(self.site.machines.callers(entry))
-        return None if fresh is None else (entry, fresh)
+        new_link = await dial(self.site.machines.callers(entry))
+        return None if new_link is None else (entry, new_link)
 
     async def _return_connection(
         self, entry: str, link: CallerLink, draft: Draft, request: CallerRequest
--- a/bench/soak/check_answers.py
+++ b/bench/soak/check_answers.py
@@ -53,7 +53,7 @@
 def check_refused_not_run(record: Record) -> list[Violation]:
     """Find requests that ran, before or after their callers were told that they had not.
 
-    Requests that may run more than once are not judged: a run does them no harm.
+    Requests that may run more than once are not judged, since a run does no harm.
     """
     return [
         Violation(
@@ -107,8 +107,8 @@
 def _versions_of_answer(request: CallerRequest, runs: list[ReplicaRun]) -> set[int]:
     """Return the versions of the weights that produced an answer.
 
-    A run whose link broke before its first event contributes nothing to the answer, which only the
-    events show. If no event names a version, every run counts.
+    The events name these versions; a run whose link broke before its first event contributes none.
+    If no event names a version, the versions of all runs are returned.
     """
     return set(request.event_versions) or {run.version for run in runs}
 
--- a/bench/soak/check_backpressure.py
+++ b/bench/soak/check_backpressure.py
@@ -1,7 +1,7 @@
 """Checks that entries follow what replicas ask in their answers: limits, rests and leaving.
 
-An entry counts as informed once the replica has answered a request of that entry which reached it
-after it began to ask.
+An entry counts as informed once it got an answer to a request that reached the replica after the
+replica began to ask.
 """
 
 import math
@@ -23,13 +23,13 @@
 
 def check_limits(record: Record) -> list[Violation]:
     """Find, for each limit, the first span with more requests than the limit allows."""
-    return [found for limit in record.limits for found in _over_limit(record, limit)]
+    return [violation for limit in record.limits for violation in _over_limit(record, limit)]
 
 
 def _over_limit(record: Record, limit: ReplicaLimit) -> Iterator[Violation]:
     informed = _informed_times(record, limit.replica_id, limit.began_at)
     first = limit.began_at + record.bounds.reached
-    moments = sorted(
+    arrival_times = sorted(
         arrival.at
         for arrival in record.arrivals
         if arrival.replica_id == limit.replica_id
@@ -37,8 +37,8 @@
         and _is_counted(record, arrival, informed)
     )
     allowed = math.floor(SPAN_FACTOR * SPAN_SECONDS * limit.per_second + SPAN_EXTRA_REQUESTS)
-    for start in moments:
-        count = sum(start <= at < start + SPAN_SECONDS for at in moments)
+    for start in arrival_times:
+        count = sum(start <= at < start + SPAN_SECONDS for at in arrival_times)
         if count > allowed:
             detail = f"{count} requests in 4 s at a limit of {limit.per_second}, {allowed} allowed"
             yield Violation(Promise.LIMIT, start, limit.replica_id, detail)
@@ -46,30 +46,31 @@
 
 
 def check_rests(record: Record) -> list[Violation]:
-    """Find rests in which the entry asked to pause sent more than two requests."""
+    """Find rests in which an entry that knew of the rest sent more than two requests."""
     return [
-        found
+        violation
         for arrival in record.arrivals
         if arrival.rest_seconds
-        for found in _within_rest(record, arrival)
+        for violation in _within_rest(record, arrival)
     ]
 
 
-def _within_rest(record: Record, asked: Arrival) -> Iterator[Violation]:
-    entry = _entry_of(record, asked)
-    first, last = asked.at + record.bounds.told, asked.at + asked.rest_seconds
-    within = [
+def _within_rest(record: Record, refusal: Arrival) -> Iterator[Violation]:
+    """Check the rest that a replica asked for when it refused a request."""
+    entry = _entry_of(record, refusal)
+    first, last = refusal.at + record.bounds.told, refusal.at + refusal.rest_seconds
+    in_rest = [
         arrival
         for arrival in record.arrivals
-        if arrival.replica_id == asked.replica_id
+        if arrival.replica_id == refusal.replica_id
         and first < arrival.at < last
         and entry is not None
         and _entry_of(record, arrival) == entry
-        and _arrived_undisturbed(record, arrival, asked.at)
+        and _arrived_undisturbed(record, arrival, refusal.at)
     ]
-    if len(within) > MAX_REQUESTS_IN_REST:
-        detail = f"{len(within)} requests of {entry} in a rest of {asked.rest_seconds:.2f} s"
-        yield Violation(Promise.REST, asked.at, asked.replica_id, detail)
+    if len(in_rest) > MAX_REQUESTS_IN_REST:
+        detail = f"{len(in_rest)} requests of {entry} in a rest of {refusal.rest_seconds:.2f} s"
+        yield Violation(Promise.REST, refusal.at, refusal.replica_id, detail)
 
 
 def check_announced_leaving(record: Record) -> list[Violation]:
@@ -123,5 +124,5 @@
 
 
 def _arrived_undisturbed(record: Record, arrival: Arrival, since: float) -> bool:
-    concerned = sender_machines(record, arrival.request_id) | {arrival.replica_id}
-    return is_undisturbed(record, concerned, since, arrival.at)
+    machines = sender_machines(record, arrival.request_id) | {arrival.replica_id}
+    return is_undisturbed(record, machines, since, arrival.at)
--- a/bench/soak/check_disturbances.py
+++ b/bench/soak/check_disturbances.py
@@ -8,7 +8,7 @@
     if not record.is_fault_free(machines, since, until):
         return False
     stops = (stop for stop in record.stops if stop.entry in machines)
-    return not any(stop.at <= until and _back_at(stop) >= since for stop in stops)
+    return not any(stop.at <= until and _earliest_return(stop) >= since for stop in stops)
 
 
 def is_fault_free_everywhere(record: Record, since: float, until: float) -> bool:
@@ -28,8 +28,8 @@
     return frozenset().union(*(fault.machines for fault in record.disturbances))
 
 
-def _back_at(stop: PlannedStop) -> float:
-    """Return the earliest time at which the entry can have been back, by the record."""
+def _earliest_return(stop: PlannedStop) -> float:
+    """Return the earliest time at which, by the record, the stopped entry can serve again."""
     if stop.restarted_at is not None:
         return stop.restarted_at
     return float("inf") if stop.ended_at is None else stop.ended_at
--- a/bench/soak/check_propagation.py
+++ b/bench/soak/check_propagation.py
@@ -50,22 +50,22 @@
     violations = []
     for arrival in record.arrivals:
         listings = draining[arrival.replica_id]
-        shown = next((s for s in listings if _is_late_arrival(record, arrival, s)), None)
-        if shown is None:
+        listing = next((s for s in listings if _is_late_arrival(record, arrival, s)), None)
+        if listing is None:
             continue
         detail = (
-            f"request {arrival.request_id} arrived {arrival.at - shown.at:.3f} s "
+            f"request {arrival.request_id} arrived {arrival.at - listing.at:.3f} s "
             "after the replica was shown as leaving"
         )
         violations.append(Violation(Promise.LEAVING, arrival.at, arrival.replica_id, detail))
     return violations
 
 
-def _is_late_arrival(record: Record, arrival: Arrival, shown: ReplicaDrains) -> bool:
-    if arrival.at <= shown.at + record.bounds.leaving:
+def _is_late_arrival(record: Record, arrival: Arrival, listing: ReplicaDrains) -> bool:
+    if arrival.at <= listing.at + record.bounds.leaving:
         return False
-    concerned = sender_machines(record, arrival.request_id) | {arrival.replica_id}
-    return is_undisturbed(record, concerned, shown.at - record.bounds.reached, arrival.at)
+    machines = sender_machines(record, arrival.request_id) | {arrival.replica_id}
+    return is_undisturbed(record, machines, listing.at - record.bounds.reached, arrival.at)
 
 
 def check_configuration(record: Record) -> list[Violation]:
@@ -97,8 +97,8 @@
 
 def _is_entry_undisturbed(record: Record, probe: RouteProbe) -> bool:
     bounds = record.bounds
-    # The time for which an entry must have been undisturbed and the time since the publication run
-    # concurrently: a call that a silent store delays may last no longer than either.
+    # The required undisturbed time is counted back from the probe and overlaps the time since the
+    # publication: a call that a silent store delays may last no longer than either.
     since = probe.sent_at - bounds.reached
     # A fault that begins while the probe is in flight explains a missing answer, but not an answer
     # that the route does not exist.
@@ -116,12 +116,15 @@
 
 
 def _lost_in_life(probes: list[RouteProbe]) -> Iterator[Violation]:
+    """Yield the probes of one process that missed a route after it had found a newer one."""
     found_probes = [probe for probe in probes if probe.found]
     for probe in probes:
         if probe.found is not False:
             continue
-        before = (p.configuration for p in found_probes if _answered_at(p) < probe.sent_at)
-        newest = max(before, default=0)
+        earlier_versions = (
+            p.configuration for p in found_probes if _answered_at(p) < probe.sent_at
+        )
+        newest = max(earlier_versions, default=0)
         if probe.configuration <= newest:
             detail = (
                 f"life {probe.life}: the route of configuration {probe.configuration} not found "
--- a/bench/soak/check_service.py
+++ b/bench/soak/check_service.py
@@ -77,10 +77,10 @@
     for start in _window_starts(requests, repeats, record.bounds.retry_window):
         if start < reported_until:
             continue
-        count = _count(repeats, start, record.bounds.retry_window)
+        count = _count_in_window(repeats, start, record.bounds.retry_window)
         if count <= record.bounds.retry_slack:
             continue
-        allowed = _allowed(requests, start, record.bounds)
+        allowed = _allowed_repeats(requests, start, record.bounds)
         if count <= allowed + ROUNDING_TOLERANCE:
             continue
         reported_until = start + record.bounds.retry_window
@@ -91,12 +91,12 @@
 
 def _repeats(record: Record) -> list[float]:
     """Return the times of arrivals of requests that had already arrived at some replica."""
-    known: set[str] = set()
+    arrived: set[str] = set()
     repeats = []
     for arrival in sorted(record.arrivals, key=lambda arrival: arrival.at):
-        if arrival.request_id in known:
+        if arrival.request_id in arrived:
             repeats.append(arrival.at)
-        known.add(arrival.request_id)
+        arrived.add(arrival.request_id)
     return repeats
 
 
@@ -112,14 +112,16 @@
     return sorted(starts)
 
 
-def _allowed(requests: list[float], start: float, bounds: Bounds) -> float:
+def _allowed_repeats(requests: list[float], start: float, bounds: Bounds) -> float:
+    """Return the number of repeats allowed in the window that begins at `start`."""
     window = bounds.retry_window
     begins = (start, start - window, start - window / 2)
-    most = max(_count(requests, begin, window) for begin in begins)
-    return bounds.retry_ratio * most + bounds.retry_slack
+    max_requests = max(_count_in_window(requests, begin, window) for begin in begins)
+    return bounds.retry_ratio * max_requests + bounds.retry_slack
 
 
-def _count(moments: list[float], start: float, window: float) -> int:
+def _count_in_window(moments: list[float], start: float, window: float) -> int:
+    """Return how many of the sorted times are in a window; it excludes its end."""
     return bisect_left(moments, start + window) - bisect_left(moments, start)
 
 
@@ -132,18 +134,18 @@
     if record.last_fault_ended_at is None:
         return
     due_at = record.last_fault_ended_at + record.bounds.recovery
-    judged = [
+    judged_requests = [
         request
         for request in record.requests.values()
         if request.sent_at > due_at and not request.caller_left
     ]
-    if len(judged) < MIN_RECOVERY_REQUESTS:
+    if len(judged_requests) < MIN_RECOVERY_REQUESTS:
         if record.ended_at - due_at > RECOVERY_OBSERVATION_SECONDS:
-            yield _not_recovered(due_at, f"only {len(judged)} requests were sent")
+            yield _not_recovered(due_at, f"only {len(judged_requests)} requests were sent")
         return
-    served = sum(is_served(request) for request in judged)
-    if served < MIN_RECOVERY_SHARE * len(judged):
-        yield _not_recovered(due_at, f"{served} of {len(judged)} requests were served")
+    served = sum(is_served(request) for request in judged_requests)
+    if served < MIN_RECOVERY_SHARE * len(judged_requests):
+        yield _not_recovered(due_at, f"{served} of {len(judged_requests)} requests were served")
 
 
 def _not_recovered(due_at: float, detail: str) -> Violation:
--- a/bench/soak/check_summary.py
+++ b/bench/soak/check_summary.py
@@ -49,15 +49,17 @@
 
 def summarize(record: Record, violations: Iterable[Violation]) -> Summary:
     """Count violations by promise and requests by kind and outcome."""
-    broken = Counter(violation.promise for violation in violations)
-    ended = Counter((request.kind, outcome_of(request)) for request in record.requests.values())
+    violation_counts = Counter(violation.promise for violation in violations)
+    outcome_counts = Counter(
+        (request.kind, outcome_of(request)) for request in record.requests.values()
+    )
     return Summary(
-        promises=tuple(PromiseCount(promise, broken[promise]) for promise in Promise),
+        promises=tuple(PromiseCount(promise, violation_counts[promise]) for promise in Promise),
         outcomes=tuple(
-            OutcomeCount(kind, outcome, ended[kind, outcome])
+            OutcomeCount(kind, outcome, outcome_counts[kind, outcome])
             for kind in RequestKind
             for outcome in Outcome
-            if ended[kind, outcome]
+            if outcome_counts[kind, outcome]
         ),
     )
 
--- a/bench/soak/checks.py
+++ b/bench/soak/checks.py
@@ -40,5 +40,5 @@
 
 def check_all(record: Record) -> list[Violation]:
     """Run all checks; return their violations in order of time."""
-    found = [violation for check in CHECKS.values() for violation in check(record)]
-    return sorted(found, key=lambda violation: violation.at)
+    violations = [violation for check in CHECKS.values() for violation in check(record)]
+    return sorted(violations, key=lambda violation: violation.at)
--- a/bench/soak/coverage.py
+++ b/bench/soak/coverage.py
@@ -18,7 +18,7 @@
     """Counts of what was judged without a fault that excuses it."""
 
     versions: int  # named, with no fault anywhere until after their bound
-    old_starts: int  # runs after the bound of such a version
+    old_starts: int  # runs observed just after the bound of such a version
     configurations: int  # pairs of a publication and an undisturbed entry
     drains: int  # replicas listed as leaving that no fault affected
     stops: int  # planned stops of entries that no fault affected
@@ -28,7 +28,7 @@
 def measure_coverage(record: Record) -> Coverage:
     """Count the judged events of a record."""
     bounds = record.bounds
-    named = [
+    named_at = [
         v.at
         for v in record.versions
         if _covers(record, v.at, bounds.weights)
@@ -36,9 +36,9 @@
             record, v.at - bounds.reached, v.at + bounds.weights + OBSERVATION_SECONDS
         )
     ]
-    due = [(at + bounds.weights, at + bounds.weights + OBSERVATION_SECONDS) for at in named]
+    windows = [(at + bounds.weights, at + bounds.weights + OBSERVATION_SECONDS) for at in named_at]
     runs = sum(
-        any(since < run.began_at <= until for since, until in due)
+        any(since < run.began_at <= until for since, until in windows)
         for run in record.runs
         if run.version
     )
@@ -52,15 +52,19 @@
         for d in record.draining
     )
     stops = [stop for stop in record.stops if _is_fault_free_stop(record, stop)]
-    under_way = sum(_was_under_way(record, stop) for stop in stops)
-    return Coverage(len(named), runs, _configurations(record), drains, len(stops), under_way)
+    in_flight = sum(_count_in_flight(record, stop) for stop in stops)
+    return Coverage(
+        len(named_at), runs, _count_configurations(record), drains, len(stops), in_flight
+    )
 
 
 def _covers(record: Record, at: float, bound: float) -> bool:
+    """Return whether the record reaches from a time until its bound has been observed."""
     return record.began_at <= at and at + bound + OBSERVATION_SECONDS <= record.ended_at
 
 
-def _configurations(record: Record) -> int:
+def _count_configurations(record: Record) -> int:
+    """Return the number of pairs of a publication and an entry undisturbed until its bound."""
     entries = {probe.entry for probe in record.probes}
     bounds = record.bounds
     return sum(
@@ -81,7 +85,8 @@
     return record.is_fault_free(frozenset({stop.entry}), stop.at - record.bounds.reached, until)
 
 
-def _was_under_way(record: Record, stop: PlannedStop) -> int:
+def _count_in_flight(record: Record, stop: PlannedStop) -> int:
+    """Return the number of requests in flight when a stop began."""
     return sum(
         request.entry == stop.entry
         and request.sent_at <= stop.at
--- a/bench/soak/exchange.py
+++ b/bench/soak/exchange.py
@@ -33,7 +33,7 @@
     leaves_after: float | None  # seconds after sending; None: the caller waits
     leaves_by_reset: bool
     repeats: bool  # the caller sends another at once if this one fails
-    fresh: bool  # on a new connection
+    fresh: bool  # whether it is sent on a new connection
 
     @property
     def body(self) -> bytes:
@@ -47,13 +47,13 @@
 
     def headers(self) -> Headers:
         """Return the headers; requests for streams name their model."""
-        found = [
+        headers = [
             ("host", HOST),
             (names.REQUEST_ID, self.id),
             (names.DEADLINE_MS, str(round(self.deadline_seconds * 1000))),
             (names.KEY, KEY),
         ]
-        return [*found, (names.MODEL, MODEL)] if self.kind in STREAM_KINDS else found
+        return [*headers, (names.MODEL, MODEL)] if self.kind in STREAM_KINDS else headers
 
     def to_record(self, entry: str) -> CallerRequest:
         """Return the record of this request, sent now to an entry."""
@@ -89,30 +89,30 @@
 
 def judge(draft: Draft, answer: Answer, body: bytes, request: CallerRequest) -> None:
     """Record whether an answer belongs to the request, and the events of a stream."""
-    named = answer.header(names.REQUEST_ID)
-    is_named = named in (None, draft.id)
+    answer_id = answer.header(names.REQUEST_ID)
+    has_own_id = answer_id in (None, draft.id)
     if not 200 <= answer.status < 300:
-        request.own = is_named and (not request.sealed or OWN_ERROR.startswith(body))
+        request.own = has_own_id and (not request.sealed or OWN_ERROR.startswith(body))
         return
     if draft.kind not in STREAM_KINDS:
-        request.own = is_named and draft.body.startswith(body)
+        request.own = has_own_id and draft.body.startswith(body)
         if request.whole:
             request.own = request.own and body == draft.body
         return
-    request.own = is_named and _read_events(draft, body, request)
+    request.own = has_own_id and _read_events(draft, body, request)
 
 
 def _read_events(draft: Draft, body: bytes, request: CallerRequest) -> bool:
     """Record the complete events of a stream; return whether all belong to the request."""
-    *whole, rest = body.split(b"\n\n")
-    for event in whole:
+    *events, incomplete = body.split(b"\n\n")
+    for event in events:
         try:
             number, version = parse_event(event, draft.id)
         except ValueError:
             return False
         request.events.append(number)
         request.event_versions.append(version)
-    return not rest or not request.whole
+    return not incomplete or not request.whole
 
 
 def parse_event(event: bytes, request_id: str) -> tuple[int, int]:
@@ -123,7 +123,7 @@
     """
     first, _, second = event.decode("latin-1").partition("\n")
     number = int(first.removeprefix("id: "))
-    owner, told, version = second.removeprefix("data: ").split(" ")
-    if owner != request_id or int(told) != number or not version.startswith("v"):
+    owner, repeated_number, version = second.removeprefix("data: ").split(" ")
+    if owner != request_id or int(repeated_number) != number or not version.startswith("v"):
         raise ValueError(f"an event of another request: {event!r}")
     return number, int(version[1:])
--- a/bench/soak/findings.py
+++ b/bench/soak/findings.py
@@ -37,7 +37,7 @@
     """Find runs of bad requests, and runs that no caller requested."""
     for replica in replicas:
         for run in replica.runs:
-            problem = _problem(record, sent, run)
+            problem = _find_problem(record, sent, run)
             if problem:
                 detail = f"{problem}: {run.method} {run.target} at {replica.id}"
                 yield Finding("unasked run", run.began_at, run.id, detail)
@@ -49,7 +49,7 @@
     """Find loads whose staged chunks were not exactly those of the ordered version."""
     for replica in replicas:
         for version, digests in replica.loads:
-            if not _is_whole(version, digests, versions):
+            if not _is_ordered_version(version, digests, versions):
                 yield Finding("mixed weights", at, replica.id, f"version {version}")
 
 
@@ -58,22 +58,26 @@
 ) -> Iterator[Finding]:
     """Find requests that ran on a load that was not exactly the ordered version."""
     for replica in replicas:
-        bad = {
+        bad_loads = {
             number
             for number, (version, digests) in enumerate(replica.loads, start=1)
-            if not _is_whole(version, digests, versions)
+            if not _is_ordered_version(version, digests, versions)
         }
         for run in replica.runs:
-            if run.load in bad:
+            if run.load in bad_loads:
                 detail = f"version {run.version}, load {run.load} of {replica.id}"
                 yield Finding("answer of a bad load", run.began_at, run.id, detail)
 
 
-def _is_whole(version: int, digests: list[str], versions: dict[int, list[bytes]]) -> bool:
+def _is_ordered_version(
+    version: int, digests: list[str], versions: dict[int, list[bytes]]
+) -> bool:
+    """Return whether chunk digests are exactly those of a version."""
     return digests == [hashlib.sha256(chunk).hexdigest() for chunk in versions[version]]
 
 
-def _problem(record: Record, sent: dict[str, BadRequest], run: Run) -> str:
+def _find_problem(record: Record, sent: dict[str, BadRequest], run: Run) -> str:
+    """Return why a run should not have happened, or an empty string."""
     if run.id.removesuffix(SMUGGLED_SUFFIX) in sent:
         return "a bad request ran"
     request = record.requests.get(run.id)
--- a/bench/soak/main.py
+++ b/bench/soak/main.py
@@ -1,4 +1,4 @@
-"""A randomized soak: the real programs as processes, faults from outside, promises checked.
+"""Runs a randomized soak test: real processes, faults from outside, and checks of all promises.
 
 Prints the seed and, at the end, one JSON line; progress goes to standard error. The exit code is 1
 if a promise was broken and 2 if the arguments are not valid. Run as `python -m bench.soak`.
@@ -8,9 +8,9 @@
   soak -h | --help
 
 Options:
-  --minutes=M     How long to soak, without start and end. [default: 2]
+  --minutes=M     Duration, without start and end. [default: 2]
   --processes=N   How many entries and daemons to run, 20 to 60; drawn from the seed if not given.
-  --regressions   Play the seeds that failed once before this one.
+  --regressions   First run the seeds that have failed before.
   --logs=DIR      Where logs are written; a new temporary directory if not given. They are kept
                   if a promise was broken, and always in a directory that was given.
 """
@@ -64,21 +64,26 @@
     bench.soak.main.ArgumentError: SEED: 'seven' is not a whole number
     """
     try:
-        found = docopt(__doc__ or "", words)
+        options = docopt(__doc__ or "", words)
     except DocoptExit as error:
         raise ArgumentError(f"cannot read {' '.join(words)!r}\n{error}") from None
-    processes = found["--processes"]
-    logs = found["--logs"]
+    processes = options["--processes"]
+    logs = options["--logs"]
     return Arguments(
-        _whole("SEED", found["SEED"], 0, 1 << 62),
-        _minutes(found["--minutes"]),
-        _whole("--processes", processes, MIN_PROCESSES, MAX_PROCESSES) if processes else 0,
-        bool(found["--regressions"]),
+        _parse_whole_number("SEED", options["SEED"], 0, 1 << 62),
+        _parse_minutes(options["--minutes"]),
+        (
+            _parse_whole_number("--processes", processes, MIN_PROCESSES, MAX_PROCESSES)
+            if processes
+            else 0
+        ),
+        bool(options["--regressions"]),
         Path(logs) if logs else None,
     )
 
 
-def _whole(name: str, text: str, least: int, most: int) -> int:
+def _parse_whole_number(name: str, text: str, least: int, most: int) -> int:
+    """Parse a whole number from `least` to `most`; `name` is the argument's name."""
     try:
         number = int(text)
     except ValueError:
@@ -88,7 +93,7 @@
     return number
 
 
-def _minutes(text: str) -> float:
+def _parse_minutes(text: str) -> float:
     try:
         minutes = float(text)
     except ValueError:
@@ -117,13 +122,13 @@
     """Run the soaks that the command line selects; return the exit code."""
     try:
         arguments = parse_arguments(sys.argv[1:])
-        known = read_regressions(REGRESSIONS) if arguments.regressions else []
+        regressions = read_regressions(REGRESSIONS) if arguments.regressions else []
     except (ArgumentError, ValueError) as error:
         print(error, file=sys.stderr)
         return EXIT_BAD_ARGUMENTS
     passed = True
-    for case in known:
+    for case in regressions:
         logs = arguments.logs / f"seed-{case.seed}" if arguments.logs else None
         passed = run_one(case.seed, case.minutes, case.processes, logs) and passed
-    own = run_one(arguments.seed, arguments.minutes, arguments.processes, arguments.logs)
-    return 0 if own and passed else EXIT_BROKEN
+    own_passed = run_one(arguments.seed, arguments.minutes, arguments.processes, arguments.logs)
+    return 0 if own_passed and passed else EXIT_BROKEN
--- a/bench/soak/plan.py
+++ b/bench/soak/plan.py
@@ -27,7 +27,7 @@
 FIRST_PHASE_SECONDS: Final = 3.0
 # A shorter soak has no room for the shortest fault phase and the recovery after it.
 MIN_SOAK_SECONDS: Final = FIRST_PHASE_SECONDS + FAULT_PHASE_SECONDS[0] + RECOVERY_SECONDS
-ACTIONS_PER_SECOND: Final = 0.9  # in a fault phase
+ACTIONS_PER_SECOND: Final = 0.9  # mean number in a fault phase
 SERVICE_SECONDS: Final = (0.02, 0.25)  # service time, or the interval between events
 SLOTS: Final = (8, 16)
 # Actions that end or start the replica on a host.
@@ -40,16 +40,16 @@
         ActionKind.REPLICA_LEAVES,
     }
 )
-# Replicas execute a daemon's orders up to so much late, as users' replicas do.
+# Range of the delay with which replicas execute late orders, as users' replicas do.
 ORDER_DELAY_SECONDS: Final = (0.3, 12.0)
-LATE_ORDERS_SHARE: Final = 0.6  # of the namings in fault phases are followed by late orders
-REPLICA_RESTART_SHARE: Final = 0.5  # of the fault phases restart a replica under its id
-CLOCK_STEPS_MS: Final = (0, -2000)  # by which its clock moves at the restart
+LATE_ORDERS_SHARE: Final = 0.6  # share of namings in fault phases that late orders follow
+REPLICA_RESTART_SHARE: Final = 0.5  # share of fault phases that restart a replica under its id
+CLOCK_STEPS_MS: Final = (0, -2000)  # steps of the restarted replica's clock
 # The share of fault phases, and of quiet phases, with a replica that asks for less load.
 BACKPRESSURE_SHARE: Final = 0.6
 BACKPRESSURE_SECONDS: Final = 6.0
-LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # in requests
-REST_SECONDS: Final = (0.8, 2.5)
+LIMITS_PER_SECOND: Final = (0.2, 0.5, 1.0, 8.0)  # requests per second
+REST_SECONDS: Final = (0.8, 2.5)  # range of the rest that a replica asks for
 # Restarts on one host stay this far from other starts and ends there, so that none overlap.
 RESTART_MARGIN_SECONDS: Final = 6.0
 
@@ -96,7 +96,7 @@
         self._entries = entry_names(sizes)
         self._models = model_names(sizes)
         self._plain = plain_names(sizes)
-        self._busy_until: dict[str, float] = {}  # by process or replica host
+        self._reserved_until: dict[str, float] = {}  # by process or replica host
         self._added_entries = 0
         self._added_models = 0
         self._fault_phases: list[tuple[float, float]] = []
@@ -166,8 +166,8 @@
                 amount = generator.choice(LIMITS_PER_SECOND)
                 if kind is ActionKind.REPLICA_REST:
                     amount = generator.uniform(*REST_SECONDS)
-                drawn = generator.random() < BACKPRESSURE_SHARE
-                if drawn and not self._is_restarted_within(
+                is_drawn = generator.random() < BACKPRESSURE_SHARE
+                if is_drawn and not self._is_restarted_within(
                     host_name, at, at + BACKPRESSURE_SECONDS
                 ):
                     self._add(at, kind, host_name, seconds=BACKPRESSURE_SECONDS, amount=amount)
@@ -233,11 +233,13 @@
             amount = self._generator.uniform(0.02, 0.4)
         if kind is ActionKind.LINK_NARROW:
             amount = self._generator.uniform(1_000, 50_000)
-        self._add(at, kind, *targets, seconds=self._length(at, until, 0.5, 6.0), amount=amount)
+        self._add(
+            at, kind, *targets, seconds=self._draw_duration(at, until, 0.5, 6.0), amount=amount
+        )
 
     def _draw_kill(self, at: float, until: float) -> None:
-        away = self._generator.choice([0.0, 0.5, 2.0])
-        self._draw_process(ActionKind.KILL, at, until, away)
+        downtime_seconds = self._generator.choice([0.0, 0.5, 2.0])
+        self._draw_process(ActionKind.KILL, at, until, downtime_seconds)
 
     def _draw_pause(self, at: float, until: float) -> None:
         self._draw_process(ActionKind.PAUSE, at, until, self._generator.uniform(0.3, 6.0))
@@ -256,38 +258,38 @@
             # Pauses may overlap with other actions on the same process.
             self._add(at, kind, name, seconds=seconds)
             return
-        # A process is not ended again before its restart is over.
+        # A process is not ended again before it has restarted.
         if self._reserve(name, at, seconds + 6.0):
             self._add(at, kind, name, seconds=seconds)
 
     def _draw_crash(self, at: float, until: float) -> None:
         host_name = self._generator.choice([*self._models, *self._plain])
         if self._reserve(host_name, at, 4.0):
-            seconds = self._length(at, until, 0.3, 2.0)
+            seconds = self._draw_duration(at, until, 0.3, 2.0)
             self._add(at, ActionKind.REPLICA_CRASH, host_name, seconds=seconds)
 
     def _draw_slowness(self, at: float, until: float) -> None:
         kind = self._generator.choice([ActionKind.REPLICA_SLOW, ActionKind.REPLICA_WAIT])
         host_name = self._generator.choice([*self._models, *self._plain])
-        seconds = self._length(at, until, 1.0, 8.0)
+        seconds = self._draw_duration(at, until, 1.0, 8.0)
         self._add(at, kind, host_name, seconds=seconds, amount=self._generator.uniform(0.1, 1.5))
 
     def _draw_replica_faults(self, at: float, until: float) -> None:
         host_name = self._generator.choice([*self._models, *self._plain])
         kinds = list(Fault)
         faults = tuple(self._generator.choice(kinds) for _ in range(self._generator.randint(1, 6)))
-        seconds = self._length(at, until, 1.0, 5.0)
+        seconds = self._draw_duration(at, until, 1.0, 5.0)
         self._add(at, ActionKind.REPLICA_FAULT, host_name, seconds=seconds, faults=faults)
 
     def _draw_store(self, at: float, until: float) -> None:
         if self._generator.random() < 0.2:
             self._add(at, ActionKind.STORE_FORGET)
             return
-        everybody = self._generator.random() < 0.4
+        affects_all = self._generator.random() < 0.4
         count = self._generator.randint(1, 3)
         names = self._processes()
-        targets = () if everybody else self._generator.sample(names, min(count, len(names)))
-        mood = self._generator.choice(
+        targets = () if affects_all else self._generator.sample(names, min(count, len(names)))
+        condition = self._generator.choice(
             [
                 StoreCondition.BUSY,
                 StoreCondition.LIMITED,
@@ -295,8 +297,8 @@
                 StoreCondition.SILENT,
             ]
         )
-        seconds = self._length(at, until, 0.5, 8.0)
-        self._add(at, ActionKind.STORE_MOOD, *targets, seconds=seconds, mood=mood)
+        seconds = self._draw_duration(at, until, 0.5, 8.0)
+        self._add(at, ActionKind.STORE_MOOD, *targets, seconds=seconds, condition=condition)
 
     def _draw_origin(self, at: float, until: float) -> None:
         kinds = [ActionKind.ORIGIN_DOWN, ActionKind.ORIGIN_SLOW, ActionKind.ORIGIN_CORRUPT]
@@ -304,7 +306,7 @@
         amount: float = self._generator.randint(1, 8)
         if kind is ActionKind.ORIGIN_SLOW:
             amount = self._generator.uniform(0.05, 0.5)
-        self._add(at, kind, seconds=self._length(at, until, 0.5, 6.0), amount=amount)
+        self._add(at, kind, seconds=self._draw_duration(at, until, 0.5, 6.0), amount=amount)
 
     def _draw_versions(self, at: float, until: float) -> None:
         count, gap = self._generator.randint(1, 3), self._generator.uniform(0.05, 1.5)
@@ -316,9 +318,9 @@
 
     def _draw_drain(self, at: float, until: float) -> None:
         host_name = self._generator.choice([*self._models, *self._plain])
-        serves_on = BOUNDS.leaving + self._generator.uniform(0.5, 2.0)
-        if self._reserve(host_name, at, serves_on + 2.0):
-            self._add(at, ActionKind.DRAIN, host_name, seconds=serves_on)
+        serving_seconds = BOUNDS.leaving + self._generator.uniform(0.5, 2.0)
+        if self._reserve(host_name, at, serving_seconds + 2.0):
+            self._add(at, ActionKind.DRAIN, host_name, seconds=serving_seconds)
 
     def _draw_addition(self, at: float, until: float) -> None:
         if self._generator.random() < 0.5 and not self._added_entries:
@@ -336,12 +338,12 @@
 
     def _reserve(self, name: str, at: float, seconds: float) -> bool:
         """Reserve a process or replica host; return False if another action still holds it."""
-        if self._busy_until.get(name, 0.0) > at:
+        if self._reserved_until.get(name, 0.0) > at:
             return False
-        self._busy_until[name] = at + seconds
+        self._reserved_until[name] = at + seconds
         return True
 
-    def _length(self, at: float, until: float, least: float, most: float) -> float:
+    def _draw_duration(self, at: float, until: float, least: float, most: float) -> float:
         """Draw the duration of an action in seconds; it ends with its phase at the latest."""
         return max(0.1, min(self._generator.uniform(least, most), until - at))
 
@@ -352,7 +354,7 @@
         *targets: str,
         seconds: float = 0.0,
         amount: float = 0.0,
-        mood: StoreCondition | None = None,
+        condition: StoreCondition | None = None,
         faults: tuple[Fault, ...] = (),
     ) -> None:
-        self.actions.append(Action(at, kind, targets, seconds, amount, mood, faults))
+        self.actions.append(Action(at, kind, targets, seconds, amount, condition, faults))
--- a/bench/soak/processes.py
+++ b/bench/soak/processes.py
@@ -31,38 +31,38 @@
 
     site: Site
     findings: list[ProcessFinding] = field(default_factory=list)
-    _ending: set[str] = field(default_factory=set)
+    _claimed: set[str] = field(default_factory=set)  # processes being ended or restarted
 
-    async def kill(self, name: str, away_seconds: float) -> None:
-        """Kill a process and restart it after `away_seconds`."""
+    async def kill(self, name: str, downtime_seconds: float) -> None:
+        """Kill a process and restart it after `downtime_seconds`."""
         if not self._claim(name):
             return
         disturbance = self.site.begin_disturbance("kill", self.site.machines_at(name))
         self.site.machines.signal(name, signal.SIGKILL)
         await self._wait_exit(name)
-        await self._start_again(name, away_seconds)
+        await self._start_again(name, downtime_seconds)
         disturbance.ended_at = trio.current_time()
 
-    async def stop(self, name: str, away_seconds: float) -> None:
-        """Stop a process by SIGTERM and restart it after `away_seconds`."""
+    async def stop(self, name: str, downtime_seconds: float) -> None:
+        """Stop a process by SIGTERM and restart it after `downtime_seconds`."""
         if not self._claim(name):
             return
         if name.startswith("entry"):
-            await self._stop_entry(name, away_seconds)
+            await self._stop_entry(name, downtime_seconds)
         else:
             disturbance = self.site.begin_disturbance("daemon stop", self.site.machines_at(name))
             self.site.machines.signal(name, signal.SIGTERM)
             await self._wait_stopped(name)
-            await self._start_again(name, away_seconds)
+            await self._start_again(name, downtime_seconds)
             disturbance.ended_at = trio.current_time()
 
-    async def _stop_entry(self, name: str, away_seconds: float) -> None:
+    async def _stop_entry(self, name: str, downtime_seconds: float) -> None:
         stop = PlannedStop(name, trio.current_time())
         self.site.record.stops.append(stop)
         self.site.machines.signal(name, signal.SIGTERM)
         await self._wait_stopped(name)
         stop.ended_at = trio.current_time()
-        await self._start_again(name, away_seconds)
+        await self._start_again(name, downtime_seconds)
         stop.restarted_at = trio.current_time()
 
     async def pause(self, name: str, seconds: float) -> None:
@@ -95,9 +95,9 @@
             while True:
                 for name, machine in list(self.site.machines.machines.items()):
                     process = machine.process
-                    if name in self._ending or process is None or process.poll() is None:
+                    if name in self._claimed or process is None or process.poll() is None:
                         continue
-                    self._ending.add(name)
+                    self._claimed.add(name)
                     self._add_finding(name, f"ended by itself with code {process.returncode}")
                     nursery.start_soon(self._restart, name)
                 await trio.sleep(POLL_SECONDS)
@@ -109,16 +109,17 @@
         disturbance.ended_at = trio.current_time()
 
     def _claim(self, name: str) -> bool:
+        """Claim a running process for a kill or stop; return False if it cannot be claimed."""
         process = self.site.machines.machines[name].process
-        if name in self._ending or process is None or process.poll() is not None:
+        if name in self._claimed or process is None or process.poll() is not None:
             return False
-        self._ending.add(name)
+        self._claimed.add(name)
         return True
 
-    async def _start_again(self, name: str, away_seconds: float) -> None:
-        await trio.sleep(away_seconds)
+    async def _start_again(self, name: str, downtime_seconds: float) -> None:
+        await trio.sleep(downtime_seconds)
         await self.site.start_process(name)
-        self._ending.discard(name)
+        self._claimed.discard(name)
         await self.site.wait_until_up(name)
 
     async def _wait_stopped(self, name: str) -> None:
--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -18,7 +18,9 @@
 from testing.rawhttp import reset
 
 PIECE_BYTES: Final = 64 * 1024
-NARROW_INTERVAL_SECONDS: Final = 0.1  # a narrow link forwards this much of its rate at once
+NARROW_INTERVAL_SECONDS: Final = (
+    0.1  # time of which a narrow link forwards the bytes at once
+)
 BLOCK_POLL_SECONDS: Final = 0.02  # how often a held connection checks its link
 
 
@@ -70,8 +72,8 @@
 
     def reset(self, first: frozenset[str], second: frozenset[str]) -> int:
         """Reset all open connections between two sides; return their number."""
-        probe = LinkFault(LinkKind.CUT, first, second)
-        affected = [c for c in self.connections if probe.affects(c.source, c.target)]
+        cut = LinkFault(LinkKind.CUT, first, second)
+        affected = [c for c in self.connections if cut.affects(c.source, c.target)]
         for connection in affected:
             connection.broken = True
             connection.scope.cancel()
@@ -84,18 +86,18 @@
 
     def amount(self, kind: LinkKind, sender: str, receiver: str) -> float:
         """Return the largest delay or the least rate among the faults of a link; 0 if none."""
-        found = [
+        amounts = [
             f.amount for f in self.faults if f.kind is kind and f.affects(sender, receiver)
         ] or [0.0]
-        return min(found) if kind is LinkKind.NARROW else max(found)
+        return min(amounts) if kind is LinkKind.NARROW else max(amounts)
 
 
 @dataclass(eq=False)
 class _Connection:
-    source: str
-    target: str
+    source: str  # IP address of the client
+    target: str  # public IP address of the listener
     scope: trio.CancelScope = field(default_factory=trio.CancelScope)
-    broken: bool = False  # is closed with a reset
+    broken: bool = False  # whether to close the connection with a reset
 
 
 class Proxy:
@@ -173,9 +175,9 @@
         self, connection: _Connection, client: trio.SocketStream, target: trio.SocketStream
     ) -> None:
         async with trio.open_nursery() as nursery:
-            source, own = connection.source, connection.target
-            nursery.start_soon(self._copy, connection, client, target, source, own)
-            nursery.start_soon(self._copy, connection, target, client, own, source)
+            source_ip, target_ip = connection.source, connection.target
+            nursery.start_soon(self._copy, connection, client, target, source_ip, target_ip)
+            nursery.start_soon(self._copy, connection, target, client, target_ip, source_ip)
 
     async def _copy(
         self,
--- a/bench/soak/record.py
+++ b/bench/soak/record.py
@@ -13,7 +13,7 @@
 
 
 class RequestKind(Enum):
-    """What the route of a request allows in terms of runs."""
+    """How often a request may run, which its route determines."""
 
     REPEATABLE = "repeatable"  # may run more than once
     ONCE = "once"  # runs at most once
@@ -50,7 +50,7 @@
     request_id: str
     replica_id: str
     at: float
-    rest_seconds: float = 0.0  # refused with a request to pause for so long
+    rest_seconds: float = 0.0  # rest asked for in its refusal; 0 if none
 
 
 @dataclass(slots=True)
@@ -115,7 +115,7 @@
     configuration: int  # the first version that has the route
     sent_at: float
     found: bool | None  # None if there was no answer
-    # None if unknown: the answer is then taken to come at the time of sending.
+    # None if unknown; the time of sending is then used.
     answered_at: float | None = None
 
 
@@ -147,13 +147,14 @@
     weights: float  # from the naming of new weights to the last start on older ones
     leaving: float  # from the announcement that a replica leaves to the last request to it
     configuration: float  # from a publication until it is in force at every entry
-    reached: float  # undisturbed time of a process from which these apply
+    reached: float  # how long a process must have been undisturbed for these to apply
+    # Repeats allowed in a window: retry_ratio times the requests, plus retry_slack.
     retry_ratio: float
-    retry_slack: float
+    retry_slack: float  # number of requests
     retry_window: float
     recovery: float  # from the end of the last fault to ordinary service
-    loss_slack: float  # a request lost so soon may have crossed its connection's close
-    told: float = 0.5  # from an answer that asks for less load until that applies
+    loss_slack: float  # a request lost this soon may have crossed its connection's close
+    told: float = 0.5  # from an answer that asks for less load until the entry must comply
 
 
 @dataclass(slots=True)
--- a/bench/soak/runner.py
+++ b/bench/soak/runner.py
@@ -60,18 +60,18 @@
     async with running_site(directory, plan) as site:
         processes = Processes(site)
         action_runner = ActionRunner(site, processes)
-        bad = BadRequests(random.Random(f"{plan.seed} bad requests"))
-        callers = Callers(site, random.Random(f"{plan.seed} callers"), bad)
-        clock = LatenessMonitor(site)
+        bad_requests = BadRequests(random.Random(f"{plan.seed} bad requests"))
+        callers = Callers(site, random.Random(f"{plan.seed} callers"), bad_requests)
+        lateness_monitor = LatenessMonitor(site)
         async with trio.open_nursery() as nursery:
-            for watch in (processes.watch, clock.run, Prober(site).run):
+            for watch in (processes.watch, lateness_monitor.run, Prober(site).run):
                 nursery.start_soon(watch)
             nursery.start_soon(poll_readiness, site)
             nursery.start_soon(_report_progress, site)
             await _run_plan(site, action_runner, callers)
             nursery.cancel_scope.cancel()
         site.record.ended_at = trio.current_time()
-        return _evaluate(site, processes, bad, clock)
+        return _evaluate(site, processes, bad_requests, lateness_monitor)
 
 
 async def _run_plan(site: Site, action_runner: ActionRunner, callers: Callers) -> None:
@@ -99,7 +99,10 @@
 
 
 def _evaluate(
-    site: Site, processes: Processes, bad: BadRequests, clock: LatenessMonitor
+    site: Site,
+    processes: Processes,
+    bad_requests: BadRequests,
+    lateness_monitor: LatenessMonitor,
 ) -> SoakResult:
     record = site.record
     _collect_observations(site)
@@ -109,26 +112,32 @@
         for listed in site.machines.replicas.values()
         if listed.service != PROBE_SERVICE
     ]
-    ended = [Finding("process", f.at, f.process, f.detail) for f in processes.findings]
+    process_findings = [Finding("process", f.at, f.process, f.detail) for f in processes.findings]
     versions = site.machines.origin.versions
-    mixed = find_mixed_loads(replicas, versions, record.ended_at)
-    of_bad_loads = find_answers_of_bad_loads(replicas, versions)
-    unasked = find_unrequested_runs(record, bad.sent, replicas)
-    drawn = (fault.value for action in site.plan.actions for fault in action.faults)
+    mixed_loads = find_mixed_loads(replicas, versions, record.ended_at)
+    bad_load_answers = find_answers_of_bad_loads(replicas, versions)
+    unrequested_runs = find_unrequested_runs(record, bad_requests.sent, replicas)
+    drawn_faults = (fault.value for action in site.plan.actions for fault in action.faults)
     return SoakResult(
         site.plan,
         record,
         violations,
-        [*ended, *mixed, *of_bad_loads, *find_bad_answers(bad.sent), *unasked],
+        [
+            *process_findings,
+            *mixed_loads,
+            *bad_load_answers,
+            *find_bad_answers(bad_requests.sent),
+            *unrequested_runs,
+        ],
         summarize(record, violations),
         measure_coverage(record),
         site.faults,
-        Counter(drawn),
+        Counter(drawn_faults),
         len(site.machines.machines),
         site.start_counts.total(),
-        Counter(f"{b.form.value} {b.status}" for b in bad.sent.values()),
-        clock.max_lateness_seconds,
-        clock.times_late,
+        Counter(f"{b.form.value} {b.status}" for b in bad_requests.sent.values()),
+        lateness_monitor.max_lateness_seconds,
+        lateness_monitor.times_late,
     )
 
 
--- a/bench/soak/site.py
+++ b/bench/soak/site.py
@@ -97,14 +97,14 @@
 
     def print_progress(self, text: str) -> None:
         """Print a line of progress to standard error, with the time since the start."""
-        since = trio.current_time() - self.record.began_at
-        print(f"{since:7.2f} {text}", file=sys.stderr, flush=True)
+        elapsed = trio.current_time() - self.record.began_at
+        print(f"{elapsed:7.2f} {text}", file=sys.stderr, flush=True)
 
     def begin_disturbance(self, kind: str, machines: frozenset[str]) -> Disturbance:
         """Record the start of a disturbance; the caller sets its end."""
-        found = Disturbance(kind, machines, trio.current_time())
-        self.record.disturbances.append(found)
-        return found
+        disturbance = Disturbance(kind, machines, trio.current_time())
+        self.record.disturbances.append(disturbance)
+        return disturbance
 
     def machines_at(self, target: str) -> frozenset[str]:
         """Return the names of everything on the machine of a process or replica host."""
@@ -148,7 +148,7 @@
     # Replicas.
 
     async def start_replica(self, replica_host: ReplicaHostState, version: int = 0) -> None:
-        """Start the next incarnation; it keeps the staged chunks of the previous one."""
+        """Start a replica host's next incarnation, with the staged chunks of the previous one."""
         model = MODEL if replica_host.service == MODEL_SERVICE else None
         replica = FakeReplica(new_replica_id(), model, version, replica_host.host.slots)
         replica.events = STREAM_EVENTS
@@ -176,7 +176,7 @@
         replica_host.listed.replica.held_orders.clear()
 
     async def restart_replica(self, replica_host: ReplicaHostState, clock_step_ms: int) -> None:
-        """Restart a running incarnation under its id; it keeps no state."""
+        """Restart a running incarnation under its id, without any of its state."""
         listed = replica_host.listed
         if listed is None or listed.ended.is_set():
             return
--- a/bench/soak/watchers.py
+++ b/bench/soak/watchers.py
@@ -22,7 +22,8 @@
 MAX_ANSWER_BYTES: Final = 1 << 16
 CLOCK_INTERVAL_SECONDS: Final = 0.02
 # If the soak's own event loop is delayed by more than this, its observations are late too: the
-# soak reports that and records a disturbance of all machines. Half of the least time bound.
+# soak reports that and records a disturbance of all machines. This is half of the least time
+# bound.
 MAX_LATENESS_SECONDS: Final = 1.0
 # Answers that say nothing about the configuration: the entry did not accept the request.
 INCONCLUSIVE_STATUSES: Final = frozenset({408, 421, 429, 503})
@@ -34,11 +35,11 @@
     while True:
         for name, machine in list(site.machines.machines.items()):
             if machine.role == "entry":
-                site.nursery.start_soon(_ask_ready, site, name, misses)
+                site.nursery.start_soon(_check_readiness, site, name, misses)
         await trio.sleep(READINESS_INTERVAL_SECONDS)
 
 
-async def _ask_ready(site: Site, name: str, misses: Counter[str]) -> None:
+async def _check_readiness(site: Site, name: str, misses: Counter[str]) -> None:
     if await site.machines.ready(name):
         misses[name] = 0
         site.ready.add(name)
@@ -53,7 +54,7 @@
     """Requests the routes of the newest configurations from each entry, bypassing the proxies."""
 
     site: Site
-    _asked: int = 0
+    _probe_count: int = 0
 
     async def run(self) -> None:
         """Probe until cancelled."""
@@ -67,8 +68,8 @@
     async def _probe(self, entry: str, version: int) -> None:
         life, sent_at = self.site.start_counts[entry], trio.current_time()
         private = self.site.machines.private(Address(self.site.ip_of(entry), CALLERS))
-        self._asked += 1
-        request_id = f"p{self._asked:06d}"
+        self._probe_count += 1
+        request_id = f"p{self._probe_count:06d}"
         headers = [
             ("host", HOST),
             (names.REQUEST_ID, request_id),
@@ -93,6 +94,7 @@
 
 
 def _is_found(status: int) -> bool | None:
+    """Return whether a status shows that the route exists, None if it does not tell."""
     return None if status in INCONCLUSIVE_STATUSES else status != 404
 
 
--- a/bench/swarm.py
+++ b/bench/swarm.py
@@ -1,5 +1,9 @@
 """make bench: compares swarm distribution with baselines at several fleet sizes.
 
+The modes "thrifty" and "fast" are swarms that fetch one and three copies from the origin. The
+baselines are "origin", where every host fetches from the origin, and "chain", where every host
+fetches from the previous one.
+
 Writes JSON lines and a plot to out/, and prints a table. Environment variables: SIZES (numbers of
 hosts), MIB (size of the weights), WINDOW (length of the burst window in seconds).
 """
--- a/bench/swarmrun.py
+++ b/bench/swarmrun.py
@@ -103,8 +103,9 @@
 
 
 async def _collect_results(
-    fleet: Fleet, setup: Setup, times: list[float], control: Counter[str]
+    fleet: Fleet, setup: Setup, times: list[float], resource_use: Counter[str]
 ) -> dict[str, Any]:
+    """Return the results; `times` are the sorted seconds until each engine had loaded."""
     size = setup.weights_bytes
     counts: Counter[str] = Counter()
     zone_of = {name: node.spec.zone for name, node in fleet.nodes.items()}
@@ -131,11 +132,11 @@
         "takeovers": counts["takeovers"],
         "stalled": counts["stalled"],
         "refused": counts["refused"],
-        "control_bytes_per_host": round(control["bytes"] / setup.hosts),
+        "control_bytes_per_host": round(resource_use["bytes"] / setup.hosts),
         "swarm_overhead_bytes_per_host": round(
-            (control["swarm_bytes"] - counts["peer_bytes"]) / setup.hosts
+            (resource_use["swarm_bytes"] - counts["peer_bytes"]) / setup.hosts
         ),
-        "cpu_seconds_per_host": round(control["cpu_ms"] / 1000 / setup.hosts, 3),
+        "cpu_seconds_per_host": round(resource_use["cpu_ms"] / 1000 / setup.hosts, 3),
     }
 
 
@@ -160,5 +161,6 @@
 
 def cpu_seconds(pid: int) -> float:
     """Return the user and system processor time of a process so far."""
+    # The times in /proc are in clock ticks, 100 a second.
     fields = Path(f"/proc/{pid}/stat").read_text().rpartition(") ")[2].split()
     return (int(fields[11]) + int(fields[12])) / 100
