--- a/bench/soak/actionrunner.py
+++ b/bench/soak/actionrunner.py
@@ -9,8 +9,8 @@
 from bench.soak.processes import Processes
 from bench.soak.proxies import LinkFault, LinkKind
 from bench.soak.record import ReplicaLeaves, ReplicaLimit
-from bench.soak.site import SeatState, Site
-from bench.soak.sizes import Seat, daemon_of
+from bench.soak.site import ReplicaHostState, Site
+from bench.soak.sizes import ReplicaHost, daemon_of
 from testing.machinelayout import MODEL_SERVICE
 from testing.platformstore import StoreCondition
 
@@ -50,8 +50,8 @@
             ActionKind.REPLICA_LIMIT: self._limit_replica,
             ActionKind.REPLICA_REST: self._request_rest,
             ActionKind.REPLICA_LEAVES: self._announce_leaving,
-            ActionKind.STORE_MOOD: self._set_mood,
-            ActionKind.STORE_FORGET: self._forget,
+            ActionKind.STORE_MOOD: self._set_store_condition,
+            ActionKind.STORE_FORGET: self._forget_history,
             ActionKind.ORIGIN_DOWN: self._take_origin_down,
             ActionKind.ORIGIN_SLOW: self._slow_origin,
             ActionKind.ORIGIN_CORRUPT: self._corrupt_origin,
@@ -104,6 +104,7 @@
         disturbance.ended_at = trio.current_time()
 
     def _sides(self, action: Action) -> tuple[frozenset[str], frozenset[str]]:
+        """Return the addresses of both sides of a link; an empty second side is every address."""
         ips = [self._site.ip_of(target) for target in action.targets]
         return frozenset(ips[:1]), frozenset(ips[1:])
 
@@ -129,29 +130,29 @@
     # recorded as disturbances.
 
     async def _crash_replica(self, action: Action) -> None:
-        seat = self._seat(action)
+        replica_host = self._replica_host(action)
         disturbance = self._site.begin_disturbance(
-            action.kind.value, self._site.machines_at(seat.seat.name)
+            action.kind.value, self._site.machines_at(replica_host.host.name)
         )
-        gone = seat.listed
-        self._site.end_replica(seat)
+        crashed = replica_host.listed
+        self._site.end_replica(replica_host)
         await trio.sleep(action.seconds)
-        await self._site.start_replica(seat)
+        await self._site.start_replica(replica_host)
         disturbance.ended_at = trio.current_time()
         await trio.sleep(max(0.0, LISTING_EXPIRY_SECONDS - action.seconds))
-        if gone is not None:
-            self._site.machines.unlist(gone)
+        if crashed is not None:
+            self._site.machines.unlist(crashed)
 
     async def _restart_replica(self, action: Action) -> None:
-        seat = self._seat(action)
+        replica_host = self._replica_host(action)
         disturbance = self._site.begin_disturbance(
-            action.kind.value, self._site.machines_at(seat.seat.name)
+            action.kind.value, self._site.machines_at(replica_host.host.name)
         )
-        await self._site.restart_replica(seat, clock_step_ms=round(action.amount))
+        await self._site.restart_replica(replica_host, clock_step_ms=round(action.amount))
         disturbance.ended_at = trio.current_time()
 
     async def _slow_replica(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         before = replica.event_seconds, replica.service_seconds
@@ -160,7 +161,7 @@
         replica.event_seconds, replica.service_seconds = before
 
     async def _delay_requests(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.wait_seconds = action.amount
@@ -168,7 +169,7 @@
         replica.wait_seconds = 0.0
 
     async def _break_answers(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.faults.extend(action.faults)
@@ -179,17 +180,17 @@
                 await trio.sleep(0.05)
 
     async def _hold_orders(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.orders_to_hold = round(action.amount)
         await trio.sleep(action.seconds)
         replica.orders_to_hold = 0
-        if self._seat(action).replica is replica:
+        if self._replica_host(action).replica is replica:
             replica.take_held_orders()
 
     async def _limit_replica(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.limit = f"{action.amount:.1f}"
@@ -200,7 +201,7 @@
         limit.ended_at = trio.current_time()
 
     async def _request_rest(self, action: Action) -> None:
-        replica = self._seat(action).replica
+        replica = self._replica_host(action).replica
         if replica is None:
             return
         replica.rest = f"{action.amount:.2f}"
@@ -208,48 +209,48 @@
         replica.rest = None
 
     async def _announce_leaving(self, action: Action) -> None:
-        seat = self._seat(action)
-        if seat.replica is None:
+        replica_host = self._replica_host(action)
+        if replica_host.replica is None:
             return
-        seat.replica.announces_leaving = True
-        said = ReplicaLeaves(seat.replica.id, trio.current_time())
-        self._site.record.leaving.append(said)
-        await self._replace_later(seat, action.seconds)
+        replica_host.replica.announces_leaving = True
+        announcement = ReplicaLeaves(replica_host.replica.id, trio.current_time())
+        self._site.record.leaving.append(announcement)
+        await self._replace_later(replica_host, action.seconds)
 
     async def _drain(self, action: Action) -> None:
-        seat = self._seat(action)
-        self._site.drain(seat)
-        await self._replace_later(seat, action.seconds)
+        replica_host = self._replica_host(action)
+        self._site.drain(replica_host)
+        await self._replace_later(replica_host, action.seconds)
 
-    async def _replace_later(self, seat: SeatState, seconds: float) -> None:
+    async def _replace_later(self, replica_host: ReplicaHostState, seconds: float) -> None:
         """End a leaving replica after some seconds, and start its next incarnation."""
-        gone = seat.listed
+        leaving = replica_host.listed
         await trio.sleep(seconds)
-        if gone is None or seat.listed is not gone:
+        if leaving is None or replica_host.listed is not leaving:
             return  # the replica crashed meanwhile
-        self._site.end_replica(seat)
-        self._site.unlist_replica(seat)
+        self._site.end_replica(replica_host)
+        self._site.unlist_replica(replica_host)
         await trio.sleep(RESTART_SECONDS)
-        await self._site.start_replica(seat)
+        await self._site.start_replica(replica_host)
 
-    def _seat(self, action: Action) -> SeatState:
-        return self._site.seats[action.targets[0]]
+    def _replica_host(self, action: Action) -> ReplicaHostState:
+        return self._site.replica_hosts[action.targets[0]]
 
     # The platform.
 
-    async def _set_mood(self, action: Action) -> None:
-        assert action.mood is not None
+    async def _set_store_condition(self, action: Action) -> None:
+        assert action.condition is not None
         targets = [self._site.ip_of(target) for target in action.targets] or None
         disturbance = self._site.begin_disturbance(
-            f"store {action.mood.value}", self._affected_machines(action)
+            f"store {action.condition.value}", self._affected_machines(action)
         )
         store = self._site.machines.store
-        store.set_condition(action.mood, targets)
+        store.set_condition(action.condition, targets)
         await trio.sleep(action.seconds)
         store.set_condition(StoreCondition.WELL, targets)
         disturbance.ended_at = trio.current_time()
 
-    async def _forget(self, action: Action) -> None:
+    async def _forget_history(self, action: Action) -> None:
         disturbance = self._site.begin_disturbance(action.kind.value, frozenset())
         self._site.machines.store.forget_history()
         disturbance.ended_at = trio.current_time()
@@ -284,9 +285,9 @@
 
     async def _add_replica(self, action: Action) -> None:
         name = action.targets[0]
-        pattern = self._site.plan.seats[0]
-        seat = Seat(name, pattern.service_seconds, pattern.slots)
-        await self._site.add_seat(seat, "z0", MODEL_SERVICE, 0)
+        first_host = self._site.plan.replica_hosts[0]
+        host = ReplicaHost(name, first_host.service_seconds, first_host.slots)
+        await self._site.add_replica_host(host, "z0", MODEL_SERVICE, 0)
         await self._site.start_process(daemon_of(name))
 
     async def _add_entry(self, action: Action) -> None:
@@ -303,6 +304,6 @@
     parts = [action.kind.value, *action.targets]
     parts += [f"{action.seconds:.2f} s"] if action.seconds else []
     parts += [f"amount {action.amount:.3g}"] if action.amount else []
-    parts += [action.mood.value] if action.mood is not None else []
+    parts += [action.condition.value] if action.condition is not None else []
     parts += [fault.value for fault in action.faults]
     return " ".join(parts)
