--- a/libs/renewal/src/headcross_renewal/confirmation.py
+++ b/libs/renewal/src/headcross_renewal/confirmation.py
@@ -151,7 +151,8 @@
         if order_count_fell:
             logger.warning("orders taken go back within a life", extra={"orders": key.sequence})
         elif key.sequence == 0 or self._answered_order is not None:
-            # Without an order it holds what the platform loaded, or nothing.
+            # Either the replica has accepted no order and holds what the platform loaded, or
+            # nothing, or the order was sent right after a successful read-back.
             self._confirm()
 
     def _confirm(self) -> None:
--- a/libs/renewal/src/headcross_renewal/digestregistry.py
+++ b/libs/renewal/src/headcross_renewal/digestregistry.py
@@ -6,8 +6,8 @@
 
 The digests of a version are small, but reading them twice in every process takes capacity of the
 origin's link away from the chunks: 54 processes read 0.5 MB for one version, which is two thirds
-of a second of a 5.94 Mbit/s link. So two daemons per region read them and send them to the others.
-If these do not answer, the next daemons in the region's order read as well.
+of a second of a 5.94 Mbit/s link. So two daemons per region, the readers, read them and send them
+to the others. If the readers do not answer, the next daemons in the region's order read as well.
 """
 
 import logging
@@ -31,7 +31,7 @@
 ANSWERS_NEEDED: Final = 2
 PEERS_ASKED: Final = 2
 RETRY_SECONDS: Final = 0.25
-# Daemons of a region that begin to read the digests of a version from the origin together.
+# Number of daemons of a region that begin to read a version's digests from the origin together.
 READERS_PER_STEP: Final = 2
 # The next `READERS_PER_STEP` daemons begin to read after each such interval without an answer. An
 # answer takes about 0.1 s: two reads of 4.5 KB, and a message within the region.
@@ -126,7 +126,10 @@
             requesters[request.host] = reply
 
     def receive(self, message: KnownDigests) -> None:
-        """Take digests from another process; they are settled at once, as they were there."""
+        """Accept digests from another process, and settle them unless others were settled before.
+
+        Processes send only settled digests, so one message suffices. An invalid one is ignored.
+        """
         try:
             goal = parse_weights_name(message.weights)
         except ValueError:
@@ -161,9 +164,9 @@
         step = int(waited / READER_STEP_SECONDS)
         if step == 0:
             # The readers' links are narrow, so each reader is asked by half of the processes.
-            half = rendezvous_weight("reader", self._host) % len(order[:READERS_PER_STEP])
-            return [daemons[order[half]]]
-        # The readers of this step, and those of the step before, whose answer may be late.
+            reader_rank = rendezvous_weight("reader", self._host) % len(order[:READERS_PER_STEP])
+            return [daemons[order[reader_rank]]]
+        # The readers of this step and of the previous one, whose answers may be late.
         asked = order[READERS_PER_STEP * (step - 1) : READERS_PER_STEP * (step + 1)]
         return [daemons[ip] for ip in asked]
 
--- a/libs/renewal/src/headcross_renewal/fetching.py
+++ b/libs/renewal/src/headcross_renewal/fetching.py
@@ -86,7 +86,7 @@
             await trio.sleep(ADMIT_RETRY_SECONDS)
 
     async def admit_secondary(self, goal: LoadedModel) -> StoredArtifact | None:
-        """Return the store's artifact for a version besides the goal; None if memory is short."""
+        """Return the artifact of a version other than the goal; None if memory is short."""
         manifest, body, digest = manifest_of(await self._digests.obtain(goal))
         self._store.pin(f"{self._location.host} beside", {digest})
         admitted = self._store.admit(digest, manifest, body)
@@ -143,8 +143,8 @@
     def _participants(self, goal: LoadedModel) -> list[str]:
         """Return the hosts that take part in the transfer of a version.
 
-        Once other replicas hold the version, these are the only ones, so that the origin need not
-        send it again.
+        Once other replicas have loaded the version, only their hosts take part, so that the origin
+        does not send it again.
         """
         holders = [r.address.ip for r in self._loading.peers() if has_loaded(r, goal)]
         others = [ip for ip in holders if ip != self._location.host]
--- a/libs/renewal/src/headcross_renewal/goalchoice.py
+++ b/libs/renewal/src/headcross_renewal/goalchoice.py
@@ -71,28 +71,28 @@
         newest = named[-1]
         if not self._is_deferred(newest):
             return newest
-        worth = [goal for goal in named[:-1] if self._is_worth_resuming(goal)]
-        return worth[-1] if worth else newest
+        worthwhile = [goal for goal in named[:-1] if self._is_worth_resuming(goal)]
+        return worthwhile[-1] if worthwhile else newest
 
     def is_worth_fetching(self, goal: LoadedModel, *, delays_newer: bool) -> bool:
         """Return whether finishing an older version is worthwhile; False without its digests."""
         digests = self._digests.settled.get(goal)
         if digests is None:
             return False
-        held = self._store.get(manifest_of(digests)[2])
-        missing = len(held.missing) if held is not None else len(digests.digests)
+        stored = self._store.get(manifest_of(digests)[2])
+        missing = len(stored.missing) if stored is not None else len(digests.digests)
         estimate = self._estimate(goal, missing * digests.chunk_bytes)
         return estimate.is_worthwhile(monotonic(), delays_newer=delays_newer)
 
     def is_older_more_complete(self, goal: LoadedModel, stored: StoredArtifact) -> bool:
-        """Return whether an older version that is still wanted is more complete in the store."""
+        """Return whether the store has a larger share of an older version that is not loaded."""
         named = [n.version for n in self._facts.versions.get(goal.model, [])]
         for version in named:
             older = LoadedModel(goal.model, version)
             if version >= goal.version or not self._is_obtainable(older):
                 continue
-            held = self._store.get(manifest_of(self._digests.settled[older])[2])
-            if held is not None and held.progress > stored.progress:
+            older_stored = self._store.get(manifest_of(self._digests.settled[older])[2])
+            if older_stored is not None and older_stored.progress > stored.progress:
                 return True
         return False
 
@@ -102,11 +102,11 @@
         if newest is None or newest <= goal.version:
             return False
         digests = self._digests.settled.get(LoadedModel(goal.model, newest))
-        held = self._store.get(manifest_of(digests)[2]) if digests is not None else None
-        return held is not None and held.is_complete
+        stored = self._store.get(manifest_of(digests)[2]) if digests is not None else None
+        return stored is not None and stored.is_complete
 
     def defer(self, goal: LoadedModel) -> None:
-        """Prefer older versions for `DEFERRAL_SECONDS`, if one of them is worthwhile."""
+        """Prefer older versions to `goal` for `DEFERRAL_SECONDS`, if one is worthwhile."""
         self._deferred_until[goal] = monotonic() + DEFERRAL_SECONDS
         logger.info("version cannot be had", extra={"goal": weights_name(goal)})
 
@@ -151,6 +151,7 @@
         return goal in self._digests.settled and not self._reporter.holds(goal)
 
     def _model(self) -> str | None:
+        """Return the model that is loaded, else the planned one; None if neither is known."""
         report = self._reporter.report
         if report is not None and report.loaded:
             return report.loaded[0].model
--- a/libs/renewal/src/headcross_renewal/indoubt.py
+++ b/libs/renewal/src/headcross_renewal/indoubt.py
@@ -22,7 +22,7 @@
 from headcross_ports.published import LoadedModel
 from headcross_ports.replicas import ReplicaReport
 
-# For how long after it was sent a call without an answer may still take effect.
+# A call without an answer may still take effect until this long after it was sent.
 LATE_SECONDS: Final = 15.0
 # Within this time of a process's start, running entries send it the recently named versions.
 ENTRY_NOTICE_SECONDS: Final = 2.0
@@ -63,20 +63,20 @@
         """Start with an earlier process's orders in doubt; `now` is this process's start."""
         self.order = None
         self.last_put_at = float("-inf")
-        # Send times of the orders in doubt, all of which carry the same number.
+        # Send times of the order in doubt and its repeats, which all carry the same sequence.
         self._sent_at: list[float] = []
         self._unanswered_puts: dict[LoadedModel, float] = {}
         self._started_at = now
         self._earlier_order_until = now + LATE_SECONDS
         # Versions not loaded yet of which chunks were staged when this process started.
         self._staged_at_start: set[LoadedModel] = set()
-        # A replica with nothing staged and no earlier process known was added just now.
+        # If nothing was staged and no entry knows of an earlier process, the replica is new.
         self._empty_at_start = False
         self._had_earlier_process = False
         self._entry_replied = False
-        # The version of which all chunks were staged.
+        # The version of which all chunks were staged when this process started.
         self._complete_at_start: LoadedModel | None = None
-        # When the replica had loaded each version, as reported by entries.
+        # When entries learned that the replica had loaded each version; the latest report counts.
         self._loaded_at: dict[LoadedModel, float] = {}
         self._reserved_for: LoadedModel | None = None
 
@@ -128,7 +128,7 @@
         self._had_earlier_process |= at < self._started_at
 
     def record_loaded_at(self, goal: LoadedModel, at: float) -> None:
-        """Record when, according to an entry, the replica had loaded a version."""
+        """Record that an entry learned at `at` that the replica had loaded a version."""
         self._loaded_at[goal] = max(at, self._loaded_at.get(goal, at))
 
     def earlier_put_may_land(
@@ -148,10 +148,10 @@
             notices_complete or self._complete_at_start == goal
         ):
             return True
-        loaded = (
-            at for each, at in self._loaded_at.items() if each != goal and at < self._started_at
+        others_loaded_at = (
+            at for m, at in self._loaded_at.items() if m != goal and at < self._started_at
         )
-        if now < max(loaded, default=float("-inf")) + LATE_SECONDS:
+        if now < max(others_loaded_at, default=float("-inf")) + LATE_SECONDS:
             return True
         others = (n for n in notices if held < n.version != goal.version)
         return any(notice.at_start or notice.seen_at < self._started_at for notice in others)
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -23,14 +23,15 @@
 from headcross_renewal.versionchoice import SEND_MARGIN_SECONDS, serves_until
 
 TURN_CHECK_SECONDS: Final = 0.05
+# The last group's latest start after this process's start, for a version named before it.
 LAST_TURN_AT_START_SECONDS: Final = 2.0
 # Streams are interrupted only if at least this share of the replicas still serves their version
 # and loads later.
 MIN_LATER_SHARE: Final = 0.2
-# Requests are diverted for at most this long before an order that interrupts the running ones. The
-# first group diverts them once it has fetched this share of the version.
+# Requests are diverted for at most this long before an order that interrupts the running ones.
 DRAIN_SECONDS: Final = 0.4
 DRAIN_CHECK_SECONDS: Final = 0.03
+# The first group diverts requests once it has fetched this share of the version.
 DRAIN_PROGRESS: Final = 0.9
 # If the rest of the transfer takes longer than this, the replica accepts requests again.
 DRAIN_AHEAD_SECONDS: Final = 1.2
@@ -67,16 +68,19 @@
         return [r for r in self._facts.replicas.values() if r.service == self._service]
 
     def serves_until(self, model: str, version: int) -> float:
-        """Return until when (monotonic) a version gets requests, by the versions named so far."""
+        """Return until when (monotonic) a version gets requests, given the known notices."""
         return serves_until(version, self._facts.versions.get(model, []), self._bound)
 
     async def drain_ahead(self, goal: LoadedModel, stored: StoredArtifact) -> None:
-        """Divert requests shortly before the transfer ends if this replica's group is first."""
+        """Divert requests shortly before the transfer ends if this replica's group loads first.
+
+        Accepts requests again if the transfer takes longer than `DRAIN_AHEAD_SECONDS` from then.
+        """
         await poll_until(lambda: stored.progress >= DRAIN_PROGRESS)
         report = self._reporter.report
         peers = self.peers()
-        spared = sum(bool(replica.loaded) for replica in peers) >= MIN_REPLICAS_TO_DRAIN_AHEAD
-        if report is None or not report.loaded or not spared:
+        may_drain = sum(bool(replica.loaded) for replica in peers) >= MIN_REPLICAS_TO_DRAIN_AHEAD
+        if report is None or not report.loaded or not may_drain:
             return
         if group_of(self._address, goal, peers) != 0:
             return
@@ -102,7 +106,7 @@
 
     async def load(self, goal: LoadedModel, staging: Staging, stored: StoredArtifact) -> None:
         """Order the replica to load the staged version, and wait until it has."""
-        break_off = self._may_break_off(goal)
+        break_off = self._may_interrupt_streams(goal)
         if break_off:
             await self._drain(goal)
         try:
@@ -123,7 +127,7 @@
                 return
             await trio.sleep(DRAIN_CHECK_SECONDS)
 
-    def _may_break_off(self, goal: LoadedModel) -> bool:
+    def _may_interrupt_streams(self, goal: LoadedModel) -> bool:
         """Return whether the running streams can be resumed at replicas of their version.
 
         They can if enough replicas that load later still serve that version.
--- a/libs/renewal/src/headcross_renewal/mirroring.py
+++ b/libs/renewal/src/headcross_renewal/mirroring.py
@@ -47,12 +47,13 @@
 # cancelled once the digests of the newer version are known, to free the origin's link. At 0.8 the
 # rest takes a daemon 1.1 s over 3.8 Mbit/s, and the origin 0.6 s over 5.94 Mbit/s.
 FINISH_OLDER_MIN_SHARE: Final = 0.8
-# The newer version waits for this at most, however slow the origin is.
+# Time limit for finishing the older version first, however slow the origin is.
 FINISH_OLDER_TIMEOUT_SECONDS: Final = 1.5
 OLDER_POLL_INTERVAL_SECONDS: Final = 0.05
 # A process does not mirror if uploading its share of the copies takes more than this share of the
-# bound on a new version. Daemons ask mirrors first and would wait for it: with links of 3.8 Mbit/s
-# at the entries, as at the daemons, transfers take 13 to 17 s instead of the possible 4.4 s.
+# bound on a new version. Daemons ask mirrors first and would wait for this one: with links of
+# 3.8 Mbit/s at the entries, as at the daemons, transfers take 13 to 17 s instead of the possible
+# 4.4 s.
 MAX_UPLOAD_SHARE_TO_START: Final = 0.5
 # The same limit for a process that mirrors already. It is higher because all hosts use the same
 # order of mirrors, which must not change with every replica that is added or removed.
@@ -110,7 +111,7 @@
                 await self._facts.wait_change()
 
     def decide_to_mirror(self) -> bool:
-        """Decide and return whether this process mirrors: whether it can upload its share in time.
+        """Decide whether this process mirrors; return whether it can upload its share in time.
 
         A process that mirrors continues until the uploads would take 1.5 times as long as the
         limit for starting.
@@ -123,16 +124,16 @@
         daemons = len(self._replicas(None))
         seconds = upload_seconds(size, daemons, self.mirror_count, self._bytes_per_second)
         share = MAX_UPLOAD_SHARE_TO_CONTINUE if self._is_mirroring else MAX_UPLOAD_SHARE_TO_START
-        decided = seconds <= share * self._bound
-        if decided != self._is_mirroring:
-            self._is_mirroring = decided
+        should_mirror = seconds <= share * self._bound
+        if should_mirror != self._is_mirroring:
+            self._is_mirroring = should_mirror
             fields = {
                 "sharers": self.mirror_count,
                 "daemons": daemons,
                 "seconds": round(seconds, 2),
             }
-            logger.info("mirrors" if decided else "does not mirror", extra=fields)
-        return decided
+            logger.info("mirrors" if should_mirror else "does not mirror", extra=fields)
+        return should_mirror
 
     def _goals(self) -> list[LoadedModel]:
         """Return the versions to mirror."""
@@ -203,8 +204,8 @@
 
     def _older_than(self, goal: LoadedModel) -> list[LoadedModel]:
         """Return the older versions of the goal's model whose mirroring was begun."""
-        begun = (each for each in self._scopes if each.model == goal.model)
-        return [each for each in begun if each.version < goal.version]
+        begun = (other for other in self._scopes if other.model == goal.model)
+        return [other for other in begun if other.version < goal.version]
 
     async def _wait_if_nearly_complete(self, goal: LoadedModel) -> None:
         """Wait until a version is complete, if `FINISH_OLDER_MIN_SHARE` of it is stored.
@@ -226,8 +227,8 @@
     def _progress(self, goal: LoadedModel) -> float:
         """Return the share of a version's chunks that is stored, from 0 to 1."""
         digests = self.digests.settled.get(goal)
-        held = self._store.get(manifest_of(digests)[2]) if digests is not None else None
-        return held.progress if held is not None else 0.0
+        stored = self._store.get(manifest_of(digests)[2]) if digests is not None else None
+        return stored.progress if stored is not None else 0.0
 
     def _replicas(self, model: str | None) -> list[Replica]:
         """Return the listed replicas of one model, or of all models if `model` is None."""
@@ -248,6 +249,6 @@
 
     def _participants(self, goal: LoadedModel) -> list[str]:
         daemons = [replica.address.ip for replica in self._replicas(goal.model)]
-        # This mirror includes itself only once a daemon reports it among the known mirrors,
-        # because all hosts must compute the same order.
+        # All hosts must compute the same order, so this mirror takes part only once a daemon
+        # reports it among the known mirrors.
         return [*daemons, *(mirror.ip for mirror in self.registry.known())]
--- a/libs/renewal/src/headcross_renewal/mirrors.py
+++ b/libs/renewal/src/headcross_renewal/mirrors.py
@@ -44,8 +44,8 @@
         >>> [location.ip for location in registry.known()]
         ['10.0.0.1', '10.0.0.2']
         """
-        horizon = monotonic() - MIRROR_EXPIRY_SECONDS
-        self._announced_at = {each: at for each, at in self._announced_at.items() if at >= horizon}
+        oldest = monotonic() - MIRROR_EXPIRY_SECONDS
+        self._announced_at = {m: at for m, at in self._announced_at.items() if at >= oldest}
         return sorted(self._announced_at, key=lambda location: location.ip)
 
 
@@ -113,10 +113,10 @@
 
 
 def replicas_with_digests(replicas: Iterable[Replica], goal: LoadedModel) -> list[Replica]:
-    """Return the replicas whose daemons have a version's digests, or all if none is known to.
+    """Return the replicas whose daemons are known to have a version's digests, or all if none is.
 
     A daemon has the digests if its replica serves the version. A daemon that was just added does
     not have them, and asking it delays other added replicas by 0.35 s.
     """
-    everyone = list(replicas)
-    return [replica for replica in everyone if has_loaded(replica, goal)] or everyone
+    all_replicas = list(replicas)
+    return [replica for replica in all_replicas if has_loaded(replica, goal)] or all_replicas
--- a/libs/renewal/src/headcross_renewal/orders.py
+++ b/libs/renewal/src/headcross_renewal/orders.py
@@ -60,8 +60,9 @@
         self._facts = facts
         self._replica = replica
         self._reporter = reporter
-        self._unsettled: Load | None = None
-        self._unanswered = trio.Event()  # set when an order got no answer
+        # The last load whose order got no answer; the event is set when there is a new one.
+        self._unanswered_load: Load | None = None
+        self._order_unanswered = trio.Event()
 
     def is_in_doubt(self, goal: LoadedModel) -> bool:
         """Return whether an order to load this version is in doubt."""
@@ -87,7 +88,7 @@
             return False
         report = self._reporter.report
         loaded = report.loaded if report is not None else ()
-        held = max((each.version for each in loaded if each.model == goal.model), default=0)
+        held = max((m.version for m in loaded if m.model == goal.model), default=0)
         notices = self._facts.versions.get(goal.model, [])
         return not self.in_doubt.earlier_put_may_land(goal, held, notices, now)
 
@@ -106,9 +107,9 @@
     async def settle(self) -> None:
         """Repeat each unanswered order until no repeat can be accepted; run until cancelled."""
         while True:
-            await self._unanswered.wait()
-            self._unanswered = trio.Event()
-            load = self._unsettled
+            await self._order_unanswered.wait()
+            self._order_unanswered = trio.Event()
+            load = self._unanswered_load
             assert load is not None
             began = monotonic()
             while not self._is_settled(load.goal):
@@ -173,8 +174,8 @@
         }
         if isinstance(outcome, Failure):
             logger.warning("order without an answer", extra={**fields, "reason": outcome.detail})
-            self._unsettled = load
-            self._unanswered.set()
+            self._unanswered_load = load
+            self._order_unanswered.set()
             return False
         if isinstance(outcome.value, OrderRefused):
             self.refused += 1
@@ -190,7 +191,7 @@
         return True
 
     def _is_overwritten(self) -> bool:
-        """Return whether the list entry of this daemon's replica belongs to another writer now."""
+        """Return whether another writer has overwritten the list entry of this replica."""
         overwritten = self._facts.overwritten.values()
         return any(str(replica.address) == self._address for replica in overwritten)
 
--- a/libs/renewal/src/headcross_renewal/plan.py
+++ b/libs/renewal/src/headcross_renewal/plan.py
@@ -5,8 +5,9 @@
 with weights: when 60 daemons listed it after a restart of all processes, the links between regions
 were full for 20 s. Entries follow the configuration anyway, so they send daemons the plan once a
 second and on request. A daemon lists the configuration only if it needs the plan, because its
-replica is empty or must be updated, and nobody has sent it. The daemons of a region agree, by
-rendezvous hashing, on the order in which they list; the others ask the first ones in that order.
+replica is empty or must be updated, and no other process has sent it. The daemons of a region
+agree, by rendezvous hashing, on the order in which they list the configuration; the others ask the
+first ones in that order.
 """
 
 import random
@@ -62,7 +63,7 @@
         self._listed: WeightsPlan | None = None
 
     def receive(self, plan: WeightsPlan) -> None:
-        """Take a plan from another process; one that is not newer only renews the time."""
+        """Record that a plan was received, and keep it if it is newer than the last one."""
         self._received_at = monotonic()
         if self._received is None or plan.version > self._received.version:
             self._received = plan
@@ -105,7 +106,9 @@
     listing_rank: Callable[[], int | None],
     list_configuration: Callable[[], None],
 ) -> None:
-    """Request the plan from other processes until one is known; list the configuration if need be.
+    """Request the plan from other processes until one is known.
+
+    If no process sends it in time, this one lists the configuration.
 
     `addresses_to_ask` returns the entries and daemons to ask. `listing_rank` returns how many
     daemons list before this one, or None while the list of replicas is not available. Requests
--- a/libs/renewal/src/headcross_renewal/recovery.py
+++ b/libs/renewal/src/headcross_renewal/recovery.py
@@ -92,7 +92,7 @@
         """Find out which version of a model is staged at the replica.
 
         If chunks of the loaded version are staged, no other version is staged completely, so no
-        order for one can be in doubt.
+        order for another version can be in doubt.
         """
         copy = await read_staged(self._replica, model)
         if copy is None:
@@ -103,37 +103,37 @@
         with trio.move_on_after(CHECK_INTERVAL_SECONDS):
             while model not in self._facts.versions:
                 await self._facts.wait_change()
-        served = [held for held in report.loaded if held.model == model]
+        loaded = [held for held in report.loaded if held.model == model]
         newer = [goal for goal in self._candidates(report) if goal.model == model]
-        found: set[LoadedModel] = set()
+        staged: set[LoadedModel] = set()
 
         async def compare(goal: LoadedModel) -> None:
             if await self._adopt(goal, copy):
-                found.add(goal)
+                staged.add(goal)
 
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
             async with trio.open_nursery() as nursery:
-                for goal in (*served, *newer):
+                for goal in (*loaded, *newer):
                     nursery.start_soon(compare, goal)
-        if found.intersection(served):
+        if staged.intersection(loaded):
             self._in_doubt.rule_out_earlier_order()
             return
         for goal in newer:
-            if goal in found:
+            if goal in staged:
                 logger.info("found beside the replica", extra={"goal": weights_name(goal)})
                 self._in_doubt.record_staged_version(goal)
 
     def _candidates(self, report: ReplicaReport) -> list[LoadedModel]:
         """Return the versions that an earlier process may have staged, newest first per model."""
-        held = {each.model: each.version for each in report.loaded}
-        found: list[LoadedModel] = []
+        loaded = {m.model: m.version for m in report.loaded}
+        candidates: list[LoadedModel] = []
         for model, notices in self._facts.versions.items():
             versions = {notice.version for notice in notices}
-            # The store lists the newest one only; the one before it may have been staged.
+            # The store lists only the newest version; the previous one may have been staged.
             versions.add(max(versions) - 1)
-            newer = sorted(v for v in versions if v > held.get(model, 0))
-            found += [LoadedModel(model, version) for version in reversed(newer)]
-        return found
+            newer = sorted(v for v in versions if v > loaded.get(model, 0))
+            candidates += [LoadedModel(model, version) for version in reversed(newer)]
+        return candidates
 
     async def _adopt(self, goal: LoadedModel, copy: StagedCopy) -> int:
         """Adopt the staged chunks of a version; return how many were staged."""
@@ -143,10 +143,10 @@
                 self._in_doubt.rule_out_earlier_order()
             return 0
         stored = await self._fetcher.admit_secondary(goal)
-        return self._staging(goal).take(stored, copy) if stored is not None else 0
+        return self._staging(goal).adopt_copy(stored, copy) if stored is not None else 0
 
     async def _admit(self, goal: LoadedModel) -> StoredArtifact | None:
-        """Return the storage for a version, None without its digests or room for it."""
+        """Return the store's artifact for a version; None without its digests or room for it."""
         with trio.move_on_after(DIGESTS_TIMEOUT_SECONDS):
             return await self._fetcher.admit_secondary(goal)
         return None
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -2,10 +2,10 @@
 
 The steps of an update are: obtain the version's digests, fetch its chunks from other daemons and
 the origin and stage each one as it arrives, wait for the replica's turn, and send the order after
-a read-back (see `orders`). A newer named version cancels the fetch of an older one as soon as its
-digests are known, unless the older one is close enough to complete to be worth finishing (see
-`versionchoice`). While the origin delivers nothing of the newer version, the update to the older
-one continues.
+a read-back (see `orders`). If a newer version is named during the fetch, the fetch is cancelled
+once the digests of the newer version are known, unless so little is missing that the older version
+is worth finishing (see `versionchoice`). While the origin delivers nothing of the newer version,
+the update to the older one continues.
 """
 
 import logging
@@ -34,9 +34,9 @@
 from headcross_renewal.staging import Staging
 
 IDLE_CHECK_SECONDS: Final = 0.5
-# Steps that are cancelled when the replica turns out to have the version loaded already.
+# Steps of an update in which it may be cancelled; all are before its order.
 STEPS_BEFORE_ORDER: Final = ("digests", "adopting", "fetching")
-# If digests cannot be obtained within this time, an older version is tried first for a while.
+# If digests cannot be obtained within this time, an older version is preferred for a while.
 DIGESTS_TIMEOUT_SECONDS: Final = 0.8
 STAGE_CHECK_SECONDS: Final = 0.05
 # How often the share of the link that chunks may use is adjusted.
@@ -85,13 +85,14 @@
         self._orders = orders
         self._plans = plans
         self._set_link_use = set_link_use
-        # Called with whether an update is running, which needs current facts about other replicas.
+        # Called with true while an update is running, since it needs current facts about other
+        # replicas, and with false otherwise.
         self._set_busy = set_busy
         self._recovery = Recovery(facts, replica, reporter, fetcher, digests, orders.in_doubt)
         self._load_verifier = LoadVerifier(replica, reporter, digests, orders.in_doubt)
         self._offered: set[LoadedModel] = set()
         # Set once all chunks of the version that is being fetched are staged.
-        self._staged = trio.Event()
+        self._all_staged = trio.Event()
 
     async def run(self) -> None:
         """Keep the replica updated until cancelled."""
@@ -189,20 +190,20 @@
         staging = Staging(goal, self._replica, self._orders.in_doubt)
         self._enter_step("adopting", goal)
         adopted = 0
-        # Staged chunks are only useful to a process that has not read them yet.
+        # Once `_offer` has read the staged chunks into the store, reading them again is useless.
         if not stored.is_complete and self._reporter.report is not None and not self._offered:
             adopted = await staging.adopt(stored)
             if adopted:
                 self._orders.in_doubt.record_staged_version(goal)
         self._enter_step("fetching", goal, adopted=adopted)
-        self._staged = trio.Event()
+        self._all_staged = trio.Event()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._adjust_link_use, goal)
             nursery.start_soon(self._stage_fetched_chunks, goal, staging, stored)
             nursery.start_soon(self._loading.drain_ahead, goal, stored)
             fetched = await self._fetcher.fetch(goal, stored)
             if fetched:
-                await self._staged.wait()
+                await self._all_staged.wait()
                 # Waits in this step, where a newer version can cancel it.
                 await self._orders.wait_may_order(goal)
             nursery.cancel_scope.cancel()
@@ -215,17 +216,18 @@
             await self._loading.load(goal, staging, stored)
 
     async def _adjust_link_use(self, goal: LoadedModel) -> None:
-        """Give chunks more of the link the fewer requests are running."""
+        """Adjust the share of the link that chunks may use: larger with fewer running requests."""
         while True:
             report = self._reporter.report
             if report is not None:
-                self._set_link_use(None if self._is_idle(goal, report) else report.active)
+                self._set_link_use(None if self._may_fill_link(goal, report) else report.active)
             await trio.sleep(LINK_USE_CHECK_SECONDS)
 
-    def _is_idle(self, goal: LoadedModel, report: ReplicaReport) -> bool:
-        """Return whether the replica serves nothing, or will reach its bound before the update.
+    def _may_fill_link(self, goal: LoadedModel, report: ReplicaReport) -> bool:
+        """Return whether chunks may fill the link without regard to requests.
 
-        The bound comes first if a version between the loaded one and `goal` has been named.
+        They may if the replica has no version loaded, or if a version between the loaded one and
+        `goal` has been named: the loaded one then has to stop serving before `goal` is loaded.
         """
         held = self._goal_selector.held_version(goal.model)
         named = self._facts.versions.get(goal.model, [])
@@ -243,26 +245,26 @@
     async def _stage_fetched_chunks(
         self, goal: LoadedModel, staging: Staging, stored: StoredArtifact
     ) -> None:
-        """Stage every chunk as soon as it is stored here, until all are staged."""
-        waiting = set(range(len(stored.locations)))
-        while waiting:
+        """Stage every chunk as soon as it is in the store, until all are staged."""
+        unstaged = set(range(len(stored.locations)))
+        while unstaged:
             await self._orders.wait_may_stage(goal)
-            here = sorted(waiting - stored.missing)
-            if here and len(waiting) == len(stored.locations):
+            available = sorted(unstaged - stored.missing)
+            if available and len(unstaged) == len(stored.locations):
                 logger.info("staging", extra={"goal": weights_name(goal)})
-            await staging.put(stored, here)
-            waiting -= set(here)
-            if waiting:
+            await staging.put(stored, available)
+            unstaged -= set(available)
+            if unstaged:
                 await trio.sleep(STAGE_CHECK_SECONDS)
-        self._staged.set()
+        self._all_staged.set()
 
     async def _offer(self, goal: LoadedModel) -> None:
-        """Adopt the staged chunks of the loaded version so that other daemons can fetch them."""
+        """Read the staged chunks of the loaded version so that other daemons can fetch them."""
         report = self._reporter.report
         loaded = report.loaded if report is not None else ()
-        held = next((loaded for loaded in loaded if loaded.model == goal.model), None)
+        held = next((m for m in loaded if m.model == goal.model), None)
         if held is None or held in self._offered or self._plans.origin() is None:
-            return  # an entry will send the origin; listing the configuration is not worth it
+            return  # an entry will send the plan with the origin; a listing is not worth its cost
         with trio.move_on_after(OFFER_TIMEOUT_SECONDS):
             stored = await self._fetcher.admit(held)
             adopted = await Staging(held, self._replica, self._orders.in_doubt).adopt(stored)
@@ -271,9 +273,9 @@
             self._offered.add(held)
             self._enter_step("offering", held, adopted=adopted, missing=len(stored.missing))
 
-    def _enter_step(self, step: str, goal: LoadedModel | None, **more: object) -> None:
+    def _enter_step(self, step: str, goal: LoadedModel | None, **fields: object) -> None:
         if step == self.step:
             return
         self.step = step
         name = weights_name(goal) if goal is not None else None
-        logger.info("renewal", extra={"step": step, "goal": name, **more})
+        logger.info("renewal", extra={"step": step, "goal": name, **fields})
--- a/libs/renewal/src/headcross_renewal/reporting.py
+++ b/libs/renewal/src/headcross_renewal/reporting.py
@@ -22,7 +22,8 @@
 # Listeners notified at every reading. With more, each is notified at every second or third one, so
 # that a daemon sends the same number of messages per second in a fleet of any size.
 LISTENERS_PER_READING: Final = 8
-# How often the state of a replica that stays idle is sent; listeners must not find it overdue.
+# How often the state of a replica that stays idle is sent, so that it does not become overdue at
+# listeners.
 IDLE_NOTIFY_SECONDS: Final = 0.45
 # A listener that has not renewed its subscription for this long is dropped.
 LISTENER_TIMEOUT_SECONDS: Final = 4.0
@@ -56,7 +57,7 @@
         self,
         address: Address,
         replica: ReplicaControl,
-        named: Callable[[], list[NamedVersionNews]] = list,
+        recent_version_news: Callable[[], list[NamedVersionNews]] = list,
     ) -> None:
         self.report = None
         self.answered = False
@@ -65,7 +66,7 @@
         self.confirmation = Confirmation()
         self._address = address
         self._replica = replica
-        self._named = named
+        self._recent_version_news = recent_version_news
         self._listeners: dict[str, _Listener] = {}
         self._sequence = 0
         self._incarnation_ms: int | None = None  # `started_ms` of the last report
@@ -211,7 +212,7 @@
                 0.0,
                 1.0,
                 len(self._listeners),
-                self._named(),
+                self._recent_version_news(),
             )
         total = max(1, report.memory_total)
         return ReplicaLoad(
@@ -225,7 +226,7 @@
             memory_share=report.memory_used / total,
             pace=report.pace,
             listeners=len(self._listeners),
-            named=self._named(),
+            named=self._recent_version_news(),
             started_ms=report.started_ms,
             confirmed=self.confirmation.confirmed(report),
             suspect=self.confirmation.suspect(report),
--- a/libs/renewal/src/headcross_renewal/sources.py
+++ b/libs/renewal/src/headcross_renewal/sources.py
@@ -18,8 +18,8 @@
 from headcross_weights.manifest import MANIFEST_FORMAT, Manifest, ManifestFile
 
 # A manifest presents the chunks of a version as ranges of a single file.
-FILE_NAME: Final = "weights"
-SEPARATOR: Final = "@"
+MANIFEST_FILE_NAME: Final = "weights"
+NAME_SEPARATOR: Final = "@"
 # Used until the digests of a version supply its chunk size.
 DEFAULT_CHUNK_BYTES: Final = 32 * 1024
 
@@ -30,19 +30,19 @@
     >>> weights_name(LoadedModel("m", 2)), parse_weights_name("m@2")
     ('m@2', LoadedModel(model='m', version=2))
     """
-    return f"{goal.model}{SEPARATOR}{goal.version}"
+    return f"{goal.model}{NAME_SEPARATOR}{goal.version}"
 
 
 def parse_weights_name(name: str) -> LoadedModel:
     """Return the version that a swarm name refers to; raise ValueError if it has no number."""
-    model, _, version = name.rpartition(SEPARATOR)
+    model, _, version = name.rpartition(NAME_SEPARATOR)
     return LoadedModel(model, int(version))
 
 
 def manifest_of(digests: ChunkDigests) -> tuple[Manifest, bytes, str]:
     """Return the manifest of a version, its encoded bytes and the digest of those bytes."""
     size = digests.chunk_bytes * len(digests.digests)
-    file = ManifestFile(FILE_NAME, size, list(digests.digests))
+    file = ManifestFile(MANIFEST_FILE_NAME, size, list(digests.digests))
     manifest = Manifest(MANIFEST_FORMAT, digests.chunk_bytes, [file])
     body = msgspec.json.encode(manifest)
     return manifest, body, digest_of(body)
@@ -52,8 +52,7 @@
     """A swarm source that reads from the origin in the newest known configuration."""
 
     name: str
-    # Whether the last read succeeded.
-    answers: bool
+    last_read_succeeded: bool
 
     def __init__(
         self,
@@ -64,7 +63,9 @@
         on_failure: Callable[[], None] = lambda: None,
     ) -> None:
         self.name = "origin"
-        self.answers = True
+        self.last_read_succeeded = True
+        # Returns whether chunks may be read from the origin. A replica that has not answered yet
+        # may have them already.
         self._may_send_chunks = may_send_chunks
         # Called when a read fails: the address of the origin may have changed.
         self._on_failure = on_failure
@@ -108,6 +109,6 @@
         return outcome
 
     def _record_outcome(self, outcome: object) -> None:
-        self.answers = not isinstance(outcome, Failure)
-        if not self.answers:
+        self.last_read_succeeded = not isinstance(outcome, Failure)
+        if not self.last_read_succeeded:
             self._on_failure()
--- a/libs/renewal/src/headcross_renewal/staging.py
+++ b/libs/renewal/src/headcross_renewal/staging.py
@@ -55,26 +55,26 @@
     async def adopt(self, stored: StoredArtifact) -> int:
         """Copy the staged chunks that match a version to the store; return how many match."""
         copy = await read_staged(self._replica, self._model)
-        return self.take(stored, copy) if copy is not None else 0
+        return self.adopt_copy(stored, copy) if copy is not None else 0
 
-    def take(self, stored: StoredArtifact, copy: StagedCopy) -> int:
+    def adopt_copy(self, stored: StoredArtifact, copy: StagedCopy) -> int:
         """Add the chunks in `copy` that match a version to the store; return how many match.
 
         If a chunk is missing at the replica, no order of an earlier daemon process is in doubt.
         """
-        found = copy.matching_chunks([location.digest for location in stored.locations])
-        for index, data in found.items():
+        matching = copy.matching_chunks([location.digest for location in stored.locations])
+        for index, data in matching.items():
             stored.add(index, data)
-        if len(found) == len(stored.locations):
+        if len(matching) == len(stored.locations):
             self._in_doubt.record_complete_staging(self._goal)
         if not copy.indexes:
             self._in_doubt.record_empty_staging()
         elif len(copy.indexes) < len(stored.locations):
             self._in_doubt.rule_out_earlier_order()
-        return len(found)
+        return len(matching)
 
     async def put(self, stored: StoredArtifact, indexes: list[int]) -> None:
-        """Stage the given chunks at the replica, retrying until each is taken."""
+        """Stage the given chunks at the replica, retrying until each is staged."""
         await _in_parallel(indexes, partial(self._put, stored))
 
     async def verify(self, stored: StoredArtifact) -> bool:
@@ -109,7 +109,7 @@
             await trio.sleep(RETRY_SECONDS)
 
     async def _put_once(self, stored: StoredArtifact, index: int) -> bool:
-        """Stage a chunk; return False if that failed, True if it is staged or not in the store."""
+        """Stage a chunk if the store has it; return False if the replica did not confirm it."""
         data = stored.chunk(index)
         if data is None:
             return True
@@ -126,8 +126,8 @@
 
 async def read_staged(replica: ReplicaControl, model: str) -> StagedCopy | None:
     """Read the staged chunks of a model; return None if the replica does not list them."""
-    held = await replica.staged_chunks(model)
-    if isinstance(held, Failure):
+    staged = await replica.staged_chunks(model)
+    if isinstance(staged, Failure):
         return None
     chunks: dict[int, bytes] = {}
 
@@ -136,8 +136,8 @@
         if not isinstance(data, Failure) and data.value is not None:
             chunks[index] = data.value
 
-    await _in_parallel(sorted(held.value), read)
-    return StagedCopy(held.value, chunks)
+    await _in_parallel(sorted(staged.value), read)
+    return StagedCopy(staged.value, chunks)
 
 
 async def find_corrupt_chunks(
--- a/libs/renewal/src/headcross_renewal/turns.py
+++ b/libs/renewal/src/headcross_renewal/turns.py
@@ -13,7 +13,7 @@
 from headcross_ports.published import LoadedModel, Replica
 
 GROUP_COUNT: Final = 3
-# Between the latest starts of two groups: time for a load, and for the list to show it.
+# Time between the latest starts of two groups: enough for a load and for the list to show it.
 GROUP_INTERVAL_SECONDS: Final = 0.45
 
 
@@ -47,5 +47,5 @@
         if not replica.draining:
             zones.setdefault(replica.zone, []).append(str(replica.address))
     key = f"{goal.model} {goal.version}"
-    dealt = [address for zone in sorted(zones) for address in rendezvous_order(key, zones[zone])]
-    return {address: position % GROUP_COUNT for position, address in enumerate(dealt)}
+    ordered = [address for zone in sorted(zones) for address in rendezvous_order(key, zones[zone])]
+    return {address: position % GROUP_COUNT for position, address in enumerate(ordered)}
--- a/libs/renewal/src/headcross_renewal/versionchoice.py
+++ b/libs/renewal/src/headcross_renewal/versionchoice.py
@@ -1,8 +1,9 @@
 """Decides whether fetching a version of weights still pays off once a newer one is named.
 
-Naming a version ends service from the older ones a fixed time later. A version that has been
-superseded therefore serves only for a limited time, and fetching it delays the newer one. This
-matters when versions are named in quick succession, or while the origin is unreachable.
+Once a version is named, the older ones must stop serving within a fixed time, their bound. A
+version that has been superseded therefore serves only for a limited time, and fetching it delays
+the newer one. This matters when versions are named in quick succession, or while the origin is
+unreachable.
 """
 
 from collections.abc import Sequence
@@ -11,8 +12,8 @@
 
 from headcross_facts.facts import VersionNotice
 
-# An older version is taken to serve no requests from this long before its bound, because entries
-# stop routing to it then (see weightsrules).
+# Entries stop routing to an older version this long before its bound (see `weightsrules`), so it
+# counts as serving no requests from then on.
 SEND_MARGIN_SECONDS: Final = 1.6
 # From the order to load until the replica serves: draining, verifying and loading take 0.3 to
 # 0.5 s with 2 MiB of weights.
@@ -25,7 +26,7 @@
 
     missing_bytes: int
     bytes_per_second: float  # rate of the link for weights
-    serves_until: float  # monotonic; infinite for the newest version
+    serves_until: float  # when the version stops serving (monotonic); infinite for the newest one
     held_serves_until: float  # the same for the version that the replica holds now
 
     def ready_at(self, now: float) -> float:
@@ -33,7 +34,7 @@
         return now + self.missing_bytes / self.bytes_per_second + ESTIMATED_LOAD_SECONDS
 
     def gained_seconds(self, now: float) -> float:
-        """Return how many seconds it would serve after the held version ends."""
+        """Return how many seconds the version would serve after the held version ends."""
         return self.serves_until - max(self.ready_at(now), self.held_serves_until)
 
     def is_worthwhile(self, now: float, *, delays_newer: bool) -> bool:
