--- a/libs/daemon/src/headcross_daemon/renewalrole.py
+++ b/libs/daemon/src/headcross_daemon/renewalrole.py
@@ -277,7 +277,7 @@
 
     def _daemons(self) -> list[Address]:
         """Return the daemons beside the replicas of this service."""
-        return self._daemons_of(self._loading.peers())
+        return self._daemons_of(self._loading.service_replicas())
 
     def _daemons_for_digests(self, goal: LoadedModel) -> list[Address]:
         """Return the daemons of this region that have a version's digests or will read them."""
@@ -286,7 +286,9 @@
     def _region_replicas(self) -> list[Replica]:
         """Return the replicas of this service in this region."""
         settings = self.process.settings
-        return replicas_in_region_of(settings.zone, self._loading.peers(), settings.zones)
+        return replicas_in_region_of(
+            settings.zone, self._loading.service_replicas(), settings.zones
+        )
 
     def _daemons_of(self, replicas: list[Replica]) -> list[Address]:
         port = self.process.settings.peers.control_port
--- a/libs/renewal/src/headcross_renewal/fetching.py
+++ b/libs/renewal/src/headcross_renewal/fetching.py
@@ -137,7 +137,10 @@
     def _hosts(self) -> HostList:
         location = self._location
         return swarm_hosts(
-            self._loading.peers(), self._mirrors.known(), location.region_of_zone, location.ports
+            self._loading.service_replicas(),
+            self._mirrors.known(),
+            location.region_of_zone,
+            location.ports,
         )
 
     def _participants(self, goal: LoadedModel) -> list[str]:
@@ -146,11 +149,11 @@
         Once other replicas have loaded the version, only their hosts take part, so that the origin
         does not send it again.
         """
-        holders = [r.address.ip for r in self._loading.peers() if has_loaded(r, goal)]
+        holders = [r.address.ip for r in self._loading.service_replicas() if has_loaded(r, goal)]
         others = [ip for ip in holders if ip != self._location.host]
         if others:
             return others
         return [
-            *(replica.address.ip for replica in self._loading.peers()),
+            *(replica.address.ip for replica in self._loading.service_replicas()),
             *(mirror.ip for mirror in self._mirrors.known()),
         ]
--- a/libs/renewal/src/headcross_renewal/goalchoice.py
+++ b/libs/renewal/src/headcross_renewal/goalchoice.py
@@ -118,7 +118,12 @@
 
     def _goal_from_replicas(self, model: str) -> LoadedModel:
         """Return the newest version held by a listed replica or this one, or `FIRST_VERSION`."""
-        listed = [m.version for r in self._loading.peers() for m in r.loaded if m.model == model]
+        listed = [
+            m.version
+            for r in self._loading.service_replicas()
+            for m in r.loaded
+            if m.model == model
+        ]
         report = self._reporter.report
         held = [m.version for m in report.loaded if m.model == model] if report else []
         return LoadedModel(model, max([*listed, *held], default=FIRST_VERSION))
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -63,7 +63,7 @@
         self._orders = orders
         self._bound = bound_seconds
 
-    def peers(self) -> list[Replica]:
+    def service_replicas(self) -> list[Replica]:
         """Return the listed replicas of the service, including this daemon's."""
         return [r for r in self._facts.replicas.values() if r.service == self._service]
 
@@ -78,11 +78,13 @@
         """
         await poll_until(lambda: stored.progress >= DRAIN_PROGRESS)
         report = self._reporter.report
-        peers = self.peers()
-        may_drain = sum(bool(replica.loaded) for replica in peers) >= MIN_REPLICAS_TO_DRAIN_AHEAD
+        replicas = self.service_replicas()
+        may_drain = (
+            sum(bool(replica.loaded) for replica in replicas) >= MIN_REPLICAS_TO_DRAIN_AHEAD
+        )
         if report is None or not report.loaded or not may_drain:
             return
-        if group_of(self._address, goal, peers) != 0:
+        if group_of(self._address, goal, replicas) != 0:
             return
         self._reporter.divert_requests()
         await trio.sleep(DRAIN_AHEAD_SECONDS)
@@ -95,12 +97,12 @@
         if not self._reporter.report.loaded:
             return  # it gets no requests without loaded weights
         while True:
-            peers = self.peers()
-            group = group_of(self._address, goal, peers)
+            replicas = self.service_replicas()
+            group = group_of(self._address, goal, replicas)
             if group is None or monotonic() >= latest_start(group, self._last_group_start(goal)):
                 return
-            earlier = earlier_groups(group, goal, peers)
-            if all(has_loaded(r, goal) for r in peers if str(r.address) in earlier):
+            earlier = earlier_groups(group, goal, replicas)
+            if all(has_loaded(r, goal) for r in replicas if str(r.address) in earlier):
                 return
             await trio.sleep(TURN_CHECK_SECONDS)
 
@@ -118,7 +120,7 @@
     async def _drain(self, goal: LoadedModel) -> None:
         """Divert new requests and give the running ones some time to end before the order."""
         self._reporter.divert_requests()
-        group = group_of(self._address, goal, self.peers()) or 0
+        group = group_of(self._address, goal, self.service_replicas()) or 0
         latest = latest_start(group, self._last_group_start(goal))
         until = min(monotonic() + DRAIN_SECONDS, latest)
         while monotonic() < until:
@@ -132,20 +134,20 @@
 
         They can if enough replicas that load later still serve that version.
         """
-        peers = self.peers()
-        group = group_of(self._address, goal, peers)
+        replicas = self.service_replicas()
+        group = group_of(self._address, goal, replicas)
         if group is None:
             return False
-        not_later = earlier_groups(group + 1, goal, peers)
+        not_later = earlier_groups(group + 1, goal, replicas)
         later = [
             replica
-            for replica in peers
+            for replica in replicas
             if replica.loaded
             and not has_loaded(replica, goal)
             and not replica.draining
             and str(replica.address) not in not_later
         ]
-        return len(later) >= MIN_LATER_SHARE * len(peers)
+        return len(later) >= MIN_LATER_SHARE * len(replicas)
 
     def _last_group_start(self, goal: LoadedModel) -> float:
         """Return the latest time (monotonic) at which the last group may load."""
--- a/libs/renewal/src/headcross_renewal/renewer.py
+++ b/libs/renewal/src/headcross_renewal/renewer.py
@@ -174,7 +174,7 @@
     async def _is_available(self, goal: LoadedModel) -> bool:
         """Return whether a version can be fetched now, from another replica or the origin."""
         await self._digests.obtain(goal)
-        if any(has_loaded(replica, goal) for replica in self._loading.peers()):
+        if any(has_loaded(replica, goal) for replica in self._loading.service_replicas()):
             return True
         if self._digests.settled_within(goal, ORIGIN_ANSWERED_SECONDS):
             return True
--- a/tests/test_goal_choice.py
+++ b/tests/test_goal_choice.py
@@ -38,7 +38,8 @@
         report = ReplicaReport((held,), False, 0, 0, 0, 0, 0, 1.0)
         reporter = SimpleNamespace(report=report, holds=lambda goal: goal.version <= 1)
         loading = SimpleNamespace(
-            peers=list, serves_until=lambda m, v: serves_until(v, self.notices, BOUND_SECONDS)
+            service_replicas=list,
+            serves_until=lambda m, v: serves_until(v, self.notices, BOUND_SECONDS),
         )
         parts: list[Any] = [
             facts,
