--- a/libs/weights/src/headcross_weights/chunkchoice.py
+++ b/libs/weights/src/headcross_weights/chunkchoice.py
@@ -27,8 +27,8 @@
 SLOW_LINK_RATE_SHARE: Final = 0.2
 DEFAULT_DUPLICATE_SECONDS: Final = 2.0  # until a latency is known
 
-Choice = tuple[NeighbourView, int]
-Views = Mapping[str, NeighbourView]
+Choice = tuple[NeighbourView, int]  # the host to request from, and the index of the chunk
+Views = Mapping[str, NeighbourView]  # by host name
 
 
 def choose_chunk(
@@ -48,21 +48,21 @@
     now = monotonic()
     if in_flight and is_link_slow(views, now):
         return None
-    ready = [view for view in views.values() if view.ready(now)]
+    ready = [view for view in views.values() if view.is_ready(now)]
     random.shuffle(ready)
     ready.sort(key=lambda view: (not view.is_mirror, len(view.in_flight)))
-    free = stored.missing - in_flight.keys() - importing
+    unrequested = stored.missing - in_flight.keys() - importing
     for view in ready:
-        candidates = view.has & free
+        candidates = view.has & unrequested
         if candidates:
             return view, _rarest(candidates, views)
-    return _choose_duplicate(ready, stored, in_flight, now) if not free else None
+    return _choose_duplicate(ready, stored, in_flight, now) if not unrequested else None
 
 
 def is_link_slow(views: Views, now: float) -> bool:
     """Return whether this host's own link, rather than a neighbour's, seems to be slow.
 
-    This is so if chunks from several neighbours, or from a mirror, are late at once and none has
+    It seems so if chunks from several neighbours, or from a mirror, are late at once and none has
     arrived on time recently. More than one request in flight would then only lengthen the queue in
     the link, which requests to the replica share.
     """
@@ -102,11 +102,11 @@
     in_flight: Mapping[int, list[float]],
     now: float,
 ) -> Choice | None:
-    """Return a chunk that takes long and a second host to request it from."""
+    """Return a chunk that takes long and a second host to request it from; None without one."""
     for view in ready:
-        late = DUPLICATE_FACTOR * view.latency or DEFAULT_DUPLICATE_SECONDS
+        late_seconds = DUPLICATE_FACTOR * view.latency or DEFAULT_DUPLICATE_SECONDS
         for index in view.has & stored.missing & in_flight.keys():
             requested_at = in_flight[index]
-            if len(requested_at) == 1 and now - requested_at[0] > late:
+            if len(requested_at) == 1 and now - requested_at[0] > late_seconds:
                 return view, index
     return None
--- a/libs/weights/src/headcross_weights/chunkstore.py
+++ b/libs/weights/src/headcross_weights/chunkstore.py
@@ -102,7 +102,7 @@
     def __init__(self, limit_bytes: int) -> None:
         self.limit_bytes = limit_bytes
         self._artifacts: dict[str, StoredArtifact] = {}
-        self._pinned: dict[str, set[str]] = {}
+        self._pinned: dict[str, set[str]] = {}  # digests by owner
 
     @property
     def used_bytes(self) -> int:
@@ -118,7 +118,7 @@
         return list(self._artifacts.values())
 
     def pin(self, owner: str, digests: set[str]) -> None:
-        """Replace the artifacts that an upstream needs; those are not evicted."""
+        """Replace the artifacts that `owner` needs; pinned artifacts are not evicted."""
         self._pinned[owner] = digests
 
     def admit(
--- a/libs/weights/src/headcross_weights/importduties.py
+++ b/libs/weights/src/headcross_weights/importduties.py
@@ -2,12 +2,14 @@
 
 The import order of a chunk (see `sourcing`) names the hosts before this one. While no neighbour
 offers the chunk, those hosts are asked whether they have it or are importing it. If they stay
-silent for long enough, this host takes the chunk over. An answer resets the wait for the chunks
-that it names, so that a host that is busy but alive is waited for, however long the origin takes.
-It does so only where this host may fetch the chunk from the host that answers: a copy in another
-region is of no use here. A host that answers without naming any chunk does not know of the
-artifact yet, because hosts learn of it at different times; it is waited for longer. No host can be
-asked about a chunk before the manifest is known, so the wait starts then.
+silent for long enough, this host takes the chunk over.
+
+An answer restarts the wait for the chunks that it names, so that a host that is busy but alive is
+waited for, however long the origin takes. Only chunks that this host may fetch from the answering
+host count: a copy in another region that it may not fetch is of no use here. A host that answers
+without naming any chunk does not know of the artifact yet, because hosts learn of it at different
+times; the wait for it is longer. No host can be asked about a chunk before the manifest is known,
+so the wait starts then.
 """
 
 from collections.abc import Iterable
@@ -20,7 +22,7 @@
 from headcross_weights.sourcing import MANIFEST_INDEX, ChunkDuty, ImportOrder
 
 # The first host of a region without an importing host waits this many takeover times before it
-# reads from the origin itself, so that the hosts in the origin's order go first.
+# reads from the origin itself, so that the importing hosts and their stand-ins go first.
 CROSS_REGION_TAKEOVERS: Final = 2
 
 IntentTarget = tuple[str, bool]  # host to ask, and whether only imports from the origin count
@@ -50,7 +52,7 @@
         return (duty.rank == 0 and not duty.from_peer) or index in self._taken_over
 
     def pending(self, question: AskIntent) -> list[int]:
-        """Return the chunks of a question that this host will import."""
+        """Return the chunks asked about that this host will import."""
         if question.origin_only:
             return [index for index in question.indexes if self.should_import(index)]
         return [
--- a/libs/weights/src/headcross_weights/imports.py
+++ b/libs/weights/src/headcross_weights/imports.py
@@ -63,7 +63,7 @@
 
     async def read_manifest(self, weights: str) -> Ok[tuple[WeightSource, bytes]] | Failure:
         """Return the unverified bytes of a manifest and their source."""
-        source = self._choose()
+        source = self._choose_source()
         if source is None:
             return Failure(SOURCE_FAILED, "every source is paused")
         outcome = await source.read_manifest(weights)
@@ -73,7 +73,7 @@
         self, weights: str, location: ChunkLocation
     ) -> Ok[tuple[WeightSource, bytes]] | Failure:
         """Return the unverified bytes of a chunk and their source."""
-        source = self._choose()
+        source = self._choose_source()
         if source is None:
             return Failure(SOURCE_FAILED, "every source is paused")
         await self._downlink.take(location.size)
@@ -88,7 +88,7 @@
         self._paused_until[source.name] = monotonic() + self._settings.corrupt_pause_seconds
         logger.error("corrupt bytes", extra={"source": source.name, "detail": detail})
 
-    def _choose(self) -> WeightSource | None:
+    def _choose_source(self) -> WeightSource | None:
         now = monotonic()
         ready = (source for source in self._sources if self._paused_until[source.name] <= now)
         return next(ready, None)
--- a/libs/weights/src/headcross_weights/manifest.py
+++ b/libs/weights/src/headcross_weights/manifest.py
@@ -67,9 +67,9 @@
 
 def parse_manifest(body: bytes, digest: str) -> Ok[Manifest] | Failure:
     """Decode a manifest; fail if its digest differs or its contents are invalid."""
-    found = digest_of(body)
-    if found != digest:
-        return Failure(MANIFEST_MISMATCH, f"expected {digest}, the bytes have {found}")
+    actual = digest_of(body)
+    if actual != digest:
+        return Failure(MANIFEST_MISMATCH, f"expected {digest}, the bytes have {actual}")
     try:
         manifest = msgspec.json.decode(body, type=Manifest)
     except msgspec.MsgspecError as error:
--- a/libs/weights/src/headcross_weights/manifestfetch.py
+++ b/libs/weights/src/headcross_weights/manifestfetch.py
@@ -16,7 +16,8 @@
 from headcross_weights.imports import Importer
 from headcross_weights.manifest import parse_manifest
 
-QUERY_SECONDS: Final = 0.2
+# Average interval between the requests for the manifest to other hosts.
+QUERY_INTERVAL_SECONDS: Final = 0.2
 
 
 class ManifestFetch:
@@ -43,16 +44,16 @@
         self._received.set()
         return True
 
-    async def wait_or_import(self, due_seconds: float) -> bytes | None:
-        """Wait briefly for a neighbour to send the manifest, and return it.
+    async def wait_or_import(self, import_delay_seconds: float) -> bytes | None:
+        """Return the manifest; wait briefly for another host to send it if it is not known.
 
-        Imports it instead if `due_seconds` have passed since the start. Returns None if there is
-        none yet; the caller then asks the other hosts again.
+        Tries to import it first if `import_delay_seconds` have passed since the start. Returns
+        None if there is none yet; the caller then asks the other hosts again.
         """
-        if monotonic() - self._started_at >= due_seconds:
+        if monotonic() - self._started_at >= import_delay_seconds:
             await self._import()
         if self.body is None:
-            with trio.move_on_after(QUERY_SECONDS * random.uniform(0.5, 1.5)):
+            with trio.move_on_after(QUERY_INTERVAL_SECONDS * random.uniform(0.5, 1.5)):
                 await self._received.wait()
         return self.body
 
--- a/libs/weights/src/headcross_weights/neighbourview.py
+++ b/libs/weights/src/headcross_weights/neighbourview.py
@@ -43,7 +43,7 @@
     # Its bitmap, until the manifest is known.
     bitmap: bytes
     # Number of corrupt chunks it sent.
-    corrupt: int
+    corrupt_chunks: int
     # Failures since the last chunk from it.
     failures: int
     # Whether it is a mirror, whose link carries no other traffic.
@@ -65,7 +65,7 @@
         self.latency = 0.0
         self.joined = False
         self.bitmap = b""
-        self.corrupt = 0
+        self.corrupt_chunks = 0
         self.failures = 0
         self._partial: dict[int, bytearray] = {}
         # The requests that timed out last, by chunk, with the time of each request: the chunks may
@@ -79,7 +79,7 @@
     @property
     def quarantined(self) -> bool:
         """Whether it sent too many corrupt chunks."""
-        return self.corrupt >= QUARANTINE_CORRUPT_CHUNKS
+        return self.corrupt_chunks >= QUARANTINE_CORRUPT_CHUNKS
 
     @property
     def is_usable(self) -> bool:
@@ -97,7 +97,7 @@
             self._settings.slow_request_seconds < now - at < MAX_ARRIVAL_SECONDS for at in waiting
         )
 
-    def ready(self, now: float) -> bool:
+    def is_ready(self, now: float) -> bool:
         """Return whether another chunk may be requested from it."""
         if self.quarantined or now < self._blocked_until:
             return False
@@ -145,10 +145,10 @@
         self._partial[index] = held
         return None
 
-    def note_busy(self, index: int, pause: float) -> None:
-        """Record a refused request; others may follow after `pause` seconds."""
+    def note_busy(self, index: int, pause_seconds: float) -> None:
+        """Record a refused request; the next one may follow after `pause_seconds`."""
         self.in_flight.pop(index, None)
-        self._blocked_until = monotonic() + pause
+        self._blocked_until = monotonic() + pause_seconds
 
     def note_timeout(self) -> None:
         """Record that its requests timed out, and double its backoff time."""
--- a/libs/weights/src/headcross_weights/pace.py
+++ b/libs/weights/src/headcross_weights/pace.py
@@ -25,8 +25,8 @@
     responsive_takeover_factor: float = 3.0
     # After this time without progress, any host may import a chunk that no neighbour offers.
     stuck_seconds: float = 20.0
-    # Interval between join messages, and time without progress after which all neighbours are
-    # joined again.
+    # Upper limit of the interval between join messages, which is shorter at the start of a
+    # transfer; after `rejoin_seconds` without progress, all neighbours are joined again.
     join_seconds: float = 1.0
     rejoin_seconds: float = 2.0
     # Bounds on the timeout of a request to a neighbour, which is a multiple of its latency.
@@ -55,13 +55,13 @@
     # Maximum size of the parts in which a chunk is sent.
     part_bytes: int = 8 * MIB
 
-    def imports_per_fetcher(self, fetchers: int) -> int:
-        """Return the maximum number of concurrent reads for each of the importing hosts.
+    def imports_per_host(self, importing_hosts: int) -> int:
+        """Return the maximum number of concurrent reads by each importing host.
 
-        >>> SMALL_WEIGHTS.imports_per_fetcher(5), SMALL_WEIGHTS.imports_per_fetcher(13)
+        >>> SMALL_WEIGHTS.imports_per_host(5), SMALL_WEIGHTS.imports_per_host(13)
         (2, 1)
         """
-        return max(1, min(self.max_imports, self.total_imports // max(1, fetchers)))
+        return max(1, min(self.max_imports, self.total_imports // max(1, importing_hosts)))
 
 
 LARGE_WEIGHTS: Final = SwarmSettings()
--- a/libs/weights/src/headcross_weights/sourcing.py
+++ b/libs/weights/src/headcross_weights/sourcing.py
@@ -31,11 +31,11 @@
 
 @dataclass(frozen=True, slots=True)
 class ChunkDuty:
-    """The part of this host in importing one chunk."""
+    """The role of this host in importing one chunk."""
 
     # 0 for a host that imports the chunk at once, n for the n-th stand-in, None for other hosts.
     rank: int | None
-    # Hosts before this one in the order, which it asks whether they are importing the chunk.
+    # Hosts before this one in the order; it asks them whether they are importing the chunk.
     predecessors: tuple[str, ...]
     # Whether the chunk comes from a host in another region rather than from the origin.
     from_peer: bool
@@ -71,15 +71,15 @@
     def _compute(self, bucket: int) -> ChunkDuty:
         key = f"{self._artifact} {bucket}"
         ranked = self._first_in_order(key, self._hosts)
-        fetchers = ranked[: self._copies]
+        importing_hosts = ranked[: self._copies]
         if self._me in ranked:
             position = ranked.index(self._me)
             if position < self._copies:
                 return ChunkDuty(0, (), from_peer=False)
-        has_fetcher = any(
-            host.region == self._region for host in self._hosts if host.name in fetchers
+        has_importing_host = any(
+            host.region == self._region for host in self._hosts if host.name in importing_hosts
         )
-        if has_fetcher or not self._region:
+        if has_importing_host or not self._region:
             return _stand_in_duty(self._me, ranked, self._copies, from_peer=False)
         local_hosts = [host for host in self._hosts if host.region == self._region]
         local = self._first_in_order(key, local_hosts)
@@ -88,6 +88,8 @@
         return _stand_in_duty(self._me, local, 1, from_peer=True)
 
     def _first_in_order(self, key: str, hosts: list[Host]) -> list[str]:
+        """Return the names of the importing hosts and the stand-ins among `hosts`, in order."""
+
         def weight(name: str) -> int:
             return rendezvous_weight(key, name)
 
@@ -98,8 +100,11 @@
         return first + heapq.nlargest(count - len(first), others, key=weight)
 
 
-def _stand_in_duty(me: str, order: list[str], first: int, *, from_peer: bool) -> ChunkDuty:
+def _stand_in_duty(
+    me: str, order: list[str], importing_count: int, *, from_peer: bool
+) -> ChunkDuty:
+    """Return the duty of a host that is not among the first `importing_count` of an order."""
     if me not in order:
         return ChunkDuty(None, (), from_peer)
     position = order.index(me)
-    return ChunkDuty(position - first + 1, tuple(order[:position]), from_peer)
+    return ChunkDuty(position - importing_count + 1, tuple(order[:position]), from_peer)
--- a/libs/weights/src/headcross_weights/swarm.py
+++ b/libs/weights/src/headcross_weights/swarm.py
@@ -85,8 +85,11 @@
         self._host = host
         self._hosts: HostList = EMPTY_HOST_LIST
         self._addresses: dict[str, Address] = {}
+        # Hosts that joined an artifact, by artifact and host name.
         self._listeners: dict[str, dict[str, _Listener]] = {}
+        # Hosts that wait for a chunk that this one imports, by artifact and chunk index.
         self._watchers: dict[tuple[str, int], dict[str, Send]] = {}
+        # Indexes of new chunks that were not announced yet, by artifact.
         self._unannounced: dict[str, list[int]] = {}
         self._announce_event = trio.Event()
         self._locks: dict[str, trio.Lock] = {}
@@ -183,9 +186,9 @@
             case Have(host=host, artifact=artifact, indexes=indexes):
                 if artifact in self.transfers:
                     self.transfers[artifact].receive_have(host, indexes)
-            case AskChunk() as question:
+            case AskChunk() as request:
                 if self._nursery is not None:
-                    self.uploads.handle_request(self._nursery, question, reply)
+                    self.uploads.handle_request(self._nursery, request, reply)
             case Chunk() if payload is not None:
                 self._handle_chunk(message, payload)
             case NoChunk(host=host, artifact=artifact, index=index, busy=busy):
--- a/libs/weights/src/headcross_weights/transfer.py
+++ b/libs/weights/src/headcross_weights/transfer.py
@@ -124,7 +124,7 @@
         self._change = trio.Event()
 
     async def run(self) -> Ok[StoredArtifact] | Failure:
-        """Fetch the complete artifact; fails only where a retry would not help."""
+        """Fetch the complete artifact and return it; fail only where a retry would not help."""
         async with trio.open_nursery() as nursery:
             nursery.start_soon(self._keep_joined)
             body = await self._obtain_manifest()
@@ -132,7 +132,7 @@
             if isinstance(outcome, Ok):
                 for worker in (self._watch_importers, self._expire_requests):
                     nursery.start_soon(worker, outcome.value)
-                for _ in range(self._context.settings.imports_per_fetcher(len(self._mirrors))):
+                for _ in range(self._context.settings.imports_per_host(len(self._mirrors))):
                     nursery.start_soon(self._import_chunks, outcome.value)
                 await self._schedule(outcome.value)
             nursery.cancel_scope.cancel()
@@ -207,8 +207,8 @@
             return
         if not busy:
             view.has.discard(index)
-        usual = BUSY_PAUSE_SHARE * view.latency or DEFAULT_BUSY_PAUSE_SECONDS
-        view.note_busy(index, usual * random.uniform(0.5, 1.5))
+        pause_seconds = BUSY_PAUSE_SHARE * view.latency or DEFAULT_BUSY_PAUSE_SECONDS
+        view.note_busy(index, pause_seconds * random.uniform(0.5, 1.5))
         self._context.downlink.refund(self.stored.locations[index].size)
         self._context.counts["refused"] += 1
         self._wake()
@@ -224,7 +224,7 @@
         self._wake()
 
     def pending(self, question: AskIntent) -> list[int]:
-        """Return the chunks of a question that this host will import."""
+        """Return the chunks asked about that this host will import."""
         return self._duties.pending(question)
 
     # Manifest.
@@ -296,9 +296,9 @@
             rate = self._context.downlink.bytes_per_second
             if is_link_slow(self.views, monotonic()):
                 rate *= SLOW_LINK_RATE_SHARE
-            question = AskChunk(self._context.host, self.artifact.digest, index, rate)
+            request = AskChunk(self._context.host, self.artifact.digest, index, rate)
             view.in_flight[index] = monotonic()
-            if index not in stored.missing or not view.send(question):
+            if index not in stored.missing or not view.send(request):
                 self._context.downlink.refund(size)
                 if index in stored.missing:
                     view.note_timeout()
@@ -398,7 +398,7 @@
         self.last_error = f"{host} sent a corrupt chunk"
         logger.error("corrupt chunk", extra={"peer": host, "chunk": index})
         if view is not None:
-            view.corrupt += 1
+            view.corrupt_chunks += 1
 
     def _wake(self) -> None:
         self._change.set()
--- a/libs/weights/src/headcross_weights/uploads.py
+++ b/libs/weights/src/headcross_weights/uploads.py
@@ -47,23 +47,23 @@
         self._pending: Counter[str] = Counter()
         self._locks: dict[str, trio.Lock] = {}
 
-    def handle_request(self, nursery: trio.Nursery, question: AskChunk, reply: Reply) -> None:
+    def handle_request(self, nursery: trio.Nursery, request: AskChunk, reply: Reply) -> None:
         """Queue the requested chunk for sending, or refuse the request at once."""
-        stored = self._store.get(question.artifact)
-        data = stored.chunk(question.index) if stored is not None else None
-        lane = question.host if self._lane_per_requester else ""
+        stored = self._store.get(request.artifact)
+        data = stored.chunk(request.index) if stored is not None else None
+        lane = request.host if self._lane_per_requester else ""
         if data is None or self._pending[lane] >= self._settings.upload_slots:
             self.refused += 1
             busy = data is not None
-            reply(NoChunk(self._host, question.artifact, question.index, busy=busy), None)
+            reply(NoChunk(self._host, request.artifact, request.index, busy=busy), None)
             return
         self._pending[lane] += 1
-        nursery.start_soon(self._send, lane, question, data, reply)
+        nursery.start_soon(self._send, lane, request, data, reply)
 
-    async def _send(self, lane: str, question: AskChunk, data: bytes, reply: Reply) -> None:
+    async def _send(self, lane: str, request: AskChunk, data: bytes, reply: Reply) -> None:
         try:
             async with self._locks.setdefault(lane, trio.Lock()):
-                is_sent = await self._send_parts(question, data, reply)
+                is_sent = await self._send_parts(request, data, reply)
                 self.sent += is_sent
         finally:
             self._pending[lane] -= 1
@@ -71,16 +71,16 @@
                 del self._pending[lane]
                 self._locks.pop(lane, None)
 
-    async def _send_parts(self, question: AskChunk, data: bytes, reply: Reply) -> bool:
+    async def _send_parts(self, request: AskChunk, data: bytes, reply: Reply) -> bool:
         """Send all parts of a chunk; return whether the link accepted them."""
         requester_rate = LinkRate(
-            question.rate if self._lane_per_requester else 0.0, self._settings.part_bytes
+            request.rate if self._lane_per_requester else 0.0, self._settings.part_bytes
         )
         for offset in range(0, len(data), self._settings.part_bytes):
             part = data[offset : offset + self._settings.part_bytes]
             await requester_rate.take(len(part))
             await self._uplink.take(len(part))
-            head = Chunk(self._host, question.artifact, question.index, offset, len(data))
-            if not reply(head, part):
+            header = Chunk(self._host, request.artifact, request.index, offset, len(data))
+            if not reply(header, part):
                 return False
         return True
