--- a/libs/facts/src/headcross_facts/facts.py
+++ b/libs/facts/src/headcross_facts/facts.py
@@ -31,7 +31,7 @@
 # A peer's time for a known version replaces the local one only if it is earlier by more than this;
 # smaller differences are message latency.
 NAMING_TIME_TOLERANCE_SECONDS: Final = 0.05
-# An entry of a replica that disappears within this time of a failed call to the store may have
+# A replica's list entry that disappears within this time of a failed call to the store may have
 # expired because the replica could not renew it either. Failed calls are retried after 1.2 s at
 # most.
 LAPSE_SECONDS: Final = 3.0
@@ -54,12 +54,12 @@
     configuration: Configuration | None
     # Listed replicas by id.
     replicas: dict[str, Replica]
-    # Replicas whose valid entry another writer has overwritten with an invalid one, by id, as they
-    # were last listed. They get no new requests and no orders until a valid entry is back.
+    # Replicas whose valid list entry another writer has overwritten with an invalid one, by id, as
+    # they were last listed. They get no new requests and no orders until a valid entry is back.
     overwritten: dict[str, Replica]
-    # When entries of replicas expired around an outage of the store (monotonic), by id. Replicas
-    # that still run are listed again about two seconds after the store is back, as the platform
-    # documents it.
+    # When list entries of replicas expired around an outage of the store (monotonic), by id.
+    # Replicas that still run are listed again about two seconds after the store is back, as the
+    # platform documents it.
     lapsed_at: dict[str, float]
     # The named versions of each model, oldest first.
     versions: dict[str, list[VersionNotice]]
@@ -76,7 +76,7 @@
         self.topics = {topic: TopicState(topic) for topic in Topic}
         self.counts = Counter()
         self._store = store
-        # Why the newest entry of a replica is invalid, by id.
+        # Why the newest list entry of a replica is invalid, by id.
         self._invalid_reasons: dict[str, str] = {}
         self._changed = trio.Event()
         self._started_at = monotonic()
@@ -104,11 +104,11 @@
     def record_named_version(self, model: str, version: int, age: float) -> None:
         """Record that a daemon reports a version as named `age` seconds ago.
 
-        The report may arrive before the store's change, which comes together with a configuration
-        of hundreds of kilobytes: an entry that learned of a version 1.9 s late served an older one
-        past the bound. The earliest report of a version counts, since its bound runs from the time
-        it was named. A version that a newer one has already followed is recorded as well, since
-        each version has its own bound.
+        The report may arrive before the change from the store, which comes together with a
+        configuration of hundreds of kilobytes: an entry that learned of a version 1.9 s late
+        served an older one past the bound. The earliest report of a version counts, since the
+        bound on older versions runs from the time when it was named. A version is also recorded if
+        a newer one is known, since each version sets its own bound.
         """
         notice = VersionNotice(version, monotonic() - age, at_start=False)
         notices = self.versions.setdefault(model, [])
@@ -127,8 +127,8 @@
     def topic_state(self, topic: Topic) -> TopicState:
         """Return the state of a topic.
 
-        The named versions are part of the control topic: where that is followed and newer, they
-        are taken from it.
+        The named versions are also part of the control topic, and are taken from it if it is known
+        and its revision is newer.
         """
         state = self.topics[topic]
         control = self.topics[Topic.CONTROL]
@@ -201,24 +201,26 @@
         self.overwritten.pop(replica_id, None)
         replica = self.replicas.pop(replica_id, None)
         now = monotonic()
-        outage = now - self._list_failed_at < LAPSE_SECONDS
-        if replica is not None and outage and not replica.draining:
+        during_outage = now - self._list_failed_at < LAPSE_SECONDS
+        if replica is not None and during_outage and not replica.draining:
             self.lapsed_at[replica_id] = now
 
-    def _take_invalid_replica(self, replica_id: str, why: str, fields: dict[str, object]) -> None:
-        """Remove a replica whose entry another writer has overwritten with an invalid one.
+    def _take_invalid_replica(
+        self, replica_id: str, reason: str, fields: dict[str, object]
+    ) -> None:
+        """Remove a replica whose list entry another writer has overwritten with an invalid one.
 
         Requests in flight there continue. A line is logged only when the reason changes, since
         such an entry may be written again with every heartbeat.
         """
-        if self._invalid_reasons.get(replica_id) == why:
+        if self._invalid_reasons.get(replica_id) == reason:
             return
-        self._invalid_reasons[replica_id] = why
+        self._invalid_reasons[replica_id] = reason
         replica = self.replicas.pop(replica_id, None)
         self.lapsed_at.pop(replica_id, None)
         if replica is not None:
             self.overwritten[replica_id] = replica
-        detail = {"replica": replica_id, "was_listed": replica is not None, "reason": why}
+        detail = {"replica": replica_id, "was_listed": replica is not None, "reason": reason}
         logger.error("fact rejected", extra={**fields, **detail})
 
     def _take_configuration(self, configuration: Configuration, fields: dict[str, object]) -> None:
@@ -259,5 +261,5 @@
 
 
 def _logged_state(replica: Replica) -> tuple[bool, tuple[LoadedModel, ...], int | None]:
-    """Return the parts of an entry whose changes are logged."""
+    """Return the parts of a list entry whose changes are logged."""
     return replica.draining, replica.loaded, replica.started_ms
--- a/libs/facts/src/headcross_facts/following.py
+++ b/libs/facts/src/headcross_facts/following.py
@@ -6,9 +6,9 @@
 
 A watch without an answer does not show that there was no change: after a short outage the store
 may answer all new calls and never answer this one. So each watch is short, and shorter still after
-a failed call (see `entry_polling`). A failed call is retried after
-a growing pause, and meanwhile peers are asked (see `peerfacts`). After a pause of the process the
-watch is cancelled, since its connection may be dead, and a new call is made at once.
+a failed call (see `entry_polling`). A failed call is retried after a growing pause, and meanwhile
+peers are asked (see `peerfacts`). After the process was suspended the watch is cancelled, since
+its connection may be dead, and a new call is made at once.
 """
 
 import logging
@@ -64,15 +64,16 @@
 
     watch: WatchLimits = WatchLimits(3.0, 1.5)
     # Limits for the list of replicas, which a replica's daemon needs less urgently.
-    list_watch: WatchLimits = WatchLimits(3.0, 1.5)
-    # Limits after a failed call, until a call is answered; None for no change.
+    replicas_watch: WatchLimits = WatchLimits(3.0, 1.5)
+    # Limits after a failed call until a call is answered; None to keep the other limits.
     lost_watch: WatchLimits | None = None
     # Longest pause between failed calls, before it is randomized.
     max_retry_seconds: float = 0.9
-    # Pauses after a change, so that one answer contains a burst of changes.
+    # Pauses after a change, so that the next answer contains a burst of changes.
     batch_delay_seconds: float = 0.15
     list_batch_delay_seconds: float = 0.15
-    # Pause after a change of the list while it is not urgent; see `Follower.set_urgent`.
+    # Pause after a change of the list of replicas while it is not urgent; see
+    # `Follower.set_urgent`.
     idle_list_batch_delay_seconds: float = 0.15
     # Topics that are watched, and topics that are listed on demand only.
     watched: tuple[Topic, ...] = (Topic.CONTROL, Topic.REPLICAS)
@@ -82,7 +83,7 @@
         """Return the time limits of a watch of a topic; `lost` after a failed call."""
         if lost and self.lost_watch is not None:
             return self.lost_watch
-        return self.list_watch if topic is Topic.REPLICAS else self.watch
+        return self.replicas_watch if topic is Topic.REPLICAS else self.watch
 
     def batch_delay(self, topic: Topic, urgent: bool) -> float:
         """Return the pause after a change of a topic, in seconds."""
@@ -113,9 +114,9 @@
 LIST_BATCH_DELAY_SHARE: Final = 0.1
 # Replicas' daemons answer no callers, so none of the bounds applies to them. A late change delays
 # new weights; but each of their calls costs the store as much as an entry's, and there are many
-# more daemons than entries. Their watches last for `reached` and the shorter other bound together,
-# less DAEMON_MARGIN_SECONDS, times the factor of the topic. The two pauses after a change of the
-# list of replicas apply while a version is being fetched, and otherwise.
+# more daemons than entries. The length of their watches is the sum of `reached` and the shorter
+# other bound, less DAEMON_MARGIN_SECONDS, times the factor of the topic. Of the two pauses after a
+# change of the list of replicas, the shorter one applies while a version is being fetched.
 DAEMON_MARGIN_SECONDS: Final = 2.0
 DAEMON_ANSWER_SECONDS: Final = 1.5
 VERSIONS_WATCH_FACTOR: Final = 1.4
@@ -140,7 +141,7 @@
     limits = WatchLimits(wait, ANSWER_SECONDS)
     return PollingSettings(
         watch=limits,
-        list_watch=limits,
+        replicas_watch=limits,
         lost_watch=WatchLimits(LOST_WAIT_SECONDS, LOST_ANSWER_SECONDS),
         max_retry_seconds=LOST_MAX_RETRY_SECONDS,
         batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
@@ -155,7 +156,7 @@
     wait = max(MIN_WATCH_SECONDS, bounds.reached + shortest - DAEMON_MARGIN_SECONDS)
     return PollingSettings(
         watch=WatchLimits(VERSIONS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
-        list_watch=WatchLimits(REPLICAS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
+        replicas_watch=WatchLimits(REPLICAS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
         batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
         list_batch_delay_seconds=DAEMON_LIST_BATCH_DELAY_SECONDS,
         idle_list_batch_delay_seconds=DAEMON_IDLE_LIST_BATCH_DELAY_SECONDS,
@@ -188,8 +189,9 @@
         # When the last call to the store began, and when its calls began to fail (monotonic).
         self._called_at: dict[Topic, float] = {}
         self._lost_at: dict[Topic, float] = {}
-        # Topics that wait for `list_now`, and topics that pause after a change.
+        # Set by `list_now`, for each topic that is not being listed.
         self._listing_requests: dict[Topic, trio.Event] = {}
+        # Scopes of the pauses after a change that are in progress.
         self._batch_delays: dict[Topic, trio.CancelScope] = {}
         self._urgent: set[Topic] = set()
 
@@ -227,7 +229,7 @@
             self._listing_requests[topic].set()
 
     def set_urgent(self, topic: Topic, urgent: bool) -> None:
-        """Set whether changes of a topic are read after the short pause or the long one."""
+        """Set whether the pause after a change of a topic is the short one (urgent)."""
         if not urgent:
             self._urgent.discard(topic)
         elif topic not in self._urgent:
@@ -240,7 +242,7 @@
         while True:
             with trio.CancelScope() as scope:
                 self._scopes[topic] = scope
-                listed = await self._step(topic, listed)
+                listed = await self._make_call(topic, listed)
             if scope.cancelled_caught:
                 logger.info("watch cancelled", extra={"topic": topic.value})
 
@@ -254,7 +256,7 @@
             while not listed:
                 with trio.CancelScope() as scope:
                     self._scopes[topic] = scope
-                    listed = await self._step(topic, listed=False)
+                    listed = await self._make_call(topic, listed=False)
 
     async def _delay_after_change(self, topic: Topic) -> None:
         seconds = self._polling.batch_delay(topic, topic in self._urgent)
@@ -263,8 +265,8 @@
             await trio.sleep_forever()
         self._batch_delays.pop(topic, None)
 
-    async def _step(self, topic: Topic, listed: bool) -> bool:
-        """Make one call; return whether the next one may be a watch instead of a listing."""
+    async def _make_call(self, topic: Topic, listed: bool) -> bool:
+        """Make one call, a watch if `listed`; return whether the next one may be a watch."""
         self._called_at[topic] = monotonic()
         if not listed:
             listing = await self._store.read(topic)
@@ -315,12 +317,12 @@
             logger.info("store regained", extra=fields)
 
     async def _reset_after_pauses(self) -> None:
-        seen = self._pauses.check()
+        handled = self._pauses.check()
         while True:
             await trio.sleep(PAUSE_CHECK_SECONDS)
             pauses = self._pauses.check()
-            if pauses != seen:
-                seen = pauses
+            if pauses != handled:
+                handled = pauses
                 seconds = round(self._pauses.last_pause_seconds, 3)
                 logger.warning("process stood still", extra={"seconds": seconds})
                 self.reset()
--- a/libs/facts/src/headcross_facts/peerfacts.py
+++ b/libs/facts/src/headcross_facts/peerfacts.py
@@ -9,9 +9,9 @@
 waiting for that kept an entry from asking peers that had the topic.
 
 Entries are asked first, since they follow every topic; one other process is asked in addition
-while the store does not answer any entry either. A process that only lists a topic on demand
-does not ask peers for it, and lists it when it is asked. Nothing is pushed, so there is no traffic
-between peers while the store answers every process.
+while the store does not answer any entry either. A process that lists a topic only on demand does
+not ask peers for it, and lists it when a peer asks for its revision. Nothing is pushed, so there
+is no traffic between peers while the store answers every process.
 """
 
 import logging
@@ -42,12 +42,12 @@
 # had no listing; three rounds out of four then reach the one that does.
 ENTRIES_ASKED: Final = 3
 # Another process is asked in addition once no peer has had fresh facts for FALLBACK_DELAY_SECONDS.
-# It stays the same one for FALLBACK_PEER_SECONDS, since a process that lists the topic on demand
-# makes a listing for this over a narrow link.
+# The same one is asked for FALLBACK_PEER_SECONDS, since a process that lists the topic on demand
+# has to list it over a narrow link to answer.
 FALLBACK_DELAY_SECONDS: Final = 0.9
 FALLBACK_PEER_SECONDS: Final = 3.0
-# Time that a requested topic may take to arrive before it is requested again; it doubles after
-# each that did not arrive, up to the maximum.
+# Time that a requested topic may take to arrive before it is requested again. It doubles with each
+# request, up to the maximum, until the topic arrives.
 FIRST_TRANSFER_SECONDS: Final = 0.9
 MAX_TRANSFER_SECONDS: Final = 5.0
 # A peer's answer does not count as fresh if the store last answered that peer longer ago.
@@ -108,6 +108,7 @@
         self._node = node
         self._peers = peers
         self._entries = entries
+        # Fetches of the topics whose calls to the store fail.
         self._fetches: dict[Topic, _TopicFetch] = {}
 
     async def run(self) -> None:
@@ -189,7 +190,10 @@
         self._facts.take_listing(topic, Listing(items, message.revision), message.age, sender)
 
     def _revision_held(self, topic: Topic) -> int:
-        """Return the known revision of a topic; that of a complete listing may be 0."""
+        """Return the known revision of a topic, which may be 0.
+
+        Returns `UNKNOWN_REVISION` if there is no listing yet.
+        """
         state = self._facts.topics[topic]
         return state.revision if state.known else UNKNOWN_REVISION
 
--- a/libs/facts/src/headcross_facts/topicstate.py
+++ b/libs/facts/src/headcross_facts/topicstate.py
@@ -30,13 +30,13 @@
         return monotonic() - self.fresh_at
 
     def take_listing(self, listing: Listing, age: float) -> list[Item] | None:
-        """Apply a listing of the topic; return the new items, or None if it is older than this.
+        """Apply a listing of the topic; return the new items, or None if the listing is outdated.
 
         Items that are no longer listed are returned without a value.
         """
         if self.known and listing.revision < self.revision:
             return None
-        complete = self.revision if self.known else UNKNOWN_REVISION
+        complete_revision = self.revision if self.known else UNKNOWN_REVISION
         self.known = True
         listed = {item.key for item in listing.items}
         deleted = [
@@ -44,17 +44,19 @@
             for key, held in self.items.items()
             if key not in listed and held.revision <= listing.revision
         ]
-        return self._take([*listing.items, *deleted], listing.revision, age, complete)
+        return self._take([*listing.items, *deleted], listing.revision, age, complete_revision)
 
     def take_changes(self, changes: Changes) -> list[Item]:
         """Apply the changes after this state's revision; return the new items."""
         return self._take(changes.items, changes.revision, 0.0, self.revision)
 
-    def _take(self, items: Iterable[Item], revision: int, age: float, complete: int) -> list[Item]:
+    def _take(
+        self, items: Iterable[Item], revision: int, age: float, complete_revision: int
+    ) -> list[Item]:
         new_items: list[Item] = []
         # One answer may contain several changes of the same item.
         for item in sorted(items, key=lambda item: item.revision):
-            if not self._is_newer(item, complete):
+            if not self._is_newer(item, complete_revision):
                 continue
             new_items.append(item)
             if item.value is None:
@@ -65,15 +67,15 @@
         self.fresh_at = max(self.fresh_at, monotonic() - age)
         return new_items
 
-    def _is_newer(self, item: Item, complete: int) -> bool:
-        """Return whether an item is newer than this state, which was complete up to `complete`.
+    def _is_newer(self, item: Item, complete_revision: int) -> bool:
+        """Return whether an item is newer than this state.
 
-        An item that is not held although its revision is at most `complete` has been deleted
-        since; a delayed message must not restore it.
+        All changes up to `complete_revision` are applied. So an item that is not held although its
+        revision is no higher has been deleted since; a delayed message must not restore it.
         """
         held = self.items.get(item.key)
         if held is None:
-            return item.value is not None and item.revision > complete
+            return item.value is not None and item.revision > complete_revision
         return item.revision > held.revision or (
             item.value is None and item.revision >= held.revision
         )
