--- a/libs/facts/src/headcross_facts/following.py
+++ b/libs/facts/src/headcross_facts/following.py
@@ -71,10 +71,10 @@
     max_retry_seconds: float = 0.9
     # Pauses after a change, so that the next answer contains a burst of changes.
     batch_delay_seconds: float = 0.15
-    list_batch_delay_seconds: float = 0.15
+    replicas_batch_delay_seconds: float = 0.15
     # Pause after a change of the list of replicas while it is not urgent; see
     # `Follower.set_urgent`.
-    idle_list_batch_delay_seconds: float = 0.15
+    idle_replicas_batch_delay_seconds: float = 0.15
     # Topics that are watched, and topics that are listed on demand only.
     watched: tuple[Topic, ...] = (Topic.CONTROL, Topic.REPLICAS)
     listed: tuple[Topic, ...] = ()
@@ -89,7 +89,9 @@
         """Return the pause after a change of a topic, in seconds."""
         if topic is not Topic.REPLICAS:
             return self.batch_delay_seconds
-        return self.list_batch_delay_seconds if urgent else self.idle_list_batch_delay_seconds
+        return (
+            self.replicas_batch_delay_seconds if urgent else self.idle_replicas_batch_delay_seconds
+        )
 
     def pause_after(self, failures: int) -> float:
         """Return the pause in seconds after a failed call that `failures` others preceded."""
@@ -111,7 +113,7 @@
 MIN_WATCH_SECONDS: Final = 0.5
 # Pauses after a change as shares of the bounds. Each process makes one call after every pause.
 BATCH_DELAY_SHARE: Final = 0.075
-LIST_BATCH_DELAY_SHARE: Final = 0.1
+REPLICAS_BATCH_DELAY_SHARE: Final = 0.1
 # Replicas' daemons answer no callers, so none of the bounds applies to them. A late change delays
 # new weights; but each of their calls costs the store as much as an entry's, and there are many
 # more daemons than entries. The length of their watches is the sum of `reached` and the shorter
@@ -121,8 +123,8 @@
 DAEMON_ANSWER_SECONDS: Final = 1.5
 VERSIONS_WATCH_FACTOR: Final = 1.4
 REPLICAS_WATCH_FACTOR: Final = 2.4
-DAEMON_LIST_BATCH_DELAY_SECONDS: Final = 0.8
-DAEMON_IDLE_LIST_BATCH_DELAY_SECONDS: Final = 5.0
+DAEMON_REPLICAS_BATCH_DELAY_SECONDS: Final = 0.8
+DAEMON_IDLE_REPLICAS_BATCH_DELAY_SECONDS: Final = 5.0
 
 
 def entry_polling(bounds: FactBounds) -> PollingSettings:
@@ -145,8 +147,8 @@
         lost_watch=WatchLimits(LOST_WAIT_SECONDS, LOST_ANSWER_SECONDS),
         max_retry_seconds=LOST_MAX_RETRY_SECONDS,
         batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
-        list_batch_delay_seconds=LIST_BATCH_DELAY_SHARE * bounds.leaving,
-        idle_list_batch_delay_seconds=LIST_BATCH_DELAY_SHARE * bounds.leaving,
+        replicas_batch_delay_seconds=REPLICAS_BATCH_DELAY_SHARE * bounds.leaving,
+        idle_replicas_batch_delay_seconds=REPLICAS_BATCH_DELAY_SHARE * bounds.leaving,
     )
 
 
@@ -158,8 +160,8 @@
         watch=WatchLimits(VERSIONS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
         replicas_watch=WatchLimits(REPLICAS_WATCH_FACTOR * wait, DAEMON_ANSWER_SECONDS),
         batch_delay_seconds=BATCH_DELAY_SHARE * bounds.configuration,
-        list_batch_delay_seconds=DAEMON_LIST_BATCH_DELAY_SECONDS,
-        idle_list_batch_delay_seconds=DAEMON_IDLE_LIST_BATCH_DELAY_SECONDS,
+        replicas_batch_delay_seconds=DAEMON_REPLICAS_BATCH_DELAY_SECONDS,
+        idle_replicas_batch_delay_seconds=DAEMON_IDLE_REPLICAS_BATCH_DELAY_SECONDS,
         watched=(Topic.VERSIONS, Topic.REPLICAS),
         listed=(Topic.CONTROL,),
     )
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -359,12 +359,12 @@
         nursery.start_soon(follower.run)
         await trio.sleep(20)
         idle_watches = store.watches
-        assert idle_watches <= 20 / polling.idle_list_batch_delay_seconds + 1
+        assert idle_watches <= 20 / polling.idle_replicas_batch_delay_seconds + 1
         follower.set_urgent(Topic.REPLICAS, urgent=True)
-        await trio.sleep(polling.list_batch_delay_seconds / 2)
+        await trio.sleep(polling.replicas_batch_delay_seconds / 2)
         assert store.watches == idle_watches + 1  # the pause ends at once
         await trio.sleep(20)
-        assert store.watches >= idle_watches + 20 / polling.list_batch_delay_seconds
+        assert store.watches >= idle_watches + 20 / polling.replicas_batch_delay_seconds
         nursery.cancel_scope.cancel()
 
 
@@ -382,7 +382,7 @@
         )
     assert (
         polling.batch_delay_seconds < configuration / 4
-        and polling.list_batch_delay_seconds < leaving / 4
+        and polling.replicas_batch_delay_seconds < leaving / 4
     )
 
 
