--- a/libs/renewal/src/headcross_renewal/fetching.py
+++ b/libs/renewal/src/headcross_renewal/fetching.py
@@ -86,7 +86,7 @@
             await trio.sleep(ADMIT_RETRY_SECONDS)
 
     async def admit_secondary(self, goal: LoadedModel) -> StoredArtifact | None:
-        """Return the store's artifact for a version besides the goal; None if memory is short."""
+        """Return the artifact of a version other than the goal; None if memory is short."""
         manifest, body, digest = manifest_of(await self._digests.obtain(goal))
         self._store.pin(f"{self._location.host} beside", {digest})
         admitted = self._store.admit(digest, manifest, body)
@@ -137,20 +137,23 @@
     def _hosts(self) -> HostList:
         location = self._location
         return swarm_hosts(
-            self._loading.peers(), self._mirrors.known(), location.region_of_zone, location.ports
+            self._loading.service_replicas(),
+            self._mirrors.known(),
+            location.region_of_zone,
+            location.ports,
         )
 
     def _participants(self, goal: LoadedModel) -> list[str]:
         """Return the hosts that take part in the transfer of a version.
 
-        Once other replicas hold the version, these are the only ones, so that the origin need not
-        send it again.
+        Once other replicas have loaded the version, only their hosts take part, so that the origin
+        does not send it again.
         """
-        holders = [r.address.ip for r in self._loading.peers() if has_loaded(r, goal)]
+        holders = [r.address.ip for r in self._loading.service_replicas() if has_loaded(r, goal)]
         others = [ip for ip in holders if ip != self._location.host]
         if others:
             return others
         return [
-            *(replica.address.ip for replica in self._loading.peers()),
+            *(replica.address.ip for replica in self._loading.service_replicas()),
             *(mirror.ip for mirror in self._mirrors.known()),
         ]
--- a/libs/renewal/src/headcross_renewal/loading.py
+++ b/libs/renewal/src/headcross_renewal/loading.py
@@ -23,14 +23,15 @@
 from headcross_renewal.versionchoice import SEND_MARGIN_SECONDS, serves_until
 
 TURN_CHECK_SECONDS: Final = 0.05
+# The last group's latest start after this process's start, for a version named before it.
 LAST_TURN_AT_START_SECONDS: Final = 2.0
 # Streams are interrupted only if at least this share of the replicas still serves their version
 # and loads later.
 MIN_LATER_SHARE: Final = 0.2
-# Requests are diverted for at most this long before an order that interrupts the running ones. The
-# first group diverts them once it has fetched this share of the version.
+# Requests are diverted for at most this long before an order that interrupts the running ones.
 DRAIN_SECONDS: Final = 0.4
 DRAIN_CHECK_SECONDS: Final = 0.03
+# The first group diverts requests once it has fetched this share of the version.
 DRAIN_PROGRESS: Final = 0.9
 # If the rest of the transfer takes longer than this, the replica accepts requests again.
 DRAIN_AHEAD_SECONDS: Final = 1.2
@@ -62,23 +63,28 @@
         self._orders = orders
         self._bound = bound_seconds
 
-    def peers(self) -> list[Replica]:
+    def service_replicas(self) -> list[Replica]:
         """Return the listed replicas of the service, including this daemon's."""
         return [r for r in self._facts.replicas.values() if r.service == self._service]
 
     def serves_until(self, model: str, version: int) -> float:
-        """Return until when (monotonic) a version gets requests, by the versions named so far."""
+        """Return until when (monotonic) a version gets requests, given the known notices."""
         return serves_until(version, self._facts.versions.get(model, []), self._bound)
 
     async def drain_ahead(self, goal: LoadedModel, stored: StoredArtifact) -> None:
-        """Divert requests shortly before the transfer ends if this replica's group is first."""
+        """Divert requests shortly before the transfer ends if this replica's group loads first.
+
+        Accepts requests again if the transfer takes longer than `DRAIN_AHEAD_SECONDS` from then.
+        """
         await poll_until(lambda: stored.progress >= DRAIN_PROGRESS)
         report = self._reporter.report
-        peers = self.peers()
-        spared = sum(bool(replica.loaded) for replica in peers) >= MIN_REPLICAS_TO_DRAIN_AHEAD
-        if report is None or not report.loaded or not spared:
+        replicas = self.service_replicas()
+        may_drain = (
+            sum(bool(replica.loaded) for replica in replicas) >= MIN_REPLICAS_TO_DRAIN_AHEAD
+        )
+        if report is None or not report.loaded or not may_drain:
             return
-        if group_of(self._address, goal, peers) != 0:
+        if group_of(self._address, goal, replicas) != 0:
             return
         self._reporter.divert_requests()
         await trio.sleep(DRAIN_AHEAD_SECONDS)
@@ -91,18 +97,18 @@
         if not self._reporter.report.loaded:
             return  # it gets no requests without loaded weights
         while True:
-            peers = self.peers()
-            group = group_of(self._address, goal, peers)
+            replicas = self.service_replicas()
+            group = group_of(self._address, goal, replicas)
             if group is None or monotonic() >= latest_start(group, self._last_group_start(goal)):
                 return
-            earlier = earlier_groups(group, goal, peers)
-            if all(has_loaded(r, goal) for r in peers if str(r.address) in earlier):
+            earlier = earlier_groups(group, goal, replicas)
+            if all(has_loaded(r, goal) for r in replicas if str(r.address) in earlier):
                 return
             await trio.sleep(TURN_CHECK_SECONDS)
 
     async def load(self, goal: LoadedModel, staging: Staging, stored: StoredArtifact) -> None:
         """Order the replica to load the staged version, and wait until it has."""
-        break_off = self._may_break_off(goal)
+        break_off = self._may_interrupt_streams(goal)
         if break_off:
             await self._drain(goal)
         try:
@@ -114,7 +120,7 @@
     async def _drain(self, goal: LoadedModel) -> None:
         """Divert new requests and give the running ones some time to end before the order."""
         self._reporter.divert_requests()
-        group = group_of(self._address, goal, self.peers()) or 0
+        group = group_of(self._address, goal, self.service_replicas()) or 0
         latest = latest_start(group, self._last_group_start(goal))
         until = min(monotonic() + DRAIN_SECONDS, latest)
         while monotonic() < until:
@@ -123,25 +129,25 @@
                 return
             await trio.sleep(DRAIN_CHECK_SECONDS)
 
-    def _may_break_off(self, goal: LoadedModel) -> bool:
+    def _may_interrupt_streams(self, goal: LoadedModel) -> bool:
         """Return whether the running streams can be resumed at replicas of their version.
 
         They can if enough replicas that load later still serve that version.
         """
-        peers = self.peers()
-        group = group_of(self._address, goal, peers)
+        replicas = self.service_replicas()
+        group = group_of(self._address, goal, replicas)
         if group is None:
             return False
-        not_later = earlier_groups(group + 1, goal, peers)
+        not_later = earlier_groups(group + 1, goal, replicas)
         later = [
             replica
-            for replica in peers
+            for replica in replicas
             if replica.loaded
             and not has_loaded(replica, goal)
             and not replica.draining
             and str(replica.address) not in not_later
         ]
-        return len(later) >= MIN_LATER_SHARE * len(peers)
+        return len(later) >= MIN_LATER_SHARE * len(replicas)
 
     def _last_group_start(self, goal: LoadedModel) -> float:
         """Return the latest time (monotonic) at which the last group may load."""
