--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -221,12 +221,12 @@
         entry = self._random.choice([each for each in self._entries if each.zone == zone])
         now = trio.current_time()
         returning = entry.overload.refused.was_refused(fingerprint, now)
-        entry.overload.note_request(SERVICE, returning=returning)
-        queue_last = entry.overload.queues_last(returning=returning)
+        entry.overload.note_request(SERVICE, is_caller_retry=returning)
+        queue_last = entry.overload.queues_last(is_caller_retry=returning)
         aim = kind.aim_seconds
         wait = entry.overload.wait_seconds(aim, any_serves=True)
         if returning:
-            wait = entry.overload.returning_wait_seconds(
+            wait = entry.overload.caller_retry_wait_seconds(
                 SERVICE, aim, seconds_left, any_serves=True
             )
         replica_state = await entry.admission.acquire_slot(
@@ -234,10 +234,10 @@
             self._configuration,
             QueueOrder(kind.priority, queue_last, now + seconds_left),
             now + wait,
-            returning=returning,
+            is_caller_retry=returning,
         )
         if replica_state is None:
-            entry.overload.note_refused(SERVICE, returning=returning)
+            entry.overload.note_refused(SERVICE, is_caller_retry=returning)
             if returning and now >= self._spec.warm_up_seconds:
                 self.tally.held_in_vain_seconds += trio.current_time() - now
             entry.overload.refused.note(fingerprint, trio.current_time())
--- a/libs/gateway/src/headcross_gateway/admission.py
+++ b/libs/gateway/src/headcross_gateway/admission.py
@@ -42,7 +42,7 @@
     configuration: Configuration = field(compare=False)
     assigned: trio.Event = field(compare=False, default_factory=trio.Event)
     replica_state: ReplicaState | None = field(compare=False, default=None)
-    returning: bool = field(compare=False, default=False)
+    is_caller_retry: bool = field(compare=False, default=False)
     done: bool = field(compare=False, default=False)
 
 
@@ -78,17 +78,17 @@
         order: QueueOrder,
         until: float,
         *,
-        returning: bool = False,
+        is_caller_retry: bool = False,
     ) -> ReplicaState | None:
         """Return a replica with a slot reserved on it, None if there is none by `until`.
 
-        Returns None at once if no replica accepts the request until then. `until` is on trio's
-        clock; `returning` is true if the caller was refused before. The slot must be released with
-        `release_slot`.
+        Returns None at once if no replica accepts the request before `until` (trio's clock).
+        `is_caller_retry` is true if the caller was refused before. The caller of this method must
+        release the slot with `release_slot`.
         """
         queue = self._queues.setdefault(requirements.service, [])
         if not queue:
-            replica_state = self._pick(requirements, configuration, returning)
+            replica_state = self._pick(requirements, configuration, is_caller_retry)
             if replica_state is not None:
                 replica_state.reserve_slot()
                 return replica_state
@@ -98,7 +98,9 @@
         if seconds_left < self.seconds_to_opening(requirements, configuration) < math.inf:
             return None
         number = next(self._numbers)
-        waiter = _Waiter(order, number, requirements, configuration, returning=returning)
+        waiter = _Waiter(
+            order, number, requirements, configuration, is_caller_retry=is_caller_retry
+        )
         bisect.insort(queue, waiter)
         self.notify(requirements.service)
         try:
@@ -133,16 +135,18 @@
         Called for each load report, 160 times a second, while hundreds of returning requests may
         wait: once one of them finds no room, the others are skipped.
         """
-        returning_blocked = False
+        caller_retries_blocked = False
         for waiter in list(self._queues.get(service, [])):
-            if waiter.done or (waiter.returning and returning_blocked):
+            if waiter.done or (waiter.is_caller_retry and caller_retries_blocked):
                 continue
-            replica_state = self._pick(waiter.requirements, waiter.configuration, waiter.returning)
+            replica_state = self._pick(
+                waiter.requirements, waiter.configuration, waiter.is_caller_retry
+            )
             if replica_state is None:
                 if waiter.requirements.is_particular:
                     continue
-                if waiter.returning:
-                    returning_blocked = True
+                if waiter.is_caller_retry:
+                    caller_retries_blocked = True
                     continue
                 break
             replica_state.reserve_slot()
@@ -152,9 +156,9 @@
         self._drop_done(service)
 
     def _pick(
-        self, requirements: Requirements, configuration: Configuration, returning: bool
+        self, requirements: Requirements, configuration: Configuration, is_caller_retry: bool
     ) -> ReplicaState | None:
-        reserved = self._reserved_share(requirements.service) if returning else 0.0
+        reserved = self._reserved_share(requirements.service) if is_caller_retry else 0.0
         return self._picker.pick(requirements, configuration, reserved)
 
     def _drop_done(self, service: str) -> None:
--- a/libs/gateway/src/headcross_gateway/admitted.py
+++ b/libs/gateway/src/headcross_gateway/admitted.py
@@ -36,7 +36,7 @@
     relay: StreamRelay | None
     # Identifies retries of the same request; None if the request does not state its prompt.
     fingerprint: int | None = None
-    returning: bool = False  # it was refused before
+    is_caller_retry: bool = False  # it was refused before
     tried: set[str] = field(default_factory=set)  # ids of replicas not to try again
     runs: int = 0  # replicas that may have run it
     refusals: int = 0  # replicas that received it and did not run it
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -10,7 +10,7 @@
 as the overload ends. The module does no I/O and reads no clock.
 
 In this module a retry is one of a caller, not of the entry. In names, `fresh` stands for first
-tries, `returning` for retries and `aim` for the target time.
+tries and `aim` for the target time.
 """
 
 import random
@@ -84,19 +84,19 @@
         self._returning = DemandMeter()
         self._answers = AnswerTimes()
 
-    def note_request(self, service: str, *, returning: bool) -> None:
+    def note_request(self, service: str, *, is_caller_retry: bool) -> None:
         """Count a request that arrived."""
         self._all.note(service)
-        (self._returning if returning else self._fresh).note(service)
+        (self._returning if is_caller_retry else self._fresh).note(service)
 
-    def note_refused(self, service: str, *, returning: bool, for_room: bool = True) -> None:
+    def note_refused(self, service: str, *, is_caller_retry: bool, for_room: bool = True) -> None:
         """Count a request that found no free slot.
 
         `for_room` is False if no replica may serve at all. Such a refusal does not count towards
         the reservation: otherwise retries after an outage would be refused for seconds.
         """
         self._all.note_refused(service)
-        if returning:
+        if is_caller_retry:
             self._returning.note_refused(service)
         elif for_room:
             self._fresh.note_refused(service)
@@ -113,9 +113,9 @@
         for meter in (self._all, self._fresh, self._returning):
             meter.measure(now)
 
-    def queues_last(self, *, returning: bool) -> bool:
+    def queues_last(self, *, is_caller_retry: bool) -> bool:
         """Return whether a request waits behind others of its priority."""
-        return returning and self.settings.fresh_first
+        return is_caller_retry and self.settings.fresh_first
 
     def reserved_share(self, service: str) -> float:
         """Return the share of a replica's slots that is reserved for first tries, 0 to 1.
@@ -135,7 +135,7 @@
         part = settings.wait_part if any_serves else settings.no_replica_wait_part
         return part * aim_seconds
 
-    def returning_wait_seconds(
+    def caller_retry_wait_seconds(
         self, service: str, aim_seconds: float, seconds_left: float, *, any_serves: bool
     ) -> float:
         """Return the seconds that a retry waits for a slot; its deadline is in `seconds_left`.
--- a/libs/gateway/src/headcross_gateway/requestlog.py
+++ b/libs/gateway/src/headcross_gateway/requestlog.py
@@ -105,7 +105,7 @@
     return {
         **times,
         "request": request.facts.id,
-        "returning": request.returning,
+        "returning": request.is_caller_retry,
         "route": request.route.name,
         "service": request.service,
         "version": request.configuration.version,
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -163,11 +163,11 @@
         relay = StreamRelay(exchange, facts.resume_after) if route.repetition.is_stream else None
         service = route.pick_service()
         fingerprint = _fingerprint_of(request, facts)
-        returning = fingerprint is not None and self._overload.refused.was_refused(
+        is_caller_retry = fingerprint is not None and self._overload.refused.was_refused(
             fingerprint, now
         )
         self.budget.earn(service)
-        self._overload.note_request(service, returning=returning)
+        self._overload.note_request(service, is_caller_retry=is_caller_retry)
         return Admitted(
             exchange,
             facts,
@@ -179,7 +179,7 @@
             now + seconds,
             relay,
             fingerprint,
-            returning,
+            is_caller_retry,
         )
 
     # Attempts.
@@ -201,7 +201,9 @@
                 opening = self._admission.seconds_to_opening(requirements, request.configuration)
                 if not request.runs:
                     self._overload.note_refused(
-                        request.service, returning=request.returning, for_room=opening < math.inf
+                        request.service,
+                        is_caller_retry=request.is_caller_retry,
+                        for_room=opening < math.inf,
                     )
                 return self._final_refusal(request, self._no_room_refusal(request, last, opening))
             if self._containment.refusal_of(request) is not None:
@@ -269,7 +271,7 @@
 
     def _no_room_detail(self, request: Admitted) -> str:
         reserved = self._overload.reserved_share(request.service)
-        if not request.returning or not reserved:
+        if not request.is_caller_retry or not reserved:
             return "no replica has room"
         return f"no replica has room beside {reserved:.2f} of the places, kept for first tries"
 
@@ -278,10 +280,10 @@
     ) -> ReplicaState | None:
         now = trio.current_time()
         priority = request.priority
-        returning = request.returning and not request.tried
+        is_caller_retry = request.is_caller_retry and not request.tried
         opening = self._admission.seconds_to_opening(requirements, request.configuration)
         any_serves = opening < math.inf
-        wait = self._wait_seconds(request, returning, any_serves)
+        wait = self._wait_seconds(request, is_caller_retry, any_serves)
         if request.tried:
             # It may have run: without a slot it fails for good, so it goes first.
             until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
@@ -290,17 +292,17 @@
         else:
             until = request.arrived_at + wait
         until = min(until, request.deadline)
-        last = self._overload.queues_last(returning=returning)
+        last = self._overload.queues_last(is_caller_retry=is_caller_retry)
         order = QueueOrder(priority, last, request.deadline)
         return await self._admission.acquire_slot(
-            requirements, request.configuration, order, until, returning=returning
+            requirements, request.configuration, order, until, is_caller_retry=is_caller_retry
         )
 
-    def _wait_seconds(self, request: Admitted, returning: bool, any_serves: bool) -> float:
+    def _wait_seconds(self, request: Admitted, is_caller_retry: bool, any_serves: bool) -> float:
         aim = request.route.aim_seconds
-        if not returning:
+        if not is_caller_retry:
             return self._overload.wait_seconds(aim, any_serves=any_serves)
-        return self._overload.returning_wait_seconds(
+        return self._overload.caller_retry_wait_seconds(
             request.service, aim, request.remaining, any_serves=any_serves
         )
 
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -294,9 +294,9 @@
     waits = []
     for refused in (0, 5, 10):
         for _ in range(10):
-            overload.note_request("lm", returning=False)
+            overload.note_request("lm", is_caller_retry=False)
         for _ in range(refused):
-            overload.note_refused("lm", returning=False)
+            overload.note_refused("lm", is_caller_retry=False)
         now += 100.0  # earlier refusals no longer count
         overload.measure(now)
         waits.append([overload.retry_after_seconds("lm") for _ in range(200)])
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -121,12 +121,12 @@
     # One second each: no refusal, a few, most; then only caller retries are refused.
     for refused_fresh, refused_returning in ((0, 0), (2, 0), (60, 0), (0, 20), (0, 20), (0, 20)):
         for number in range(100):
-            overload.note_request("lm", returning=False)
+            overload.note_request("lm", is_caller_retry=False)
             if number < refused_fresh:
-                overload.note_refused("lm", returning=False)
+                overload.note_refused("lm", is_caller_retry=False)
         for _ in range(refused_returning):
-            overload.note_request("lm", returning=True)
-            overload.note_refused("lm", returning=True)
+            overload.note_request("lm", is_caller_retry=True)
+            overload.note_refused("lm", is_caller_retry=True)
         now += 1.0
         overload.measure(now)
         reserved.append(overload.reserved_share("lm"))
@@ -160,12 +160,12 @@
     overload.measure(0.0)
     overload.note_answer("lm", 1.2)
     for number in range(100):
-        overload.note_request("lm", returning=True)
+        overload.note_request("lm", is_caller_retry=True)
         if number < refused:
-            overload.note_refused("lm", returning=True)
+            overload.note_refused("lm", is_caller_retry=True)
     overload.measure(100.0)
     assert overload.wait_seconds(0.4, any_serves=True) == pytest.approx(0.04)
-    wait = overload.returning_wait_seconds("lm", 0.4, seconds_left, any_serves=True)
+    wait = overload.caller_retry_wait_seconds("lm", 0.4, seconds_left, any_serves=True)
     assert wait == pytest.approx(waited)
 
 
@@ -194,7 +194,7 @@
     async def wait(name: str, priority: int, returning: bool, until: float) -> None:
         queue_order = QueueOrder(priority, returning, 9.0)
         place = await admission.acquire_slot(
-            REQUIREMENTS, CONFIGURATION, queue_order, until, returning=returning
+            REQUIREMENTS, CONFIGURATION, queue_order, until, is_caller_retry=returning
         )
         order.append(name if place is not None else f"{name} refused")
         if place is not None:
@@ -242,7 +242,7 @@
 
     async def wait() -> None:
         order = QueueOrder(1, True, 9.0)
-        await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, order, 5.0, returning=True)
+        await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, order, 5.0, is_caller_retry=True)
 
     async with trio.open_nursery() as nursery:
         for _ in range(100):
