--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -224,10 +224,10 @@
         entry.overload.note_request(SERVICE, is_caller_retry=returning)
         queue_last = entry.overload.queues_last(is_caller_retry=returning)
         aim = kind.aim_seconds
-        wait = entry.overload.wait_seconds(aim, any_serves=True)
+        wait = entry.overload.wait_seconds(aim, has_serving_replica=True)
         if returning:
             wait = entry.overload.caller_retry_wait_seconds(
-                SERVICE, aim, seconds_left, any_serves=True
+                SERVICE, aim, seconds_left, has_serving_replica=True
             )
         replica_state = await entry.admission.acquire_slot(
             Requirements(SERVICE, MODEL, None, (), True),
--- a/libs/gateway/src/headcross_gateway/overload.py
+++ b/libs/gateway/src/headcross_gateway/overload.py
@@ -89,16 +89,19 @@
         self._all.note(service)
         (self._returning if is_caller_retry else self._fresh).note(service)
 
-    def note_refused(self, service: str, *, is_caller_retry: bool, for_room: bool = True) -> None:
+    def note_refused(
+        self, service: str, *, is_caller_retry: bool, has_serving_replica: bool = True
+    ) -> None:
         """Count a request that found no free slot.
 
-        `for_room` is False if no replica may serve at all. Such a refusal does not count towards
-        the reservation: otherwise retries after an outage would be refused for seconds.
+        `has_serving_replica` is whether any replica, full or not, may serve it. A refusal for lack
+        of such a replica does not raise the reserved share: otherwise retries after an outage
+        would be refused for seconds.
         """
         self._all.note_refused(service)
         if is_caller_retry:
             self._returning.note_refused(service)
-        elif for_room:
+        elif has_serving_replica:
             self._fresh.note_refused(service)
 
     def note_answer(self, service: str, seconds: float) -> None:
@@ -126,17 +129,17 @@
         reserved = refused / self.settings.full_reservation_share
         return min(1.0, max(self.settings.least_reserved_share, reserved))
 
-    def wait_seconds(self, aim_seconds: float, *, any_serves: bool) -> float:
+    def wait_seconds(self, aim_seconds: float, *, has_serving_replica: bool) -> float:
         """Return the seconds that a first try waits for a slot, from its arrival or last refusal.
 
-        `any_serves` is whether any replica, full or not, may serve it now.
+        `has_serving_replica` is whether any replica, full or not, may serve it now.
         """
         settings = self.settings
-        part = settings.wait_part if any_serves else settings.no_replica_wait_part
+        part = settings.wait_part if has_serving_replica else settings.no_replica_wait_part
         return part * aim_seconds
 
     def caller_retry_wait_seconds(
-        self, service: str, aim_seconds: float, seconds_left: float, *, any_serves: bool
+        self, service: str, aim_seconds: float, seconds_left: float, *, has_serving_replica: bool
     ) -> float:
         """Return the seconds that a retry waits for a slot; its deadline is in `seconds_left`.
 
@@ -144,7 +147,7 @@
         vain: under lasting overload most would be refused after it, and streams that begin too
         late break off at their callers' deadlines.
         """
-        wait = self.wait_seconds(aim_seconds, any_serves=any_serves)
+        wait = self.wait_seconds(aim_seconds, has_serving_replica=has_serving_replica)
         if self._returning.refused_share(service) > MAX_REFUSED_SHARE:
             return wait
         spare = seconds_left - ANSWER_TIMES_LEFT * self._answers.mean(service)
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -203,7 +203,7 @@
                     self._overload.note_refused(
                         request.service,
                         is_caller_retry=request.is_caller_retry,
-                        for_room=opening < math.inf,
+                        has_serving_replica=opening < math.inf,
                     )
                 return self._final_refusal(request, self._no_room_refusal(request, last, opening))
             if self._containment.refusal_of(request) is not None:
@@ -282,8 +282,8 @@
         priority = request.priority
         is_caller_retry = request.is_caller_retry and not request.tried
         opening = self._admission.seconds_to_opening(requirements, request.configuration)
-        any_serves = opening < math.inf
-        wait = self._wait_seconds(request, is_caller_retry, any_serves)
+        has_serving_replica = opening < math.inf
+        wait = self._wait_seconds(request, is_caller_retry, has_serving_replica)
         if request.tried:
             # It may have run: without a slot it fails for good, so it goes first.
             until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
@@ -298,12 +298,14 @@
             requirements, request.configuration, order, until, is_caller_retry=is_caller_retry
         )
 
-    def _wait_seconds(self, request: Admitted, is_caller_retry: bool, any_serves: bool) -> float:
+    def _wait_seconds(
+        self, request: Admitted, is_caller_retry: bool, has_serving_replica: bool
+    ) -> float:
         aim = request.route.aim_seconds
         if not is_caller_retry:
-            return self._overload.wait_seconds(aim, any_serves=any_serves)
+            return self._overload.wait_seconds(aim, has_serving_replica=has_serving_replica)
         return self._overload.caller_retry_wait_seconds(
-            request.service, aim, request.remaining, any_serves=any_serves
+            request.service, aim, request.remaining, has_serving_replica=has_serving_replica
         )
 
     def _weights_of(self, request: Admitted, replica_state: ReplicaState) -> AttemptWeights:
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -164,16 +164,16 @@
         if number < refused:
             overload.note_refused("lm", is_caller_retry=True)
     overload.measure(100.0)
-    assert overload.wait_seconds(0.4, any_serves=True) == pytest.approx(0.04)
-    wait = overload.caller_retry_wait_seconds("lm", 0.4, seconds_left, any_serves=True)
+    assert overload.wait_seconds(0.4, has_serving_replica=True) == pytest.approx(0.04)
+    wait = overload.caller_retry_wait_seconds("lm", 0.4, seconds_left, has_serving_replica=True)
     assert wait == pytest.approx(waited)
 
 
 def test_a_request_waits_while_all_replicas_load_for_a_moment() -> None:
     """A stream to be answered in 0.5 s was refused after 0.056 s; a replica served at 0.094 s."""
     overload = Overload()
-    assert overload.wait_seconds(0.5, any_serves=False) > 0.1
-    assert overload.wait_seconds(0.5, any_serves=True) < 0.06
+    assert overload.wait_seconds(0.5, has_serving_replica=False) > 0.1
+    assert overload.wait_seconds(0.5, has_serving_replica=True) < 0.06
 
 
 def test_under_lasting_overload_few_callers_wait_before_a_refusal() -> None:
