--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -67,7 +67,7 @@
         for replica in listed.values():
             state = self._states.get(replica.id)
             if state is not None and replica.incarnation.is_other_than(state.replica.incarnation):
-                state.gone = True
+                state.replaced_or_unlisted = True
                 begun.append(replica.address)
                 logger.info("incarnation begun", extra=_change_of(state.replica, replica))
                 state = None
@@ -85,7 +85,7 @@
     def _drop(self, replica_id: str) -> None:
         """Remove a replica that is no longer listed."""
         state = self._states.pop(replica_id)
-        state.gone = True
+        state.replaced_or_unlisted = True
         fields = {"draining": state.is_leaving(), "in_flight": state.in_flight}
         logger.info("replica not listed", extra={"replica": replica_id, **fields})
 
--- a/libs/gateway/src/headcross_gateway/losswatch.py
+++ b/libs/gateway/src/headcross_gateway/losswatch.py
@@ -172,7 +172,7 @@
 def _was_not_lost(attempts: list[OpenAttempt]) -> bool:
     """Return whether a replica left as announced, or ran after the last lost attempt."""
     state = attempts[0].state
-    if state.gone and state.is_leaving():
+    if state.replaced_or_unlisted and state.is_leaving():
         return True
     lost = [a.ended_at for a in attempts if a.was_lost and a.ended_at is not None]
     return bool(lost) and _is_alive_since(state, max(lost) + LIVENESS_MARGIN_SECONDS)
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -78,8 +78,8 @@
     # It is excluded from the subset until then, because it or its daemon did not answer
     # (monotonic).
     excluded_until: float = 0.0
-    # Another incarnation has replaced it, or it is no longer listed: this one does not come back.
-    gone: bool = False
+    # Whether another incarnation has replaced it or it is no longer listed. Neither is reverted.
+    replaced_or_unlisted: bool = False
     # Its list entry lapsed around an outage of the store; it is used until then at most
     # (monotonic).
     lapsed_until: float | None = None
@@ -178,7 +178,7 @@
             case CompleteAnswer() | Streamed():
                 self.health.note_success()
             case DidNotRun(elsewhere=True) if not bound:
-                self.gone = True
+                self.replaced_or_unlisted = True
             case DidNotRun(elsewhere=True) if self.is_report_late():
                 self.backoff_until = monotonic() + OTHER_VERSION_BACKOFF_SECONDS
             case DidNotRun(unproven=True):
@@ -226,8 +226,8 @@
 
     def is_gone(self) -> bool:
         """Return whether no requests may be sent to this incarnation any more."""
-        if self.gone or self.lapsed_until is None:
-            return self.gone
+        if self.replaced_or_unlisted or self.lapsed_until is None:
+            return self.replaced_or_unlisted
         if monotonic() >= self.lapsed_until:
             return True
         if self.last_report is None:
@@ -258,7 +258,7 @@
         """Return whether it is known to have ended without announcing it."""
         if self.is_leaving():
             return False
-        if self.gone or self.has_conflicting_incarnations():
+        if self.replaced_or_unlisted or self.has_conflicting_incarnations():
             return True
         since = self.out_of_reach_since
         if since is None or self.fresh_load() is None:
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -101,7 +101,7 @@
         for revision in (7, 8, 9):  # rewritten with every heartbeat
             facts.take_changes(Topic.REPLICAS, Changes((item("i-1", revision, value),), revision))
     directory.update()
-    assert set(facts.replicas) == {"i-2"} and before.gone
+    assert set(facts.replicas) == {"i-2"} and before.replaced_or_unlisted
     assert [state.replica.id for state in directory.serving("lm")] == ["i-2"]
     assert set(facts.overwritten) == {"i-1"}
     lines = [r for r in caplog.records if r.message == "fact rejected"]
@@ -109,7 +109,7 @@
     facts.take_changes(Topic.REPLICAS, Changes((item("i-1", 10, list_entry()),), 10))
     directory.update()
     assert set(facts.replicas) == {"i-1", "i-2"} and not facts.overwritten
-    assert not directory.serving("lm")[0].gone
+    assert not directory.serving("lm")[0].replaced_or_unlisted
 
 
 def test_an_unknown_field_is_ignored() -> None:
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -82,7 +82,7 @@
     facts.replicas[FIRST.id] = SECOND
     assert directory.update() == [FIRST.address]
     after = only_state(directory)
-    assert before.gone and not after.gone
+    assert before.replaced_or_unlisted and not after.replaced_or_unlisted
     assert (after.in_flight, after.last_report, after.health.failures) == (0, None, 0)
     assert after.waits.expected() == 0 and after.version_of("m") is None
     assert directory.update() == []
--- a/tests/test_loss_watch.py
+++ b/tests/test_loss_watch.py
@@ -140,7 +140,7 @@
     site: Site, outcome: Outcome | None
 ) -> None:
     site.attempt(outcome)
-    site.state.gone = True
+    site.state.replaced_or_unlisted = True
     site.pass_time(3.0)
     assert site.losses() == [True]
 
@@ -161,7 +161,7 @@
     site.attempt(SILENT)
     listed = site.state.replica
     site.state.replica = Replica("i-1", "lm", listed.address, "z0", 8, True, listed.loaded)
-    site.state.gone = True
+    site.state.replaced_or_unlisted = True
     site.pass_time(1.0)
     assert not site.losses()
 
@@ -171,7 +171,7 @@
 ) -> None:
     request = StubRequest()
     attempt = site.watch.begin(cast(Admitted, request), site.state, AttemptTimes())
-    site.state.gone = True
+    site.state.replaced_or_unlisted = True
     site.pass_time(0.2)
     assert site.losses() == [True]
     assert site.watch.count_under_way(request.identity) == 1
