--- a/libs/daemon/src/headcross_daemon/gatewayrole.py
+++ b/libs/daemon/src/headcross_daemon/gatewayrole.py
@@ -211,7 +211,7 @@
                     "draining": state.replica.draining,
                     "leaving": state.backpressure.leaving,
                     "between_lives": state.has_conflicting_incarnations(),
-                    "loads": state.loads.dump(),
+                    "loads": state.confirmed_loads.dump(),
                     "resting": state.health.is_ejected(),
                     "seconds_to_next": round(state.seconds_to_next(), 3),
                     "in_subset": state.in_subset,
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -77,7 +77,7 @@
                 state.replica = replica
                 if state.last_report is None:
                     state.own_share = 1 / self.entries
-                state.loads.note_held(replica.loaded, monotonic())
+                state.confirmed_loads.note_held(replica.loaded, monotonic())
                 state.lapsed_until = None
         self._index()
         return begun
@@ -127,7 +127,7 @@
         """Return the versions that the replica at an IP address loaded in the last `seconds`."""
         now = monotonic()
         state = self._by_ip.get(ip)
-        first_seen_at = state.loads.first_seen_at if state is not None else {}
+        first_seen_at = state.confirmed_loads.first_seen_at if state is not None else {}
         return [
             LoadedVersionNews(load.model, load.version, round(now - at, 3))
             for load, at in first_seen_at.items()
@@ -156,7 +156,7 @@
         chosen = choose_subset(self._host, self._zone, replicas, lambda r: r.id in usable)
         for state in states:
             if state.in_subset and state.replica.id not in chosen and state.is_responsive():
-                state.loads.rely_on_list()
+                state.confirmed_loads.rely_on_list()
             state.in_subset = state.replica.id in chosen
         self._subset_share = len(chosen) / len(states) if states else 1.0
 
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -86,12 +86,12 @@
     # Since when its daemon has not reached it (monotonic); None while it reaches it.
     out_of_reach_since: float | None = None
     # Which of its versions are confirmed to be loaded completely.
-    loads: ConfirmedLoads = field(init=False)
+    confirmed_loads: ConfirmedLoads = field(init=False)
     # The backpressure that its answers signal to this entry.
     backpressure: Backpressure = field(init=False)
 
     def __post_init__(self) -> None:
-        self.loads = ConfirmedLoads(self.replica.loaded)
+        self.confirmed_loads = ConfirmedLoads(self.replica.loaded)
         self.backpressure = Backpressure(self.replica.id)
 
     def report_age(self) -> float:
@@ -245,8 +245,10 @@
             return
         if load.ends:
             self.backpressure.leave("daemon")
-        if self.loads.record_report(load, self.last_report.at):
-            logger.info("load judged", extra={"replica": self.replica.id, **self.loads.dump()})
+        if self.confirmed_loads.record_report(load, self.last_report.at):
+            logger.info(
+                "load judged", extra={"replica": self.replica.id, **self.confirmed_loads.dump()}
+            )
 
     def _log_reachable(self, load: ReplicaLoad) -> None:
         """Log a change of whether its daemon reaches it, with this entry's requests there."""
@@ -295,7 +297,7 @@
     def version_of(self, model: str) -> int | None:
         """Return the version of a model that it may serve, None if there is none."""
         held = self.held_version(model)
-        return held if held is not None and self.loads.may_serve(model, held) else None
+        return held if held is not None and self.confirmed_loads.may_serve(model, held) else None
 
     def version_to_expect(self, model: str) -> int | None:
         """Return the version that a request must require explicitly, None if it need not.
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -218,7 +218,7 @@
     state = replica_state()
     state.record_report(load_of(1), 1)
     state.record_report(load_of(2, confirmed=2, started_ms=8), 1)
-    assert not state.loads.may_serve("m", 2)
+    assert not state.confirmed_loads.may_serve("m", 2)
 
 
 def test_requests_name_the_expected_version_while_a_daemon_is_silent() -> None:
