--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -164,11 +164,12 @@
         listed = self.replica
         return bool(listed.loaded) and not self.is_leaving() and now >= self.excluded_until
 
-    def record_outcome(self, outcome: Outcome, *, bound: bool) -> None:
-        """Update the state by the outcome of an attempt.
+    def record_outcome(self, outcome: Outcome, *, version_required: bool) -> None:
+        """Update the state according to the outcome of an attempt.
 
-        `bound` is true if the request required one version, as a resumed stream does: a refusal
-        for the version does not mean that another incarnation answered.
+        `version_required` is true if the request required a certain version, as a resumed stream
+        does. A refusal may then be due to the version, so it does not show that another
+        incarnation answered.
         """
         match outcome:
             case DidNotRun(withdrawn=True) | MayRun(withdrawn=True):
@@ -177,7 +178,7 @@
                 self.health.note_failure(certain=False)
             case CompleteAnswer() | Streamed():
                 self.health.note_success()
-            case DidNotRun(elsewhere=True) if not bound:
+            case DidNotRun(elsewhere=True) if not version_required:
                 self.replaced_or_unlisted = True
             case DidNotRun(elsewhere=True) if self.is_report_late():
                 self.backoff_until = monotonic() + OTHER_VERSION_BACKOFF_SECONDS
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -217,7 +217,7 @@
                 outcome = await self._attempt(request, replica_state, expected_version, times)
             finally:
                 self._admission.release_slot(replica_state)
-            replica_state.record_outcome(outcome, bound=expected_version is not None)
+            replica_state.record_outcome(outcome, version_required=expected_version is not None)
             log_attempt(request, replica_state, outcome, weights, times)
             if isinstance(outcome, CompleteAnswer | Streamed):
                 seconds = trio.current_time() - assigned_at
--- a/tests/test_gateway_linkproofs.py
+++ b/tests/test_gateway_linkproofs.py
@@ -104,7 +104,7 @@
 def test_a_replica_whose_link_is_not_proven_is_ejected_after_the_second_time() -> None:
     replica_state = model_replica_state("replica", 1, 0)
     unproven = DidNotRun(UNREACHED, "", arrived=False, unproven=True)
-    replica_state.record_outcome(unproven, bound=False)
+    replica_state.record_outcome(unproven, version_required=False)
     assert not replica_state.health.is_ejected() and replica_state.health.silent_age() < 1.0
-    replica_state.record_outcome(unproven, bound=False)
+    replica_state.record_outcome(unproven, version_required=False)
     assert replica_state.health.is_ejected()
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -158,7 +158,7 @@
     outcome, connection = await make_attempt(unbegun, replica, float("inf"), monkeypatch)
     assert isinstance(outcome, DidNotRun) and not outcome.arrived
     assert not connection.sent
-    replica.record_outcome(outcome, bound=False)
+    replica.record_outcome(outcome, version_required=False)
     assert not replica.health.failures and not replica.health.is_ejected()
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -75,7 +75,9 @@
     facts, directory = make_directory(FIRST)
     directory.record_report(load_of(FIRST, m=3))
     before = only_state(directory)
-    before.record_outcome(DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), bound=False)
+    before.record_outcome(
+        DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), version_required=False
+    )
     before.reserve_slot()
     before.health.note_failure(certain=True)
     before.waits._note(9.0)
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -78,7 +78,7 @@
     limits = CallerLimits(1, 1, 1.0, 1.0)
     configuration = Configuration(1, (), {"api": Service("api", 1)}, (), limits)
     *_, answering = directory.states()
-    answering.record_outcome(Streamed(), bound=False)
+    answering.record_outcome(Streamed(), version_required=False)
     second = Requirements("api", None, None, ("r0",), True)
     for _ in range(20):
         assert picker.pick(second, configuration) is answering
