--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -228,7 +228,7 @@
                 request.tried.add(replica_state.replica.id)
             match outcome:
                 case CompleteAnswer():
-                    if not self._retries.should_retry_failure(request, outcome):
+                    if not self._retries.take_retry_after_failure(request, outcome):
                         return await self._forward_complete(request, outcome)
                     request.failed_answer = outcome
                 case Streamed():
@@ -237,7 +237,7 @@
                     last = self._stronger_refusal(
                         last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
                     )
-                    if not self._retries.may_continue_after_refusal(request, outcome):
+                    if not self._retries.take_retry_after_refusal(request, outcome):
                         opening = self._admission.seconds_to_opening(
                             requirements, request.configuration
                         )
@@ -246,7 +246,7 @@
                         )
                 case MayRun(reason=reason, detail=detail):
                     last = MayHaveRun(reason, detail)
-                    if not self._retries.may_run_again(request):
+                    if not self._retries.take_retry_to_rerun(request):
                         return self._final_refusal(request, last)
 
     def _no_room_refusal(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -77,11 +77,11 @@
         request.retry_paid = self._budget.spend(request.service)
         return request.retry_paid
 
-    def should_retry_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
+    def take_retry_after_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
         """Return whether a failure answered by a replica is retried; takes the retry."""
-        return outcome.failed and self.may_run_again(request)
+        return outcome.failed and self.take_retry_to_rerun(request)
 
-    def may_run_again(self, request: Admitted) -> bool:
+    def take_retry_to_rerun(self, request: Admitted) -> bool:
         """Return whether a request that may have run may be sent again; takes the retry."""
         if not request.route.repetition.may_run_again:
             return False
@@ -93,7 +93,7 @@
             return True
         return self._containment.is_clear(request) and self._budget.spend(request.service)
 
-    def may_continue_after_refusal(self, request: Admitted, outcome: DidNotRun) -> bool:
+    def take_retry_after_refusal(self, request: Admitted, outcome: DidNotRun) -> bool:
         """Return whether a request that did not run is sent elsewhere.
 
         If it arrived at the replica, this takes a retry.
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -50,7 +50,7 @@
 def may_run_again(request: StubRequest) -> bool:
     budget = RetryBudget(ratio=1.0, slack=100.0)
     retries = Retries(cast(Admission, None), budget, cast(Containment, StubContainment()))
-    return retries.may_run_again(cast(Admitted, request))
+    return retries.take_retry_to_rerun(cast(Admitted, request))
 
 
 def test_a_request_that_left_a_silent_replica_runs_again_although_it_is_suspect() -> None:
