--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -79,14 +79,14 @@
     sent_at: float | None = None  # the whole request had been written
     began_at: float | None = None  # the first piece of the answer's body had been received
     # Cancels the attempt; set while it may be withdrawn.
-    unbegun: trio.CancelScope | None = None
-    ends_replicas: bool = False  # it was withdrawn because its request ends replicas
+    withdrawal_scope: trio.CancelScope | None = None
+    request_barred: bool = False  # it was withdrawn because its request ends replicas
 
     def withdraw(self) -> None:
         """Cancel the attempt if its answer has not begun."""
-        if self.unbegun is not None:
-            self.ends_replicas = True
-            self.unbegun.cancel()
+        if self.withdrawal_scope is not None:
+            self.request_barred = True
+            self.withdrawal_scope.cancel()
 
 
 @dataclass(frozen=True, slots=True)
@@ -135,7 +135,7 @@
         outcome: Outcome
         try:
             with self._unbegun.waiting(facts.model, replica_state) as waiting:
-                times.unbegun = waiting
+                times.withdrawal_scope = waiting
                 assigned_at = trio.current_time()
                 connection = await self.connections.take(
                     replica_state.replica.address, fresh=fresh
@@ -151,7 +151,7 @@
                     begun = await self._begin(
                         connection, request, facts, replica_state, hand_over, timeouts, times
                     )
-            times.unbegun = None
+            times.withdrawal_scope = None
             if waiting.cancelled_caught:
                 outcome = _withdrawn_outcome(times)
             elif isinstance(begun, _BegunAnswer):
@@ -274,7 +274,7 @@
 
 def _withdrawn_outcome(times: AttemptTimes) -> DidNotRun | MayRun:
     """Return the outcome of an attempt that was withdrawn before its answer began."""
-    if times.ends_replicas:
+    if times.request_barred:
         detail = "withdrawn: replicas ended under the same request"
         if times.sending_at is None:
             return DidNotRun(ENDS_REPLICAS, detail, arrived=False, withdrawn=True)
--- a/tests/test_loss_watch.py
+++ b/tests/test_loss_watch.py
@@ -188,6 +188,6 @@
         key = LossKey(f"i-{number}", None)
         site.shared.blame(key, [request.identity], site.now, Evidence.BROKEN)
     assert site.shared.update(site.now)
-    times.unbegun = trio.CancelScope()
+    times.withdrawal_scope = trio.CancelScope()
     site.watch.withdraw(site.shared.barred())
-    assert times.ends_replicas and times.unbegun.cancel_called
+    assert times.request_barred and times.withdrawal_scope.cancel_called
