--- a/libs/gateway/src/headcross_gateway/admission.py
+++ b/libs/gateway/src/headcross_gateway/admission.py
@@ -1,9 +1,10 @@
 """Assigns the slots of replicas to requests, and queues requests that find none.
 
-A request that finds a replica with room gets a slot at once. Otherwise it waits briefly, in order
-of priority, and is refused while its caller still has time to retry. Requests of callers that were
-refused before may queue behind first tries of the same priority, and get a slot only where enough
-are left for first tries (see `overload`). Among equals the earliest deadline goes first.
+A request that finds a replica with a free slot gets it at once. Otherwise it waits briefly, in
+order of priority, and is refused while its caller still has time to retry. A caller's retry after
+a refusal may queue behind first tries of the same priority, and gets a slot only at a replica with
+enough slots left for first tries (see `overload`). Of requests that are otherwise equal, the one
+with the earliest deadline goes first.
 """
 
 import bisect
@@ -25,10 +26,10 @@
 
 @dataclass(order=True, frozen=True, slots=True)
 class QueueOrder:
-    """The position of a request in the queue: the smallest goes first."""
+    """The position of a request in the queue; the smallest value goes first."""
 
     priority: int
-    last: bool  # queues behind all others of its priority
+    queues_last: bool  # behind all others of its priority
     deadline: float  # trio's clock
 
 
@@ -37,7 +38,7 @@
     """A request in the queue."""
 
     order: "QueueOrder"
-    number: int
+    sequence_number: int
     requirements: Requirements = field(compare=False)
     configuration: Configuration = field(compare=False)
     assigned: trio.Event = field(compare=False, default_factory=trio.Event)
@@ -52,11 +53,11 @@
     def __init__(
         self, picker: Picker, reserved_share: Callable[[str], float] = lambda service: 0.0
     ) -> None:
-        """`reserved_share` gives the share of slots, by service, reserved for first tries."""
+        """`reserved_share` returns the share of a service's slots reserved for first tries."""
         self._picker = picker
         self._reserved_share = reserved_share
         self._queues: dict[str, list[_Waiter]] = {}
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     def waiting(self, service: str) -> int:
         """Return how many requests wait for a slot."""
@@ -97,9 +98,9 @@
             return None
         if seconds_left < self.seconds_to_opening(requirements, configuration) < math.inf:
             return None
-        number = next(self._numbers)
+        sequence_number = next(self._sequence_numbers)
         waiter = _Waiter(
-            order, number, requirements, configuration, is_caller_retry=is_caller_retry
+            order, sequence_number, requirements, configuration, is_caller_retry=is_caller_retry
         )
         bisect.insort(queue, waiter)
         self.notify(requirements.service)
@@ -118,8 +119,8 @@
         """Wait for a slot until `until`; pick again when a rate limit allows the next request."""
         while waiter.replica_state is None and trio.current_time() < until:
             seconds = self.seconds_to_opening(waiter.requirements, waiter.configuration)
-            opening = trio.current_time() + seconds if seconds > 0 else until
-            with trio.move_on_at(min(until, opening)):
+            opening_at = trio.current_time() + seconds if seconds > 0 else until
+            with trio.move_on_at(min(until, opening_at)):
                 await waiter.assigned.wait()
             if waiter.replica_state is None:
                 self.notify(waiter.requirements.service)
@@ -132,8 +133,8 @@
     def notify(self, service: str) -> None:
         """Assign slots to waiting requests after a change of the service's replicas.
 
-        Called for each load report, 160 times a second, while hundreds of returning requests may
-        wait: once one of them finds no room, the others are skipped.
+        Called for each load report, 160 times a second, while hundreds of callers' retries may be
+        waiting: once one of them finds no free slot, the others are skipped.
         """
         caller_retries_blocked = False
         for waiter in list(self._queues.get(service, [])):
@@ -143,7 +144,7 @@
                 waiter.requirements, waiter.configuration, waiter.is_caller_retry
             )
             if replica_state is None:
-                if waiter.requirements.is_particular:
+                if waiter.requirements.is_constrained:
                     continue
                 if waiter.is_caller_retry:
                     caller_retries_blocked = True
--- a/libs/gateway/src/headcross_gateway/admitted.py
+++ b/libs/gateway/src/headcross_gateway/admitted.py
@@ -1,4 +1,4 @@
-"""The state of a request at an entry, and the result for one that is not admitted."""
+"""The state of an admitted request at an entry, and the refusal of one that is not admitted."""
 
 from dataclasses import dataclass, field
 
@@ -36,12 +36,13 @@
     relay: StreamRelay | None
     # Identifies retries of the same request; None if the request does not state its prompt.
     fingerprint: int | None = None
-    is_caller_retry: bool = False  # it was refused before
+    is_caller_retry: bool = False  # its caller was refused before
     tried: set[str] = field(default_factory=set)  # ids of replicas not to try again
     runs: int = 0  # replicas that may have run it
     refusals: int = 0  # replicas that received it and did not run it
     unreached: int = 0  # replicas that it did not reach
-    # An attempt at a silent replica was abandoned, and its retry was taken from the budget.
+    # Whether an attempt at a silent replica was abandoned and the retry for its replacement has
+    # been taken from the budget.
     retry_paid: bool = False
     # A replica's own error answer, forwarded if no later attempt succeeds.
     failed_answer: CompleteAnswer | None = None
@@ -50,32 +51,32 @@
 
     @property
     def group(self) -> bytes:
-        """The key shared by all requests of its team and route."""
+        """The digest of its team and route."""
         if self._group is None:
             self._group = group_of(self.team.name if self.team else None, self.route.name)
         return self._group
 
     @property
     def identity(self) -> RequestIdentity:
-        """The key shared by all tries of the same request; the first call digests its body."""
+        """The digests that all tries of the same request share; computed on first use."""
         if self._identity is None:
             self._identity = identity_of(self.exchange.request, self.facts.key, self.group)
         return self._identity
 
     @property
     def priority(self) -> int:
-        """Return the priority; 0 goes first."""
+        """The queue priority: the team's if it has one, else the route's; 0 goes first."""
         if self.team is not None and self.team.priority is not None:
             return self.team.priority
         return self.route.priority
 
     @property
-    def remaining(self) -> float:
-        """Return the seconds left until the deadline."""
+    def remaining_seconds(self) -> float:
+        """The seconds left until the deadline."""
         return self.deadline - trio.current_time()
 
     @property
-    def bound_version(self) -> int | None:
-        """Return the version that a stream must resume on, None before its first event."""
+    def resume_version(self) -> int | None:
+        """The weights version that a stream must resume on, None before its first event."""
         started = self.relay is not None and self.relay.started
         return self.relay.weights_version if self.relay is not None and started else None
--- a/libs/gateway/src/headcross_gateway/answertimes.py
+++ b/libs/gateway/src/headcross_gateway/answertimes.py
@@ -1,4 +1,4 @@
-"""Averages how long answers of a service take, from assignment to a replica to their end."""
+"""Averages how long a service's requests take from their assignment to the end of the answer."""
 
 from typing import Final
 
@@ -19,7 +19,7 @@
         self._means[service] = mean + SMOOTHING_FACTOR * (seconds - mean)
 
     def mean(self, service: str) -> float:
-        """Return the average in seconds, 0 before the first answer.
+        """Return the average answer time of a service in seconds, 0 before the first answer.
 
         >>> times = AnswerTimes()
         >>> times.note("lm", 2.0)
--- a/libs/gateway/src/headcross_gateway/attempts.py
+++ b/libs/gateway/src/headcross_gateway/attempts.py
@@ -2,12 +2,14 @@
 
 The steps in order: take a connection; if the bound on old weights is near, prove that the
 connection delivers; send the request; receive the head of the answer and the first piece of its
-body; receive the rest, whole or event by event. Up to that first piece the attempt may be
-withdrawn, because its weights may reach their bound. The outcome depends on how far it got:
+body; receive the rest, whole or event by event. Until that first piece arrives, the attempt may
+be withdrawn, because its weights approach their bound or its request is barred. The outcome
+depends on the last step that it reached:
 
 * no connection: not run, and the request did not reach the replica;
 * the replica states that it did not run the request: not run;
-* an answer that is complete, sealed and to this request: that answer, whatever its status;
+* a complete answer that belongs to this request and, if it is a success, carries the seal: that
+  answer, whatever its status;
 * anything else after the first byte was sent: it may have run.
 """
 
@@ -62,10 +64,11 @@
 class AttemptTimeouts:
     """How long an attempt waits for data before the request may go to another replica."""
 
-    first_seconds: float  # for the head of the answer, or the first event
-    pause_seconds: float  # between two pieces
-    # Called when the time limit has passed, and then every ABANDON_CHECK_SECONDS while it returns
-    # False: whether the request leaves the replica. It is not called again after returning True.
+    # From sending the request to the first event, or to the end of an answer that is not streamed.
+    first_seconds: float
+    pause_seconds: float  # between two events
+    # Returns whether the request leaves the replica. Called when the time limit has passed, and
+    # then every ABANDON_CHECK_SECONDS until it returns True.
     should_abandon: Callable[[], bool] = lambda: True
 
 
@@ -80,10 +83,10 @@
     began_at: float | None = None  # the first piece of the answer's body had been received
     # Cancels the attempt; set while it may be withdrawn.
     withdrawal_scope: trio.CancelScope | None = None
-    request_barred: bool = False  # it was withdrawn because its request ends replicas
+    request_barred: bool = False  # it was withdrawn because its request is barred
 
     def withdraw(self) -> None:
-        """Cancel the attempt if its answer has not begun."""
+        """Cancel the attempt of a barred request if its answer has not begun."""
         if self.withdrawal_scope is not None:
             self.request_barred = True
             self.withdrawal_scope.cancel()
@@ -128,7 +131,10 @@
         fresh: bool,
         times: AttemptTimes | None = None,
     ) -> Outcome:
-        """Send a request to a replica and receive its answer; note in `times` how far it got."""
+        """Send a request to a replica, receive its answer and return the outcome.
+
+        The times of the steps are recorded in `times`.
+        """
         self.made += 1
         times = times or AttemptTimes()
         connection: HttpConnection | None = None
@@ -193,11 +199,11 @@
         replica_state: ReplicaState,
         times: AttemptTimes,
     ) -> None:
-        """Prove that a connection delivers, if a late request could begin past the bound."""
+        """Prove that a connection delivers, if a delayed request could begin after the bound."""
         if not self.proofs.is_needed(facts.model, replica_state):
             return
         began_at = trio.current_time()
-        await self.proofs.take(connection)
+        await self.proofs.prove(connection)
         times.proof_seconds = trio.current_time() - began_at
 
     async def _begin(
@@ -210,7 +216,10 @@
         timeouts: AttemptTimeouts,
         times: AttemptTimes,
     ) -> _BegunAnswer | MayRun:
-        """Send a request and wait for the first piece of its answer."""
+        """Send a request and wait for the first piece of its answer.
+
+        Returns MayRun if the answer is not a valid one to this request.
+        """
         until = trio.current_time() + timeouts.first_seconds
         headers = self._dialect.upstream_headers(end_to_end_headers(request.headers), hand_over)
         sending = partial(connection.send, request.method, request.target, headers, request.body)
@@ -287,25 +296,25 @@
 
 async def _wait_until(
     until: float,
-    act: Callable[[], Awaitable[T]],
+    operation: Callable[[], Awaitable[T]],
     should_abandon: Callable[[], bool] = lambda: True,
 ) -> T:
-    """Wait for a replica until `until` (trio's clock); raise ReplicaTimeoutError after that.
+    """Return the result of `operation`; raise ReplicaTimeoutError after `until` (trio's clock).
 
-    Only waiting for the replica may be bounded by this. Sending to the caller must not be: an
-    event whose sending was cut short could neither be sent again nor left out. Waiting continues
-    while `should_abandon` returns False, so `act` must be safe to cancel and call again.
+    The wait continues while `should_abandon` returns False, so `operation` must be safe to cancel
+    and call again. Use this only to wait for the replica, not to send to the caller: an event
+    whose sending was cut short could be neither sent again nor left out.
     """
     while True:
         with trio.move_on_at(until):
-            return await act()
+            return await operation()
         if should_abandon():
             raise ReplicaTimeoutError("silent for too long")
         until = trio.current_time() + ABANDON_CHECK_SECONDS
 
 
 def _response_problem(answer: Answer, facts: AnswerFacts, request_id: str) -> str:
-    """Return why an answer is not a valid one to this request, empty if it is."""
+    """Return why an answer is not valid for this request, an empty string if it is."""
     if facts.id != request_id and not (facts.id is None and facts.not_run):
         return f"an answer to {facts.id!r}"
     if answer.status not in SUCCESS:
--- a/libs/gateway/src/headcross_gateway/backpressure.py
+++ b/libs/gateway/src/headcross_gateway/backpressure.py
@@ -1,8 +1,11 @@
 """Tracks what one incarnation of a replica asks of this entry, and when it accepts a request.
 
-A limit applies to all entries together, as long as answers name it. A rest applies to this entry
-only, until it ends. Leaving is final. A limit and the fact that a replica leaves are sent to
-the other entries; see `replicanews`. Times are in seconds on any one clock that does not go back.
+Answers of a replica may carry three signals. A limit, in requests per second, applies to all
+entries together as long as answers name it. A rest applies to this entry only: it sends no request
+until the rest is over, and then one at a time until one is served. Leaving is final. Limits and
+the fact that a replica leaves are sent to the other entries; see `replicanews`.
+
+Times are in seconds on any one clock that does not go back.
 """
 
 import logging
@@ -23,7 +26,7 @@
     limit: RequestLimit = field(default_factory=RequestLimit)
     leaving: bool = False
     rest_until: float = 0.0
-    # Whether it has not served a request since its rest: until then it gets one at a time.
+    # Whether it has not served a request since its last rest. While true, it gets one at a time.
     awaits_trial: bool = False
     _trial_under_way: bool = False
     _leaving_pending: bool = False  # not yet sent to other processes
@@ -71,7 +74,7 @@
         return True
 
     def has_pending_news(self) -> bool:
-        """Return whether answers showed something that was not yet sent to other entries."""
+        """Return whether answers showed something that is to be sent to the other entries."""
         return self.limit.pending or self._leaving_pending
 
     def mark_sent(self) -> None:
@@ -88,7 +91,7 @@
         """Return the seconds until limit and rest allow a request of this entry, 0 if now."""
         return max(self.limit.seconds_to_next(share, now), self.rest_until - now, 0.0)
 
-    def wants_request(self, share: float, now: float) -> bool:
+    def accepts_request(self, share: float, now: float) -> bool:
         """Return whether the replica accepts a request of this entry now."""
         if self.leaving or (self.awaits_trial and self._trial_under_way):
             return False
@@ -114,8 +117,8 @@
         fields = {"replica": self.replica, "limit": limit, "source": source, "age": age}
         logger.info("limit named" if limit is not None else "limit ended", extra=fields)
 
-    def _log_unreadable(self, kind: str, said: Unreadable) -> None:
-        if self._unreadable.get(kind) != said.text:
-            self._unreadable[kind] = said.text
-            fields = {"replica": self.replica, "said": said.text[:100]}
+    def _log_unreadable(self, kind: str, signal: Unreadable) -> None:
+        if self._unreadable.get(kind) != signal.text:
+            self._unreadable[kind] = signal.text
+            fields = {"replica": self.replica, "said": signal.text[:100]}
             logger.warning(f"{kind} not read", extra=fields)
--- a/libs/gateway/src/headcross_gateway/budget.py
+++ b/libs/gateway/src/headcross_gateway/budget.py
@@ -1,29 +1,36 @@
 """Bounds the requests that may be sent to a second replica, without counters shared by entries.
 
+The bound on all entries together: within a window, at most `ratio` retries per request plus
+`slack`.
+
 Every request to a service earns a fraction of a retry, and some retries can be saved up. All
-entries together stay within the common bound, whatever share of the requests each has: the earned
-fractions add up to less than the bound's ratio, and the savings of all entries to less than its
-slack. An entry that starts is granted one retry, and a small fraction of its share of the slack
-once it knows the number of entries: its predecessor may just have spent everything, and the
-maximum savings leave room for several such starts of every entry. With a grant of a sixteenth of
-the slack per start, restarting all 35 entries twice within the bound's window could exceed it.
+entries together stay within the bound, whatever share of the requests each has: the earned
+fractions add up to less than the ratio, and the savings of all entries to less than the slack.
+
+An entry that starts is granted one retry, and up to a small fraction of its share of the slack
+once it knows the number of entries. The grant is small because the previous process may have spent
+all its savings just before; the maximum savings leave room for several such starts of every entry.
+With a grant of a sixteenth of the slack per start, restarting all 35 entries twice within the
+window could exceed the bound.
 """
 
 from dataclasses import dataclass
 from typing import Final
 
-# Fraction of the bound's ratio that entries use; the rest covers what they cannot observe.
+# Fraction of the bound's ratio that entries use; the remainder covers what they cannot observe.
 USED_FRACTION: Final = 0.75
-# The retries granted at once to an entry that starts, and the fraction of its share of the slack
-# that is granted when the number of entries is known.
+# The retries granted to an entry when it starts, and the fraction of its share of the slack that
+# it is granted instead, if that is more, when it knows the number of entries.
 START_RETRIES: Final = 1.0
 START_SLACK_FRACTION: Final = 0.125
-# Starts of each entry within the window of the bound (10 s as documented). A process that is
-# killed takes requests again after about 2.5 s: the platform's delay, and at least 1 s to start.
+# Maximum number of starts of each entry within the window of the bound (10 s as documented). A
+# process that is killed takes requests again after about 2.5 s: the platform's delay, plus at
+# least 1 s to start.
 STARTS_PER_WINDOW: Final = 4
 # The slack is divided among the known entries, and among at least this many.
 MIN_ENTRIES: Final = 5
-# The rest of the slack covers rounding and late news from other entries.
+# Fraction of the slack that entries use; the remainder covers rounding and late news from other
+# entries.
 SLACK_FRACTION: Final = 0.97
 
 
@@ -42,18 +49,18 @@
     def __init__(self, ratio: float, slack: float) -> None:
         self.spent = 0
         self.denied = 0
-        self._earned = ratio * USED_FRACTION
+        self._earned_per_request = ratio * USED_FRACTION
         self._slack = slack * SLACK_FRACTION
-        self._entries = MIN_ENTRIES
-        self._knows_entries = False
+        self._entry_count = MIN_ENTRIES
+        self._knows_entry_count = False
         self._savings: dict[str, _Savings] = {}
 
     def note_entries(self, count: int) -> None:
-        """Store the number of entries; within a process lifetime it never falls."""
-        self._entries = max(self._entries, count)
-        if self._knows_entries:
+        """Store the number of entries; during the lifetime of a process it never falls."""
+        self._entry_count = max(self._entry_count, count)
+        if self._knows_entry_count:
             return
-        self._knows_entries = True
+        self._knows_entry_count = True
         for savings in self._savings.values():
             savings.retries += self._grant - START_RETRIES
 
@@ -61,16 +68,16 @@
     def max_saved(self) -> float:
         """The retries that this entry may save up for a service.
 
-        The bound holds for any history as long as the slack has room for the grants: five retries
-        for each entry. The documented slack is 6 to 20 for each.
+        The bound holds for any history if the slack has room for the savings and grants of every
+        entry, at least five retries each. The documented slack is 6 to 20 for each.
         """
-        share = self._slack / self._entries
+        share = self._slack / self._entry_count
         return max(START_RETRIES, share - STARTS_PER_WINDOW * self._grant)
 
     @property
     def _grant(self) -> float:
         """The retries granted to an entry that starts, for the number of entries known so far."""
-        return max(START_RETRIES, START_SLACK_FRACTION * self._slack / self._entries)
+        return max(START_RETRIES, START_SLACK_FRACTION * self._slack / self._entry_count)
 
     def earn(self, service: str) -> None:
         """Count a caller's request for a service.
@@ -83,7 +90,7 @@
         True
         """
         savings = self._savings_of(service)
-        savings.retries = min(self.max_saved, savings.retries + self._earned)
+        savings.retries = min(self.max_saved, savings.retries + self._earned_per_request)
 
     def may_spend(self, service: str) -> bool:
         """Return whether a retry is left, without taking it."""
@@ -101,5 +108,5 @@
         return True
 
     def _savings_of(self, service: str) -> _Savings:
-        granted = self._grant if self._knows_entries else START_RETRIES
-        return self._savings.setdefault(service, _Savings(granted))
+        initial_retries = self._grant if self._knows_entry_count else START_RETRIES
+        return self._savings.setdefault(service, _Savings(initial_retries))
--- a/libs/gateway/src/headcross_gateway/confirmedloads.py
+++ b/libs/gateway/src/headcross_gateway/confirmedloads.py
@@ -1,9 +1,10 @@
-"""Decides which versions of one replica may take requests, by whether their load is confirmed.
+"""Decides which weights versions of one replica may take requests.
 
-The list and a replica's own report say which version it holds, but not whether the weights were
-complete and correct when they were loaded. The daemon on the replica's host checks that. So a
-version that a replica loaded after this entry first knew it takes requests only once its daemon
-has confirmed the load, and a version whose load the daemon found to be bad takes none.
+A load here is the loading of a weights version. The list and a replica's own report say which
+version it holds, but not whether the weights were complete and correct when they were loaded. The
+daemon on the replica's host checks that. If the replica loads a version after this entry first
+knew the replica, that version takes requests only once the daemon has confirmed the load. A
+version whose load the daemon found to be bad takes none.
 """
 
 from collections.abc import Iterable
@@ -13,7 +14,7 @@
 
 
 class ConfirmedLoads:
-    """The loads of one incarnation of a replica, as known to one entry.
+    """The loaded versions of one incarnation of a replica, and which of them are confirmed.
 
     >>> loads = ConfirmedLoads([LoadedModel("m", 1)])
     >>> load = ReplicaLoad("10.0.0.1:80", 1, True, False, {"m": 1}, 0, 0, 0.0, 1.0, 1)
@@ -23,13 +24,13 @@
     (True, False)
     """
 
-    # When this entry first saw each version that was not among the first ones (monotonic).
+    # When this entry first saw each version that the replica loaded since (monotonic).
     first_seen_at: dict[LoadedModel, float]
 
-    def __init__(self, held: Iterable[LoadedModel]) -> None:
-        """`held` are the versions that the replica held when this entry first learned of it."""
+    def __init__(self, held_versions: Iterable[LoadedModel]) -> None:
+        """`held_versions` are those that the replica held when this entry first learned of it."""
         self.first_seen_at = {}
-        self._held_at_first = set(held)
+        self._held_at_first = set(held_versions)
         self._confirmed: set[LoadedModel] = set()
         self._suspect: set[LoadedModel] = set()
         self._receives_reports = False
@@ -41,18 +42,18 @@
         restarted does not know what the previous process found.
         """
         before = (self._confirmed, self._suspect)
-        self.note_held(_loads(load.versions), now)
+        self.note_held(_loaded_models(load.versions), now)
         self._receives_reports = True
-        confirmed, suspect = _loads(load.confirmed), _loads(load.suspect)
+        confirmed, suspect = _loaded_models(load.confirmed), _loaded_models(load.suspect)
         self._confirmed = (self._confirmed | confirmed) - suspect
         self._suspect = (self._suspect | suspect) - confirmed
         return before != (self._confirmed, self._suspect)
 
-    def note_held(self, held: Iterable[LoadedModel], now: float) -> None:
+    def note_held(self, held_versions: Iterable[LoadedModel], now: float) -> None:
         """Note the versions that the replica holds, by the list or by its daemon's report."""
-        for load in held:
-            if load not in self._held_at_first:
-                self.first_seen_at.setdefault(load, now)
+        for loaded_model in held_versions:
+            if loaded_model not in self._held_at_first:
+                self.first_seen_at.setdefault(loaded_model, now)
 
     def rely_on_list(self) -> None:
         """Rely on the list alone, because this entry no longer subscribes to the daemon."""
@@ -60,10 +61,10 @@
 
     def may_serve(self, model: str, version: int) -> bool:
         """Return whether a version that the replica holds may take requests."""
-        load = LoadedModel(model, version)
-        if load in self._suspect:
+        loaded_model = LoadedModel(model, version)
+        if loaded_model in self._suspect:
             return False
-        return not self._receives_reports or load in self._confirmed | self._held_at_first
+        return not self._receives_reports or loaded_model in self._confirmed | self._held_at_first
 
     def dump(self) -> dict[str, object]:
         """Return the state for the administration page and the log."""
@@ -75,9 +76,9 @@
         }
 
 
-def _loads(versions: dict[str, int]) -> set[LoadedModel]:
+def _loaded_models(versions: dict[str, int]) -> set[LoadedModel]:
     return {LoadedModel(model, version) for model, version in versions.items()}
 
 
-def _names(loads: set[LoadedModel]) -> list[str]:
-    return sorted(f"{load.model}@{load.version}" for load in loads)
+def _names(loaded_models: set[LoadedModel]) -> list[str]:
+    return sorted(f"{loaded_model.model}@{loaded_model.version}" for loaded_model in loaded_models)
--- a/libs/gateway/src/headcross_gateway/connections.py
+++ b/libs/gateway/src/headcross_gateway/connections.py
@@ -1,4 +1,8 @@
-"""Pools connections to replicas; opens a new one where a dead connection would do harm."""
+"""Pools connections to replicas.
+
+A request that may not be sent again gets a new connection: if it were sent over a pooled one that
+is dead, it could have run for all the entry knows, and would fail.
+"""
 
 from dataclasses import dataclass
 from typing import Final
@@ -16,7 +20,7 @@
 
 
 @dataclass(slots=True)
-class _Idle:
+class _IdleConnection:
     connection: HttpConnection
     until: float  # trio's clock
 
@@ -24,23 +28,23 @@
 class ReplicaConnections:
     """The pool of idle connections of one entry."""
 
-    # Number of connections opened so far, each of which has a cost.
+    # Number of connections opened so far; opening one has a cost.
     opened: int
 
     def __init__(self) -> None:
         self.opened = 0
-        self._idle: dict[Address, list[_Idle]] = {}
-        self._forgotten: list[_Idle] = []
+        self._idle: dict[Address, list[_IdleConnection]] = {}
+        self._dropped: list[_IdleConnection] = []
 
     async def take(self, address: Address, *, fresh: bool) -> HttpConnection:
-        """Return a connection; with `fresh`, one that has never carried a request.
+        """Return an idle connection or a new one; with `fresh`, always a new one.
 
         Raises ConnectError if none can be opened within CONNECT_SECONDS.
         """
         if not fresh:
-            kept = await self._take_idle(address)
-            if kept is not None:
-                return kept
+            reused = await self._take_idle(address)
+            if reused is not None:
+                return reused
         self.opened += 1
         return await connect(address, CONNECT_SECONDS)
 
@@ -51,35 +55,35 @@
         if seconds <= 0 or len(idle) >= MAX_IDLE_PER_REPLICA or not connection.reusable():
             await connection.close()
             return
-        idle.append(_Idle(connection, trio.current_time() + seconds))
+        idle.append(_IdleConnection(connection, trio.current_time() + seconds))
 
     def forget(self, address: Address) -> None:
         """Drop the idle connections to an address whose replica has ended.
 
-        If the machine lost power, the connections are never closed from the other side.
+        If its machine lost power, the other side never closes them.
         """
-        self._forgotten += self._idle.pop(address, [])
+        self._dropped += self._idle.pop(address, [])
 
     async def close_expired(self) -> None:
         """Close connections that were dropped or idle for too long; remove empty addresses."""
-        while self._forgotten:
-            await self._forgotten.pop().connection.close()
+        while self._dropped:
+            await self._dropped.pop().connection.close()
         now = trio.current_time()
         for address, idle in list(self._idle.items()):
-            expired = [entry for entry in idle if entry.until <= now]
-            self._idle[address] = [entry for entry in idle if entry.until > now]
+            expired = [pooled for pooled in idle if pooled.until <= now]
+            self._idle[address] = [pooled for pooled in idle if pooled.until > now]
             if not self._idle[address]:
                 del self._idle[address]
-            for entry in expired:
-                await entry.connection.close()
+            for pooled in expired:
+                await pooled.connection.close()
 
     async def _take_idle(self, address: Address) -> HttpConnection | None:
         idle = self._idle.get(address, [])
         while idle:
-            entry = idle.pop()
-            if entry.until > trio.current_time() and entry.connection.has_no_input():
-                return entry.connection
-            await entry.connection.close()
+            pooled = idle.pop()
+            if pooled.until > trio.current_time() and pooled.connection.has_no_input():
+                return pooled.connection
+            await pooled.connection.close()
         return None
 
 
--- a/libs/gateway/src/headcross_gateway/containment.py
+++ b/libs/gateway/src/headcross_gateway/containment.py
@@ -1,8 +1,8 @@
 """Restricts requests under which replicas were lost.
 
-A suspect request gets one replica for each try, and an entry runs no second copy of it. A barred
-request gets none, and its attempts that replicas have not begun are withdrawn. Bodies are not
-hashed as long as no request with the same path and key has a recorded loss.
+A suspect request is sent to one replica for each try, and an entry runs no second copy of it. A
+barred request is sent to none, and its attempts that replicas have not begun are withdrawn. A
+body is hashed only if a request with the same path and key has a recorded loss.
 """
 
 from collections.abc import Callable
@@ -23,7 +23,7 @@
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.requestidentity import scope_of
 
-# When a caller may retry while another copy of its request runs.
+# Retry-after time for a caller while another copy of its request runs.
 SUSPECT_RETRY_SECONDS: Final = 1.0
 
 
@@ -46,22 +46,27 @@
         """
         self._find_replica = find_replica
         self._list_is_known = list_is_known
-        self._learned = trio.Event()
-        self.shared = SharedLosses(host, lambda: self._learned.set())
+        self._news_pending = trio.Event()
+        self.shared = SharedLosses(host, lambda: self._news_pending.set())
         self.watch = LossWatch(self.shared)
 
     def standing_of(self, request: Admitted) -> Standing:
-        """Return a request's standing; hashes its body only if its scope has a recorded loss."""
+        """Return a request's standing; hash its body only if its scope has a recorded loss."""
         losses = self.shared.losses
         if losses.is_empty:
             return Standing.CLEAR
-        if not losses.concerns(scope_of(request.exchange.request, request.facts.key)):
+        if not losses.has_loss_in_scope(scope_of(request.exchange.request, request.facts.key)):
             return Standing.CLEAR
         return losses.standing(request.identity, monotonic())
 
     def is_clear(self, request: Admitted) -> bool:
-        """Return whether a request may be sent to a second replica."""
-        return self.standing_of(request) is Standing.CLEAR and not self._is_restrained(request)
+        """Return whether neither a request nor its group is suspect, barred or restricted.
+
+        Only such a request may be sent to a second replica.
+        """
+        return self.standing_of(request) is Standing.CLEAR and not self._is_group_restricted(
+            request
+        )
 
     def refusal_of(self, request: Admitted) -> NotRun | None:
         """Return why a request may not be sent to a replica now, None if it may."""
@@ -77,7 +82,7 @@
             case Standing.BARRED:
                 return self._refusal_of_barred(request)
 
-    def _is_restrained(self, request: Admitted) -> bool:
+    def _is_group_restricted(self, request: Admitted) -> bool:
         return self._paused_until(request) > NEVER
 
     def _paused_until(self, request: Admitted) -> float:
@@ -85,10 +90,10 @@
         shared, now = self.shared, monotonic()
         if shared.losses.is_empty or not shared.groups.is_mostly_lost(request.group, now):
             return NEVER
-        return paused_until(shared.losses.lost_under(request.group), now)
+        return paused_until(shared.losses.loss_times(request.group), now)
 
     def _refusal_of_group(self, request: Admitted) -> NotRun | None:
-        """Return why the group of a request forbids it now, None if it does not."""
+        """Return why a request is refused because of its group, None if it is not."""
         seconds = self._paused_until(request) - monotonic()
         if request.tried or seconds == NEVER:
             return None
@@ -110,8 +115,8 @@
     async def wait_pending_news(self) -> LossNews:
         """Wait until this entry has news that the others do not know, and return it."""
         while True:
-            await self._learned.wait()
-            self._learned = trio.Event()
+            await self._news_pending.wait()
+            self._news_pending = trio.Event()
             self.update()
             news = self.shared.take_pending(monotonic())
             if news is not None:
--- a/libs/gateway/src/headcross_gateway/demand.py
+++ b/libs/gateway/src/headcross_gateway/demand.py
@@ -1,7 +1,8 @@
 """Measures the requests per second of each service, and the share of them that find no free slot.
 
-A service whose requests find no free slot will lack slots for a while: the larger the share that
-an entry refused in the last seconds, the longer the retry-after time it sends to callers.
+If requests of a service find no free slot, the service will lack slots for a while: the larger the
+share that an entry refused in the last seconds, the longer the retry-after time that it sends to
+callers.
 """
 
 import math
@@ -33,7 +34,7 @@
         self._refused[service] += 1
 
     def rate(self, service: str) -> float:
-        """Return the requests per second for a service, as of the last measurement."""
+        """Return the average requests per second as of the last measurement."""
         return self._rates.get(service, 0.0)
 
     def refused_share(self, service: str) -> float:
@@ -51,16 +52,21 @@
         if measured_at is None or now <= measured_at:
             return
         seconds = now - measured_at
-        kept = math.exp2(-seconds / self._half_life)
-        _update_rates(self._rates, self._arrived, seconds, kept)
-        _update_rates(self._refused_rates, self._refused, seconds, kept)
+        old_weight = math.exp2(-seconds / self._half_life)
+        _update_rates(self._rates, self._arrived, seconds, old_weight)
+        _update_rates(self._refused_rates, self._refused, seconds, old_weight)
 
 
 def _update_rates(
-    rates: dict[str, float], arrived: Counter[str], seconds: float, kept: float
+    rates: dict[str, float], arrived: Counter[str], seconds: float, old_weight: float
 ) -> None:
-    """Update averages with the requests of the last `seconds`, and clear the counter."""
+    """Update averages with the requests of the last `seconds`, and clear the counter.
+
+    `old_weight` is the weight of the previous averages, 0 to 1.
+    """
     for service in rates.keys() | arrived.keys():
-        fresh = arrived[service] / seconds
-        rates[service] = kept * rates.get(service, fresh) + (1 - kept) * fresh
+        latest_rate = arrived[service] / seconds
+        rates[service] = (
+            old_weight * rates.get(service, latest_rate) + (1 - old_weight) * latest_rate
+        )
     arrived.clear()
--- a/libs/gateway/src/headcross_gateway/directory.py
+++ b/libs/gateway/src/headcross_gateway/directory.py
@@ -17,7 +17,8 @@
 from headcross_gateway.subsetting import choose_subset
 
 # Replicas whose list entries lapsed during an outage of the store stay in use for this share of
-# the bound on leaving replicas; one that left meanwhile may get requests for that long.
+# the time within which a leaving replica must get its last request: one that left during the
+# outage may still get requests for that long.
 LAPSED_USE_SHARE: Final = 0.6
 # How long a replica is excluded from the subset after it or its daemon did not answer.
 SUBSET_EXCLUSION_SECONDS: Final = 5.0
@@ -54,21 +55,21 @@
         self._first_heard_at: dict[str, float] = {}
 
     def update(self) -> list[Address]:
-        """Apply the current list of replicas; return addresses with a new incarnation.
+        """Apply the current list of replicas; return the addresses that have a new incarnation.
 
         A new incarnation gets a new state, since nothing known of the earlier one holds for it.
-        Requests that wait to be sent to the earlier one are not sent.
+        Requests that wait to be sent to the earlier incarnation are not sent.
         """
         listed = self._facts.replicas
         for replica_id in set(self._states) - set(listed):
             if not self._keep_lapsed(self._states[replica_id]):
                 self._drop(replica_id)
-        begun: list[Address] = []
+        restarted_addresses: list[Address] = []
         for replica in listed.values():
             state = self._states.get(replica.id)
             if state is not None and replica.incarnation.is_other_than(state.replica.incarnation):
                 state.replaced_or_unlisted = True
-                begun.append(replica.address)
+                restarted_addresses.append(replica.address)
                 logger.info("incarnation begun", extra=_change_of(state.replica, replica))
                 state = None
             if state is None:
@@ -80,7 +81,7 @@
                 state.confirmed_loads.note_held(replica.loaded, monotonic())
                 state.lapsed_until = None
         self._index()
-        return begun
+        return restarted_addresses
 
     def _drop(self, replica_id: str) -> None:
         """Remove a replica that is no longer listed."""
@@ -129,8 +130,8 @@
         state = self._by_ip.get(ip)
         first_seen_at = state.confirmed_loads.first_seen_at if state is not None else {}
         return [
-            LoadedVersionNews(load.model, load.version, round(now - at, 3))
-            for load, at in first_seen_at.items()
+            LoadedVersionNews(loaded_model.model, loaded_model.version, round(now - at, 3))
+            for loaded_model, at in first_seen_at.items()
             if now - at < seconds
         ]
 
@@ -175,13 +176,13 @@
     def estimate_entries(self) -> int | None:
         """Estimate the number of entries from the listener counts that daemons report.
 
-        Returns None if there is no recent report.
+        Returns None if there is no valid report.
 
-        Without subsetting each daemon reports to every entry; otherwise to a share of them. The
-        estimate is the mean over the daemons, rounded up: the last report alone may give 8 or 12
-        for 11 entries.
+        Without subsetting, each daemon reports to every entry, otherwise to a share of them. The
+        estimate is the mean over the daemons, rounded up: a single report may give 8 or 12 for 11
+        entries.
         """
-        loads = [s.fresh_load() for s in self._with_daemons() if s.in_subset]
+        loads = [s.reported_load() for s in self._with_daemons() if s.in_subset]
         listeners = [load.listeners for load in loads if load is not None]
         if not listeners:
             return None
@@ -208,5 +209,5 @@
                 self._by_service.setdefault(state.replica.service, []).append(state)
 
 
-def _change_of(before: Replica, now: Replica) -> dict[str, object]:
-    return {"replica": now.id, "before_ms": before.started_ms, "started_ms": now.started_ms}
+def _change_of(old: Replica, new: Replica) -> dict[str, object]:
+    return {"replica": new.id, "before_ms": old.started_ms, "started_ms": new.started_ms}
--- a/libs/gateway/src/headcross_gateway/eventstream.py
+++ b/libs/gateway/src/headcross_gateway/eventstream.py
@@ -24,17 +24,17 @@
     """Splits a stream of bytes into whole events."""
 
     def __init__(self) -> None:
-        self._rest = b""
+        self._incomplete_event = b""
 
     @property
     def within_event(self) -> bool:
-        """Whether the last event received is incomplete."""
-        return bool(self._rest)
+        """Whether the last event was received only in part."""
+        return bool(self._incomplete_event)
 
     def feed(self, data: bytes) -> list[StreamEvent]:
-        """Return the events completed by `data`; keep the beginning of the next one.
+        """Return the events completed by `data`; keep the incomplete one that follows them.
 
-        Raises EventTooLongError if that exceeds MAX_EVENT_BYTES.
+        Raises EventTooLongError if the incomplete event exceeds MAX_EVENT_BYTES.
 
         >>> splitter = EventSplitter()
         >>> [event.id for event in splitter.feed(b"id: 0\\ndata: a\\n\\nid: 1\\n")]
@@ -42,10 +42,10 @@
         >>> splitter.within_event
         True
         """
-        *whole, self._rest = (self._rest + data).split(EVENT_END)
-        if len(self._rest) > MAX_EVENT_BYTES:
+        *whole_events, self._incomplete_event = (self._incomplete_event + data).split(EVENT_END)
+        if len(self._incomplete_event) > MAX_EVENT_BYTES:
             raise EventTooLongError
-        return [StreamEvent(_id_of(event), event + EVENT_END) for event in whole]
+        return [StreamEvent(_id_of(event), event + EVENT_END) for event in whole_events]
 
 
 def _id_of(event: bytes) -> str | None:
--- a/libs/gateway/src/headcross_gateway/grouplosses.py
+++ b/libs/gateway/src/headcross_gateway/grouplosses.py
@@ -2,9 +2,9 @@
 
 A caller that varies the body sends a different request each time, and each of them may crash
 several replicas before it is barred. The requests of one team on one route are therefore also
-judged as a group: if several replicas were lost under them within the window, and more of the
-group's requests were lost than answered, each entry runs one of them at a time, and after each
-further loss waits for a pause that doubles.
+judged as a group. If several replicas were lost under them within the window, and more of the
+group's requests were lost than answered, the group is restricted: each entry runs one of them at a
+time, and none during a pause after the last loss. The pause doubles with each further loss.
 
 Requests of other groups that ran on the same replicas are lost too, but most of their requests are
 answered. The module does no I/O and reads no clock; `now` is in seconds on one monotonic clock.
@@ -14,7 +14,7 @@
 from dataclasses import dataclass, field
 from typing import Final
 
-# Ends of requests and losses of replicas older than this are ignored.
+# Outcomes of requests and losses of replicas older than this are ignored.
 WINDOW_SECONDS: Final = 30.0
 # Losses of replicas within the window from which on a group is restricted.
 RESTRICTED_LOSSES: Final = 3
@@ -35,7 +35,7 @@
 
 @dataclass(slots=True)
 class _Counts:
-    """Numbers of ended requests by second, so that those outside the window can be dropped."""
+    """Numbers of ended requests by second; the seconds outside the window are dropped."""
 
     lost: dict[int, int] = field(default_factory=lambda: defaultdict(int))
     answered: dict[int, int] = field(default_factory=lambda: defaultdict(int))
@@ -63,8 +63,8 @@
         self._pruned_at = second
         horizon = int(now - WINDOW_SECONDS)
         for counts in (self.lost, self.answered):
-            for old in [second for second in counts if second < horizon]:
-                del counts[old]
+            for expired in [second for second in counts if second < horizon]:
+                del counts[expired]
 
 
 @dataclass(frozen=True, slots=True)
@@ -104,7 +104,7 @@
             reports[entry] = _PeerReport(outcomes, now)
 
     def is_mostly_lost(self, group: bytes, now: float) -> bool:
-        """Return whether more requests of a group were lost than answered, over all entries known.
+        """Return whether more of a group's requests were lost than answered at all known entries.
 
         >>> losses = GroupLosses()
         >>> losses.note_lost(b"t", 1.0)
@@ -115,9 +115,9 @@
         False
         """
         reports = self._reports.get(group, {}).values()
-        known = [each.outcomes for each in reports if now - each.at < WINDOW_SECONDS]
-        known.append(self.own(group, now))
-        return sum(each.lost for each in known) > sum(each.answered for each in known)
+        outcomes = [report.outcomes for report in reports if now - report.at < WINDOW_SECONDS]
+        outcomes.append(self.own(group, now))
+        return sum(o.lost for o in outcomes) > sum(o.answered for o in outcomes)
 
     def _counts_of(self, group: bytes) -> _Counts:
         if len(self._own) >= MAX_GROUPS and group not in self._own:
--- a/libs/gateway/src/headcross_gateway/health.py
+++ b/libs/gateway/src/headcross_gateway/health.py
@@ -1,8 +1,8 @@
 """Outlier ejection: tracks the health of a replica by the outcomes of an entry's requests.
 
 A single failure does not eject a replica. Several in a row, or a connection that could not be
-opened, eject it for a time that doubles with each ejection; then a trial with a request that may
-be repeated decides whether it is used again.
+opened, eject it for a time that doubles with each ejection. Then one request that may be repeated
+is sent as a trial, and its outcome decides whether the replica is used again.
 """
 
 from dataclasses import dataclass
@@ -22,7 +22,8 @@
     failures: int = 0  # consecutive
     ejections: int = 0  # consecutive
     ejected_until: float = 0.0  # monotonic
-    # When a request last got no data in time, even if others succeeded since (monotonic).
+    # When a request last got no data within its time limit, even if others succeeded since
+    # (monotonic).
     silent_at: float = float("-inf")
     # When it last answered a request (monotonic).
     answered_at: float = float("-inf")
@@ -40,7 +41,7 @@
         """Note that a request, or the opening of a connection, got no response in time."""
         self.silent_at = monotonic()
 
-    def silent_age(self) -> float:
+    def seconds_since_silence(self) -> float:
         """Return the seconds since a request last got no data, infinite if none ever did."""
         return monotonic() - self.silent_at
 
@@ -48,7 +49,7 @@
         """Return whether it answered in the last `seconds`, and nothing has failed there since."""
         return not self.failures and monotonic() - self.answered_at < seconds
 
-    def answered_age(self) -> float:
+    def seconds_since_answer(self) -> float:
         """Return the seconds since it last answered, infinite if it never did."""
         return monotonic() - self.answered_at
 
@@ -60,7 +61,7 @@
         self.on_trial = False
 
     def note_failure(self, certain: bool) -> None:
-        """Note a failure; `certain` if it could not be reached at all."""
+        """Note a failure; `certain` means that the replica could not be reached at all."""
         self.failures += 1
         self.on_trial = False
         if certain or self.failures >= FAILURES_TO_EJECT or self.ejections:
--- a/libs/gateway/src/headcross_gateway/linkproofs.py
+++ b/libs/gateway/src/headcross_gateway/linkproofs.py
@@ -2,8 +2,8 @@
 
 A link that has too little bandwidth, or is cut in one direction, can delay a request and deliver
 it after the reset of its connection. The replica then begins it on weights whose bound has passed.
-So a request to old weights is sent only over a connection on which a call was answered just
-before. A link that starts to delay within that round trip goes unnoticed: no sender can detect it.
+Therefore a request to old weights is sent only over a connection on which a call was answered just
+before. A delay that starts during that round trip goes unnoticed, since no sender can detect it.
 
 A daemon's load reports are no proof, because they may take another link.
 """
@@ -17,8 +17,8 @@
 from headcross_gateway.replicastate import ReplicaState
 from headcross_gateway.weightsrules import WeightsRules
 
-# Time limit of a proof, after which another replica is tried. A round trip through a link that is
-# full of chunks takes most of it.
+# Time limit of a proof, after which another replica is tried. A round trip over a link that is
+# saturated by chunks takes most of it.
 PROOF_SECONDS: Final = 0.4
 MAX_ANSWER_BYTES: Final = 64 * 1024
 
@@ -34,9 +34,9 @@
 
 
 class LinkProofs:
-    """Takes the proofs of one entry."""
+    """Makes the proofs of one entry."""
 
-    # Number of proofs asked for so far, and of those that timed out.
+    # Numbers of proofs started so far, and of those that timed out.
     asked: int
     missed: int
 
@@ -53,8 +53,8 @@
             return False
         return self._rules.may_arrive_past_bound(model, version)
 
-    async def take(self, connection: HttpConnection) -> None:
-        """Make a call on a connection, which may carry a request after the answer.
+    async def prove(self, connection: HttpConnection) -> None:
+        """Make a call on a connection; when it returns, the connection may carry a request.
 
         Raises LinkUnprovenError if there is no answer within PROOF_SECONDS, or if the connection
         is closed before or with the answer.
--- a/libs/gateway/src/headcross_gateway/lossnews.py
+++ b/libs/gateway/src/headcross_gateway/lossnews.py
@@ -1,8 +1,8 @@
 """Exchanges news of lost replicas, and of the requests that ran there, between entries.
 
-An entry sends what it learns itself to all others at once. It also sends everything it knows to a
-few of them at intervals, so that entries that start or were disconnected learn it too. News may
-arrive late, twice or never, and may be wrong: implausible items are ignored.
+An entry immediately sends to all others what it observes itself. It also sends everything it knows
+to a few of them at intervals, so that entries that start or were disconnected learn it too. News
+may arrive late, twice or never, and may be wrong: implausible items are ignored.
 """
 
 import logging
@@ -44,7 +44,7 @@
         self._host = host
         self.rejected = 0
         self._on_news = on_news
-        # What this entry learned itself since news was last taken.
+        # What this entry observed itself since the last call of `take_pending`.
         self._lost: dict[LossKey, set[RequestIdentity]] = {}
         self._alive: dict[LossKey, float] = {}
         self._answered: dict[RequestIdentity, float] = {}
@@ -75,7 +75,7 @@
     # News.
 
     def take_pending(self, now: float) -> LossNews | None:
-        """Return what this entry learned itself since the last call, None if nothing."""
+        """Return what this entry observed itself since the last call, None if nothing."""
         known = self.losses.losses()
         lost = [
             _lost_replica(key, known[key], requests & known[key].requests, now)
@@ -92,7 +92,7 @@
         return LossNews(lost, alive, answered, self._host, self._group_outcomes(now))
 
     def all_news(self, now: float) -> LossNews | None:
-        """Return all recorded losses, None if there are none."""
+        """Return news of all recorded losses, None if there are none."""
         lost = [
             _lost_replica(key, loss, loss.requests, now)
             for key, loss in self.losses.losses().items()
@@ -101,8 +101,8 @@
         return LossNews(lost, host=self._host, groups=self._group_outcomes(now)) if lost else None
 
     def suspect_news(self, now: float) -> LossNews | None:
-        """Return the losses that make requests suspect or barred, None if there are none."""
-        suspects = {each.identity for each in self.losses.suspicions()}
+        """Return news of losses that make requests suspect or barred, None if there are none."""
+        suspects = {suspicion.identity for suspicion in self.losses.suspicions()}
         lost = [
             _lost_replica(key, loss, loss.requests & suspects, now)
             for key, loss in self.losses.losses().items()
@@ -113,7 +113,10 @@
     def _group_outcomes(self, now: float) -> list[GroupOutcomeNews]:
         """Return this entry's outcomes of the groups that have a recorded loss."""
         own = {group: self.groups.own(group, now) for group in self.losses.groups()}
-        return [GroupOutcomeNews(group, each.lost, each.answered) for group, each in own.items()]
+        return [
+            GroupOutcomeNews(group, outcomes.lost, outcomes.answered)
+            for group, outcomes in own.items()
+        ]
 
     def receive(self, news: LossNews, now: float) -> None:
         """Store the news of another entry; implausible items are counted and ignored."""
@@ -138,8 +141,8 @@
         if not self._is_plausible(lost.age):
             return
         key = LossKey(lost.replica, lost.started_ms)
-        read = [self._decode_identity(each) for each in lost.requests]
-        identities = [identity for identity in read if identity is not None]
+        decoded = [self._decode_identity(data) for data in lost.requests]
+        identities = [identity for identity in decoded if identity is not None]
         if identities and self._is_evidence(lost.evidence):
             self.losses.blame(key, identities, now - lost.age, Evidence(lost.evidence))
 
@@ -167,20 +170,24 @@
     def update(self, now: float) -> bool:
         """Drop expired losses and log changed standings; return whether any request was barred."""
         self.losses.expire(now)
-        found = {each.identity: each for each in self.losses.suspicions()}
-        standings = {identity: self.losses.standing(identity, now) for identity in found}
+        suspicions = {suspicion.identity: suspicion for suspicion in self.losses.suspicions()}
+        standings = {identity: self.losses.standing(identity, now) for identity in suspicions}
         newly_barred = False
         for identity in standings.keys() | self._standings.keys():
             standing = standings.get(identity, Standing.CLEAR)
             if standing is not self._standings.get(identity, Standing.CLEAR):
                 newly_barred |= standing is Standing.BARRED
-                _log_standing(identity, standing, found.get(identity), now)
+                _log_standing(identity, standing, suspicions.get(identity), now)
         self._standings = standings
         return newly_barred
 
     def barred(self) -> list[RequestIdentity]:
         """Return the requests that were barred at the last `update`."""
-        return [i for i, standing in self._standings.items() if standing is Standing.BARRED]
+        return [
+            identity
+            for identity, standing in self._standings.items()
+            if standing is Standing.BARRED
+        ]
 
     def count_standings(self) -> Counter[Standing]:
         """Return the number of suspect and of barred requests."""
@@ -189,8 +196,11 @@
     def dump(self, now: float) -> list[dict[str, object]]:
         """Return the suspect and barred requests, for the state dump."""
         return [
-            {"standing": self.losses.standing(each.identity, now).value, **_describe(each, now)}
-            for each in self.losses.suspicions()
+            {
+                "standing": self.losses.standing(suspicion.identity, now).value,
+                **_describe(suspicion, now),
+            }
+            for suspicion in self.losses.suspicions()
         ]
 
 
--- a/libs/gateway/src/headcross_gateway/outcomes.py
+++ b/libs/gateway/src/headcross_gateway/outcomes.py
@@ -29,7 +29,7 @@
 
 @dataclass(frozen=True, slots=True)
 class DidNotRun:
-    """The request certainly did not run there."""
+    """The request certainly did not run at the replica."""
 
     reason: ErrorCode
     detail: str
@@ -41,13 +41,13 @@
 
 @dataclass(frozen=True, slots=True)
 class MayRun:
-    """The request may have run there, or may still be running."""
+    """The request may have run at the replica, or may still be running."""
 
     reason: ErrorCode
     detail: str
     silent: bool = False  # the replica sent nothing within the time limit
     withdrawn: bool = False  # this entry withdrew it, which says nothing about the replica
-    broken: bool = False  # the connection broke, but was not closed by this entry
+    broken: bool = False  # the connection broke and was not closed by this entry
 
 
 Outcome = CompleteAnswer | Streamed | DidNotRun | MayRun
--- a/libs/gateway/src/headcross_gateway/refusedrequests.py
+++ b/libs/gateway/src/headcross_gateway/refusedrequests.py
@@ -1,8 +1,9 @@
 """Remembers refused requests, so that a caller that retries is recognized.
 
 A retry has its own request id and may reach another entry of the zone, but it has the same path,
-key and prompt. Entries of a zone send one another hashes of what they refused. Deadlines alone do
-not identify retries: callers with a short time limit of their own were mistaken for them.
+key and prompt. Entries of a zone send one another hashes of the requests that they refused.
+Deadlines alone do not identify retries: callers with a short time limit of their own were mistaken
+for callers that retry.
 
 Only requests that describe their prompt are remembered: others cannot be distinguished from
 similar requests.
@@ -13,7 +14,7 @@
 from typing import Final
 
 # Callers wait for up to a third of their time limit before they retry, 2 s of 6 s as documented;
-# the rest is for transport and a queue. A request that comes later counts as a first try.
+# the remaining time allows for transport and a queue. A later request counts as a first try.
 REFUSAL_RETENTION_SECONDS: Final = 4.0
 # An entry refuses some tens of requests per second at most, and receives as many from each of a
 # few others.
--- a/libs/gateway/src/headcross_gateway/relay.py
+++ b/libs/gateway/src/headcross_gateway/relay.py
@@ -1,8 +1,8 @@
 """Forwards a stream of events to the caller, over as many attempts as needed.
 
-The head is sent with the first whole event, so that an attempt that fails before it is invisible
-to the caller. A stream that is resumed at another replica keeps the first head and continues after
-the last whole event; events that the caller already has are dropped.
+The head is sent together with the first whole event, so that the caller does not notice an attempt
+that fails before that. A stream that is resumed at another replica keeps the first head and
+continues after the last whole event; events that the caller already has are dropped.
 """
 
 import trio
@@ -28,7 +28,7 @@
 
 
 class EventOutOfOrderError(Exception):
-    """The replica left out events."""
+    """The replica skipped events."""
 
 
 class StreamRelay:
@@ -40,7 +40,8 @@
     last_id: str | None
     # The weights version that the stream began on, if the replica stated it.
     weights_version: int | None
-    # On trio's clock, for logs: when the caller got its first event, and the longest pause since.
+    # For logs: when the caller got its first event (trio's clock), and the longest pause between
+    # events since then in seconds.
     first_at: float | None
     longest_pause: float
 
@@ -56,7 +57,7 @@
         self._splitter = EventSplitter()
 
     def begin(self, answer: Answer, weights_version: int | None) -> None:
-        """Begin forwarding the answer of an attempt with this head."""
+        """Begin forwarding the answer of an attempt; `answer` is its head."""
         self._answer = answer
         self._splitter = EventSplitter()
         if not self.started:
@@ -65,27 +66,27 @@
     async def forward(self, data: bytes) -> int:
         """Send the events completed by `data`; return how many were sent.
 
-        An event counts as delivered as soon as its sending begins, so a call that is cancelled
-        must not be followed by another attempt. Raises EventOutOfOrderError if events are missing,
-        after sending those before the gap.
+        An event counts as delivered as soon as its sending begins, so no attempt may follow a call
+        that was cancelled. Raises EventOutOfOrderError if events are missing, after sending those
+        before the gap.
         """
-        fresh: list[bytes] = []
+        new_events: list[bytes] = []
         problem: EventOutOfOrderError | None = None
         for event in self._splitter.feed(data):
             try:
                 if self._is_next(event):
-                    fresh.append(event.data)
+                    new_events.append(event.data)
             except EventOutOfOrderError as error:
                 problem = error
                 break
-        if fresh:
+        if new_events:
             if not self.started:
                 await self._start()
-            await self._exchange.send(b"".join(fresh))
+            await self._exchange.send(b"".join(new_events))
             self._note_time()
         if problem is not None:
             raise problem
-        return len(fresh)
+        return len(new_events)
 
     async def finish(self) -> bool:
         """End the answer; return False and send nothing if it ends within an event."""
@@ -110,7 +111,10 @@
         self._last_at = now
 
     def _is_next(self, event: StreamEvent) -> bool:
-        """Record an event's id; return whether the caller does not have it yet."""
+        """Record an event's id; return whether the caller does not have the event yet.
+
+        Raises EventOutOfOrderError if events before it are missing.
+        """
         if event.id is None or not event.id.isdecimal():
             return True
         if self.last_id is not None and self.last_id.isdecimal():
@@ -124,11 +128,11 @@
 
 def end_to_end_headers(headers: Headers) -> Headers:
     """Return the headers that are forwarded, without the hop-by-hop ones."""
-    named = {
+    connection_headers = {
         token.strip().lower()
         for name, value in headers
         if name == "connection"
         for token in value.split(",")
     }
-    dropped = HOP_BY_HOP_HEADERS | named
+    dropped = HOP_BY_HOP_HEADERS | connection_headers
     return [(name, value) for name, value in headers if name not in dropped]
--- a/libs/gateway/src/headcross_gateway/replicalosses.py
+++ b/libs/gateway/src/headcross_gateway/replicalosses.py
@@ -1,13 +1,13 @@
 """Attributes lost replicas to requests, and decides which requests are suspect or barred.
 
-A request may crash every replica that begins to run it, and it is sent again, by its caller or by
-another one, at any entry. The entries that had sent requests to a lost replica know what ran
-there, and exchange this. Two rules protect requests that merely ran beside such a request:
+A request may crash every replica that begins to run it, and its caller or another one may send it
+again at any entry. The entries that had sent requests to a lost replica know what ran there, and
+exchange this. Two rules protect requests that merely ran on the same replica as such a request:
 
 * A complete answer to a request at any entry shows that it does not crash replicas: every earlier
   loss is removed from its record.
-* Losses are attributed to as few requests as explain all of them. The request with the most losses
-  explains these, and they no longer count against the other requests that ran there.
+* Losses are attributed to as few requests as explain all of them: the losses of the request that
+  has the most count against it, and no longer against the other requests that ran there.
 
 The module does no I/O and reads no clock; `now` is in seconds on one monotonic clock.
 """
@@ -20,10 +20,11 @@
 
 from headcross_gateway.requestidentity import RequestIdentity
 
-# Losses from which on a request gets one replica for each try, and from which on it gets none.
+# A request with this many losses is sent to only one replica for each try (suspect), or to none
+# (barred).
 SUSPECT_LOSSES: Final = 2
 BARRED_LOSSES: Final = 3
-# How long a loss is kept, and how long if the replica is not known to have ended.
+# How long a loss is kept if the replica is known to have ended, and if it is not.
 LOSS_RETENTION_SECONDS: Final = 3600.0
 UNCONFIRMED_LOSS_SECONDS: Final = 12.0
 # How long a request is barred after its last loss; doubles with each further one.
@@ -90,7 +91,7 @@
 
     @property
     def standing(self) -> Standing:
-        """Return the standing, without regard to the end of a bar."""
+        """The standing, whether or not `barred_until` has passed."""
         if self.losses >= BARRED_LOSSES:
             return Standing.BARRED
         is_suspect = self.losses + self.silences >= SUSPECT_LOSSES
@@ -113,11 +114,11 @@
         # When replicas were last found alive: older news of their loss may still arrive.
         self._alive_at: OrderedDict[LossKey, float] = OrderedDict()
         self._suspicions: dict[RequestIdentity, Suspicion] = {}
-        # The losses by request, and how many blamed requests each scope has.
-        self._lost_under: dict[RequestIdentity, set[LossKey]] = {}
-        self._scopes: Counter[bytes] = Counter()
+        # The losses of each request, and the number of requests with losses in each scope.
+        self._losses_by_request: dict[RequestIdentity, set[LossKey]] = {}
+        self._request_counts_by_scope: Counter[bytes] = Counter()
         # Whether the suspicions reflect the current losses.
-        self._is_current = True
+        self._suspicions_are_current = True
 
     # Input.
 
@@ -128,48 +129,48 @@
         at: float,
         evidence: Evidence = Evidence.BROKEN,
     ) -> bool:
-        """Record requests that were on a replica when it was lost; return whether that is new."""
+        """Record requests that were on a replica when it was lost; return whether that is news."""
         if self._alive_at.get(key, NEVER) >= at:
             return False
         loss = self._losses.setdefault(key, Loss(at, evidence))
         is_stronger = evidence > loss.evidence
         loss.at, loss.evidence = min(loss.at, at), max(loss.evidence, evidence)
-        new = {each for each in requests if self._may_blame(each, loss)}
+        new = {identity for identity in requests if self._may_blame(identity, loss)}
         room = MAX_REQUESTS_PER_LOSS - len(loss.requests)
         for identity in list(new)[:room]:
             self._add(key, identity)
         self._drop_excess()
         is_news = is_stronger or bool(new and room)
-        self._is_current = not is_news and self._is_current
+        self._suspicions_are_current = not is_news and self._suspicions_are_current
         return is_news
 
     def _may_blame(self, identity: RequestIdentity, loss: Loss) -> bool:
         if identity in loss.requests:
             return False
-        good_for = KNOWN_GOOD_SECONDS if loss.evidence is Evidence.SILENT else 0.0
-        return self._answered_at.get(identity, NEVER) + good_for < loss.at
+        known_good_seconds = KNOWN_GOOD_SECONDS if loss.evidence is Evidence.SILENT else 0.0
+        return self._answered_at.get(identity, NEVER) + known_good_seconds < loss.at
 
     def retract(self, key: LossKey, at: float) -> bool:
         """Drop an uncertain loss of a replica that was alive at `at`; return whether it existed.
 
-        Only connections to the replica were lost.
+        The evidence was wrong: connections to the replica broke or were silent, but it still ran.
         """
         loss = self._losses.get(key)
         if loss is None or loss.is_certain or loss.at > at:
             return False
         self._drop(key)
         _remember(self._alive_at, key, at, MAX_LOSSES)
-        self._is_current = False
+        self._suspicions_are_current = False
         return True
 
     def note_answer(self, identity: RequestIdentity, at: float) -> bool:
         """Record a complete answer to a request; return whether earlier losses were removed."""
         _remember(self._answered_at, identity, at, MAX_ANSWERED)
-        blamed_for = self._lost_under.get(identity, set())
+        blamed_for = self._losses_by_request.get(identity, set())
         earlier = [key for key in blamed_for if self._losses[key].at <= at]
         for key in earlier:
             self._remove(key, identity)
-        self._is_current = not earlier and self._is_current
+        self._suspicions_are_current = not earlier and self._suspicions_are_current
         return bool(earlier)
 
     def expire(self, now: float) -> None:
@@ -177,21 +178,21 @@
         expired = [key for key, loss in self._losses.items() if now >= loss.expires_at()]
         for key in expired:
             self._drop(key)
-        self._is_current = not expired and self._is_current
+        self._suspicions_are_current = not expired and self._suspicions_are_current
 
     # Decisions.
 
     @property
     def is_empty(self) -> bool:
         """Whether no loss is recorded against any request."""
-        return not self._lost_under
+        return not self._losses_by_request
 
-    def concerns(self, scope: bytes) -> bool:
+    def has_loss_in_scope(self, scope: bytes) -> bool:
         """Return whether any request of this scope has a recorded loss."""
-        return scope in self._scopes
+        return scope in self._request_counts_by_scope
 
     def standing(self, identity: RequestIdentity, now: float) -> Standing:
-        """Return a request's standing; a barred one is suspect again when its bar is over."""
+        """Return a request's standing; a barred one is only suspect after `barred_until`."""
         self._update_suspicions()
         suspicion = self._suspicions.get(identity)
         if suspicion is None:
@@ -208,17 +209,17 @@
     def suspicions(self) -> list[Suspicion]:
         """Return the requests that are suspect or barred."""
         self._update_suspicions()
-        found = self._suspicions.values()
-        return [each for each in found if each.standing is not Standing.CLEAR]
+        suspicions = self._suspicions.values()
+        return [s for s in suspicions if s.standing is not Standing.CLEAR]
 
     def groups(self) -> set[bytes]:
         """Return the groups of all requests that have a recorded loss."""
-        return {each.group for loss in self._losses.values() for each in loss.requests}
+        return {identity.group for loss in self._losses.values() for identity in loss.requests}
 
-    def lost_under(self, group: bytes) -> list[float]:
+    def loss_times(self, group: bytes) -> list[float]:
         """Return the times of the losses that count against a group.
 
-        Losses that a barred request explains, and replicas that only fell silent, do not count.
+        Losses that a barred request explains do not count, nor do replicas that only fell silent.
         """
         self._update_suspicions()
         barred = {s.identity for s in self._suspicions.values() if s.losses >= BARRED_LOSSES}
@@ -227,7 +228,7 @@
             for loss in self._losses.values()
             if loss.evidence > Evidence.SILENT
             and not loss.requests & barred
-            and any(each.group == group for each in loss.requests)
+            and any(identity.group == group for identity in loss.requests)
         ]
 
     def losses(self) -> dict[LossKey, Loss]:
@@ -236,12 +237,12 @@
 
     def _update_suspicions(self) -> None:
         """Attribute the losses to as few requests as explain them, if they have changed."""
-        if self._is_current:
+        if self._suspicions_are_current:
             return
-        self._is_current = True
+        self._suspicions_are_current = True
         blamed_for: dict[RequestIdentity, set[LossKey]] = {}
         silent_under: dict[RequestIdentity, set[LossKey]] = {}
-        for identity, keys in self._lost_under.items():
+        for identity, keys in self._losses_by_request.items():
             # A single loss has no effect, neither on this request nor on others.
             if len(keys) < SUSPECT_LOSSES:
                 continue
@@ -274,20 +275,20 @@
 
     def _add(self, key: LossKey, identity: RequestIdentity) -> None:
         self._losses[key].requests.add(identity)
-        if identity not in self._lost_under:
-            self._lost_under[identity] = set()
-            self._scopes[identity.scope] += 1
-        self._lost_under[identity].add(key)
+        if identity not in self._losses_by_request:
+            self._losses_by_request[identity] = set()
+            self._request_counts_by_scope[identity.scope] += 1
+        self._losses_by_request[identity].add(key)
 
     def _remove(self, key: LossKey, identity: RequestIdentity) -> None:
         self._losses[key].requests.discard(identity)
-        self._lost_under[identity].discard(key)
-        if self._lost_under[identity]:
+        self._losses_by_request[identity].discard(key)
+        if self._losses_by_request[identity]:
             return
-        del self._lost_under[identity]
-        self._scopes[identity.scope] -= 1
-        if not self._scopes[identity.scope]:
-            del self._scopes[identity.scope]
+        del self._losses_by_request[identity]
+        self._request_counts_by_scope[identity.scope] -= 1
+        if not self._request_counts_by_scope[identity.scope]:
+            del self._request_counts_by_scope[identity.scope]
 
     def _drop(self, key: LossKey) -> None:
         """Remove a loss from all indexes."""
@@ -299,22 +300,27 @@
 def _attribute_losses(
     blamed_for: dict[RequestIdentity, set[LossKey]],
 ) -> dict[RequestIdentity, frozenset[LossKey]]:
-    """Return the losses attributed to each request; each loss to as few requests as possible."""
+    """Return the losses attributed to each request, each loss to as few requests as possible.
+
+    In each round, the requests with the most unexplained losses explain all of theirs.
+    """
     explained_by: dict[RequestIdentity, frozenset[LossKey]] = {}
-    left = {identity: frozenset(keys) for identity, keys in blamed_for.items()}
-    while left:
-        most = max(len(keys) for keys in left.values())
-        found = {identity: keys for identity, keys in left.items() if len(keys) == most}
-        explained_by |= found
-        explained = frozenset[LossKey]().union(*found.values()) if most >= SUSPECT_LOSSES else ()
-        rest = {i: keys.difference(explained) for i, keys in left.items() if i not in found}
-        left = {identity: keys for identity, keys in rest.items() if keys}
+    unexplained = {identity: frozenset(keys) for identity, keys in blamed_for.items()}
+    while unexplained:
+        most = max(len(keys) for keys in unexplained.values())
+        worst = {identity: keys for identity, keys in unexplained.items() if len(keys) == most}
+        explained_by |= worst
+        explained = frozenset[LossKey]().union(*worst.values()) if most >= SUSPECT_LOSSES else ()
+        others = {
+            i: keys.difference(explained) for i, keys in unexplained.items() if i not in worst
+        }
+        unexplained = {identity: keys for identity, keys in others.items() if keys}
     return explained_by
 
 
-def _remember(moments: OrderedDict[K, float], key: K, at: float, most: int) -> None:
-    """Store the latest time for a key, and drop the least recently stored beyond `most` keys."""
-    moments[key] = max(at, moments.get(key, at))
-    moments.move_to_end(key)
-    while len(moments) > most:
-        moments.popitem(last=False)
+def _remember(times: OrderedDict[K, float], key: K, at: float, max_keys: int) -> None:
+    """Store the latest time for a key, and drop the least recently stored beyond `max_keys`."""
+    times[key] = max(at, times.get(key, at))
+    times.move_to_end(key)
+    while len(times) > max_keys:
+        times.popitem(last=False)
--- a/libs/gateway/src/headcross_gateway/replicanews.py
+++ b/libs/gateway/src/headcross_gateway/replicanews.py
@@ -1,9 +1,9 @@
 """Exchanges what replicas ask of entries (limits, leaving) between entries.
 
 An entry learns from the answers to its own requests what a replica asks of all entries. It sends
-this to the others at once, and everything it knows to a few of them at intervals, so that entries
-that start or were disconnected learn it too. News may arrive late, twice or never: the newer item
-of a replica applies. Implausible items are ignored.
+this to the others at once. It also sends everything it knows to a few of them at intervals, so
+that entries that start or were disconnected learn it too. News may arrive late, twice or never; of
+two items about a replica, the newer one applies. Implausible items are ignored.
 """
 
 import logging
@@ -17,7 +17,7 @@
 from headcross_gateway.backpressure import Backpressure
 from headcross_gateway.replicastate import ReplicaState
 
-# Items in one message; more than a fleet of the intended size has at one time.
+# Maximum number of items in one message; a fleet of the intended size never has that many.
 MAX_ITEMS: Final = 1024
 # An older item says nothing about the present state of the replica.
 MAX_AGE_SECONDS: Final = 3600.0
@@ -26,7 +26,7 @@
 
 
 def pending_news(states: Iterable[ReplicaState], now: float) -> ReplicaNews | None:
-    """Return what answers to this entry showed since the last call, None if nothing."""
+    """Return what this entry learned from answers since the last call, None if nothing."""
     pending = [state for state in states if state.backpressure.has_pending_news()]
     for state in pending:
         state.backpressure.mark_sent()
@@ -34,7 +34,7 @@
 
 
 def all_news(states: Iterable[ReplicaState], now: float) -> ReplicaNews | None:
-    """Return the limits of all replicas and which replicas leave, None if there are none."""
+    """Return news of all replicas that have a limit or leave, None if there are none."""
     return _news([state for state in states if _has_limit_or_leaves(state.backpressure)], now)
 
 
@@ -80,7 +80,6 @@
 
 
 def _has_limit_or_leaves(backpressure: Backpressure) -> bool:
-    """Return whether a replica has a limit or leaves."""
     return backpressure.leaving or backpressure.limit.per_second is not None
 
 
--- a/libs/gateway/src/headcross_gateway/replicastate.py
+++ b/libs/gateway/src/headcross_gateway/replicastate.py
@@ -23,26 +23,26 @@
 
 # How long a load report is valid.
 REPORT_VALID_SECONDS: Final = 1.5
-# Age from which the last report counts as late; daemons report every 0.15 s to 0.45 s.
+# Age from which on the last load report counts as late; daemons report every 0.15 s to 0.45 s.
 REPORT_LATE_SECONDS: Final = 0.8
 # Requests that all entries together may send to a replica between two of its load reports.
 MAX_PLACED_BETWEEN_REPORTS: Final = 6
-# A replica whose list entry lapsed around an outage of the store stays in use while a report at
-# most LAPSED_REPORT_SECONDS old says that it answers, or, if its daemon never reported, while it
-# answered a request at most LAPSED_ANSWERED_SECONDS ago.
+# A replica whose list entry lapsed around an outage of the store stays in use while a load report
+# at most LAPSED_REPORT_SECONDS old says that its daemon reaches it, or, if no daemon reported it,
+# while its last answer is at most LAPSED_ANSWERED_SECONDS old.
 LAPSED_REPORT_SECONDS: Final = 0.8
 LAPSED_ANSWERED_SECONDS: Final = 2.0
 # Shortly before the bound on its version, a replica whose daemon reports is tried only if the
-# daemon has received a subscription that this entry sent within this time. Entries then subscribe
-# every 0.3 s, and daemons report every 0.15 s to 0.45 s. A link with too little bandwidth delays
-# subscriptions for longer.
+# daemon has received a subscription that this entry sent within this time. Near a bound, entries
+# renew their subscriptions every 0.3 s, and daemons report every 0.15 s to 0.45 s. A link with too
+# little bandwidth delays subscriptions for longer than this time.
 LINK_DELIVERY_SECONDS: Final = 1.2
 # A replica that its daemon has not reached for this long counts as ended.
 OUT_OF_REACH_SECONDS: Final = 1.5
 # How long a replica is not tried again after it refused a request for lack of room.
 FULL_BACKOFF_SECONDS: Final = 0.12
-# How long a replica is not tried again if it holds another version than its late report says; the
-# list shows the version within about a second.
+# How long a replica is not tried again if its reports are late and it holds another version than
+# the last one says; the list shows the version within about a second.
 OTHER_VERSION_BACKOFF_SECONDS: Final = 1.0
 
 logger = logging.getLogger(__name__)
@@ -55,7 +55,7 @@
     load: ReplicaLoad
     at: float  # time of receipt (monotonic)
     own_in_flight: int  # requests of this entry in flight at that time
-    own_placed_since: int = 0  # requests that this entry has sent since
+    own_placed_since: int = 0  # requests that this entry has sent since then
     allowance: int = 1  # requests that this entry may send until the next report
 
 
@@ -67,27 +67,27 @@
     in_flight: int = 0  # requests of this entry in flight there
     last_report: LoadReport | None = None
     backoff_until: float = 0.0
-    # This entry's share of the replica's slots and of its rate limit, 0 to 1: an equal share among
-    # the entries that its daemon reports to, and before its first report among the known entries.
+    # This entry's share of the replica's slots and of its rate limit, 0 to 1. All entries that its
+    # daemon reports to have equal shares; before its first report, all known entries have.
     own_share: float = 1.0
     health: Health = field(default_factory=Health)
     waits: WaitTimes = field(default_factory=WaitTimes)
-    # Whether it is in this entry's subset; other replicas are used only when all of these are
+    # Whether it is in this entry's subset. Replicas outside of it are used only when all in it are
     # full.
     in_subset: bool = True
-    # It is excluded from the subset until then, because it or its daemon did not answer
+    # Until when it is excluded from the subset, because it or its daemon did not answer
     # (monotonic).
     excluded_until: float = 0.0
     # Whether another incarnation has replaced it or it is no longer listed. Neither is reverted.
     replaced_or_unlisted: bool = False
-    # Its list entry lapsed around an outage of the store; it is used until then at most
+    # Until when it is used at most, if its list entry lapsed around an outage of the store
     # (monotonic).
     lapsed_until: float | None = None
     # Since when its daemon has not reached it (monotonic); None while it reaches it.
     out_of_reach_since: float | None = None
     # Which of its versions are confirmed to be loaded completely.
     confirmed_loads: ConfirmedLoads = field(init=False)
-    # The backpressure that its answers signal to this entry.
+    # What its answers and other entries report about its limit, rest and leaving.
     backpressure: Backpressure = field(init=False)
 
     def __post_init__(self) -> None:
@@ -103,22 +103,23 @@
         return self.last_report is not None and self.report_age() > REPORT_LATE_SECONDS
 
     def is_delivering(self) -> bool:
-        """Return whether a recent subscription has reached its daemon, or its report is missing.
+        """Return whether a recent subscription reached its daemon; true if reports are missing.
 
-        This only saves an attempt: each request to old weights has its own proof (see linkproofs).
+        This check only avoids attempts that would fail: for each request to old weights the link
+        is proven separately (see `linkproofs`).
         """
         if self.last_report is None or self.is_report_late():
             return True
         return monotonic() - self.last_report.load.subscribed_ms / 1000 < LINK_DELIVERY_SECONDS
 
-    def fresh_load(self) -> ReplicaLoad | None:
+    def reported_load(self) -> ReplicaLoad | None:
         """Return the reported load, None if there is no valid report."""
         if self.last_report is None or self.report_age() > REPORT_VALID_SECONDS:
             return None
         return self.last_report.load
 
     def load(self) -> float:
-        """Return its number of requests: this entry's, and others' by the last valid report."""
+        """Return its number of requests: this entry's, plus the others' in a valid report."""
         report = self.last_report
         if report is None or self.report_age() > REPORT_VALID_SECONDS:
             return self.in_flight
@@ -128,26 +129,26 @@
     def has_room(self, reserved: float = 0.0) -> bool:
         """Return whether a slot is free as far as is known; `reserved` is the share to leave free.
 
-        All slots are used: a request that comes slightly too soon waits less at the replica than
-        it would for another attempt.
+        No slot is kept free as a margin: a request that arrives slightly before a slot is free
+        waits less at the replica than it would for another attempt.
         """
         now = monotonic()
         if now < self.backoff_until or self._is_limited_outside_subset():
             return False
-        if not self.backpressure.wants_request(self.own_share, now):
+        if not self.backpressure.accepts_request(self.own_share, now):
             return False
         if reserved and self.load() > (1 - reserved) * self.replica.slots:
             return False
         if not self.replica.loaded and self.last_report is None:
             return self.load() < self.replica.slots  # a plain service: no daemon reports its load
-        if self.fresh_load() is None:
-            # The requests of other entries are unknown, so each entry keeps to its own share.
+        if self.reported_load() is None:
+            # The requests of other entries are unknown, so each entry uses only its own share.
             return self.in_flight < max(1.0, self.replica.slots * self.own_share)
         assert self.last_report is not None
-        free = self.replica.slots - self.load()
+        free_slots = self.replica.slots - self.load()
         # Of the requests sent since the last report, at most those in flight can still be there.
-        placed = min(self.last_report.own_placed_since, self.in_flight)
-        return free > 0 and placed < self.last_report.allowance
+        placed_since = min(self.last_report.own_placed_since, self.in_flight)
+        return free_slots > 0 and placed_since < self.last_report.allowance
 
     def seconds_to_next(self) -> float:
         """Return the seconds until it accepts a request of this entry, 0 if it does now."""
@@ -156,11 +157,11 @@
         return self.backpressure.seconds_to_next(self.own_share, monotonic())
 
     def _is_limited_outside_subset(self) -> bool:
-        """Return whether its limit is for other entries: those whose subset it is in share it."""
+        """Return whether a rate limit reserves it for the entries that have it in their subset."""
         return not self.in_subset and self.backpressure.limit.per_second is not None
 
     def is_usable(self, now: float) -> bool:
-        """Return whether it is useful in the subset: it holds weights, stays and answers."""
+        """Return whether it may be in the subset: it has weights, stays and is not excluded."""
         listed = self.replica
         return bool(listed.loaded) and not self.is_leaving() and now >= self.excluded_until
 
@@ -196,7 +197,7 @@
                     self.health.note_silence()
 
     def note_signals(self, signals: BackpressureSignals, sent_at: float) -> None:
-        """Record the backpressure of an answer whose request was sent at `sent_at` (monotonic)."""
+        """Record the signals in an answer whose request was sent at `sent_at` (monotonic)."""
         self.backpressure.note_answer(signals, sent_at, self.own_share, monotonic())
 
     def reserve_slot(self) -> None:
@@ -211,18 +212,18 @@
         self.in_flight -= 1
         self.backpressure.note_ended()
 
-    def reported_reachable(self) -> bool:
+    def is_reported_reachable(self) -> bool:
         """Return whether its daemon reaches it; true without a valid report."""
-        load = self.fresh_load()
+        load = self.reported_load()
         return load is None or load.reachable
 
-    def reported_leaving(self) -> bool:
+    def is_reported_leaving(self) -> bool:
         """Return whether its daemon reports that it takes no requests, to load weights."""
-        load = self.fresh_load()
+        load = self.reported_load()
         return load is not None and load.leaving
 
     def is_leaving(self) -> bool:
-        """Return whether it announced that it leaves, in the list, an answer or a report."""
+        """Return whether it announced in the list, an answer or a report that it leaves."""
         return self.replica.draining or self.backpressure.leaving
 
     def is_gone(self) -> bool:
@@ -264,17 +265,18 @@
         if self.replaced_or_unlisted or self.has_conflicting_incarnations():
             return True
         since = self.out_of_reach_since
-        if since is None or self.fresh_load() is None:
+        if since is None or self.reported_load() is None:
             return False
         return monotonic() - since >= OUT_OF_REACH_SECONDS
 
     def has_conflicting_incarnations(self) -> bool:
         """Return whether the list and the last valid report name different incarnations.
 
-        Which one is the later is not known then, nor whether it holds weights: a new incarnation
-        starts without. The list and the daemon agree again within a second or two.
+        Then it is not known which of the two is the later one, nor whether the replica holds
+        weights: a new incarnation starts without any. The list and the daemon agree again within a
+        second or two.
         """
-        load = self.fresh_load()
+        load = self.reported_load()
         return load is not None and self._is_other_incarnation(load)
 
     def _is_other_incarnation(self, load: ReplicaLoad) -> bool:
@@ -282,15 +284,15 @@
         return reported.is_other_than(self.replica.incarnation)
 
     def is_unavailable(self) -> bool:
-        """Return whether it must get no requests: it leaves, is gone, loads or has restarted."""
-        if self.is_leaving() or self.is_gone() or self.reported_leaving():
+        """Return whether it must get no requests: it leaves, has ended, loads or restarted."""
+        if self.is_leaving() or self.is_gone() or self.is_reported_leaving():
             return True
         return self.has_conflicting_incarnations()
 
     def is_responsive(self) -> bool:
         """Return whether it and its daemon answer, as far as this entry knows."""
         return (
-            self.reported_reachable()
+            self.is_reported_reachable()
             and not self.is_report_late()
             and not self.health.is_ejected()
         )
@@ -301,17 +303,17 @@
         return held if held is not None and self.confirmed_loads.may_serve(model, held) else None
 
     def version_to_expect(self, model: str) -> int | None:
-        """Return the version that a request must require explicitly, None if it need not.
+        """Return the version that a request must require explicitly, None if it need not do so.
 
-        While reports are late, the entry does not learn that the replica loads another version,
-        nor whether that load is complete.
+        This is needed while reports are late: the entry then does not learn whether the replica
+        loads another version, nor whether that load is complete.
         """
         return self.version_of(model) if self.is_report_late() else None
 
     def held_version(self, model: str) -> int | None:
         """Return the version of a model that it holds, even if it may not serve it."""
         listed = next((m.version for m in self.replica.loaded if m.model == model), None)
-        load = self.fresh_load()
+        load = self.reported_load()
         reported = load.versions.get(model) if load is not None else None
         if listed is None or reported is None:
             return reported if listed is None else listed
--- a/libs/gateway/src/headcross_gateway/requestidentity.py
+++ b/libs/gateway/src/headcross_gateway/requestidentity.py
@@ -1,4 +1,4 @@
-"""Identifies a request independent of who sends it again and at which entry.
+"""Identifies a request independently of who sends it again and at which entry.
 
 Each try of a caller has its own request id. Two tries are the same request if they have the same
 method, host, path with query, key and body. Headers that describe the prompt are not part of the
--- a/libs/gateway/src/headcross_gateway/requestlimit.py
+++ b/libs/gateway/src/headcross_gateway/requestlimit.py
@@ -1,10 +1,10 @@
 """Paces requests to the limit that a replica names, in requests per second of all entries.
 
 No entry knows what the others send. Each paces its own requests to its share of the limit, so that
-all together stay within what the limit allows in any window of WINDOW_SECONDS, whichever entries
-have requests. Pacing gives an entry one permit per period. A permit that an entry did not use may
-be saved only as far as all entries may do so at once; if there are too many entries for that, it
-expires.
+all together stay within what the limit allows in any window of WINDOW_SECONDS, however the
+requests are distributed over the entries. An entry gets one permit per period. It saves an unused
+permit only for as long as all entries may do so at the same time; if there are too many entries
+for that, the permit expires.
 
 Times are in seconds on any one clock that does not go back.
 """
@@ -21,16 +21,17 @@
 WINDOW_EXTRA_REQUESTS: Final = 5
 # The longest time for which an unused permit is saved.
 MAX_SAVED_SECONDS: Final = 1.5
-# If permits expire, each can be used for PERMIT_LIFETIME_SECONDS, and only this fraction of the
-# limit is used, since permits of several entries may coincide.
+# If permits expire, each can be used for PERMIT_LIFETIME_SECONDS. Entries then use only this
+# fraction of the limit, since the permits of several entries may coincide.
 PERMIT_LIFETIME_SECONDS: Final = 1.0
 EXPIRING_LIMIT_FRACTION: Final = 0.75
-# Lower limits are raised to this one, so that a request now and then probes whether the limit
+# Lower limits are raised to this value, so that an occasional request probes whether the limit
 # still applies.
 MIN_LIMIT_PER_SECOND: Final = 0.25
-MIN_EXPIRING_LIMIT_PER_SECOND: Final = 0.1  # the same if permits expire
-# Each entry probes a lower limit once per interval, as far as the requests allowed in a window
-# have room for that, and all entries together send at most MAX_PROBES_PER_SECOND.
+MIN_EXPIRING_LIMIT_PER_SECOND: Final = 0.1  # the same for the case that permits expire
+# At a limit so low that an entry's share of it is less than one request per interval, each entry
+# still sends one as a probe, as far as the requests allowed in a window have room for that. All
+# entries together send at most MAX_PROBES_PER_SECOND.
 PROBE_INTERVAL_SECONDS: Final = 3.5
 MAX_PROBES_PER_SECOND: Final = 0.6
 
@@ -48,8 +49,8 @@
         """Apply the limit that an answer names, None if it names none; return whether it changed.
 
         An answer without a limit ends the limit only if its request was sent after the limit was
-        known: other answers may have been given before the limit and arrive after it. `share` is
-        this entry's share of the limit, 0 to 1.
+        known: an answer to an earlier request may have been sent before the limit applied and
+        arrive later. `share` is this entry's share of the limit, 0 to 1.
         """
         if limit is None and (self.per_second is None or sent_at <= self.stated_at):
             return False
@@ -60,7 +61,7 @@
     def receive(self, limit: float | None, stated_at: float, share: float, now: float) -> bool:
         """Apply a limit that a replica stated at `stated_at`; return whether the limit changed.
 
-        It is ignored if a statement of the same time or later is known.
+        It is ignored if a statement that is not older is known already.
         """
         if stated_at <= self.stated_at:
             return False
@@ -87,13 +88,13 @@
         self._next_at = used + 1 / self._rate(share)
 
     def _draw_first_permit(self, share: float, now: float) -> None:
-        """Set the first permit at a random time, so that the permits of entries differ."""
+        """Set the first permit to a random time, so that entries do not send at the same time."""
         self._next_at = now + random.uniform(0.0, 1 / self._rate(share))
 
     def _next_permit(self, share: float, now: float) -> float:
         """Return the time from which the next permit may be used."""
         period = 1 / self._rate(share)
-        # A smaller earlier share or limit must not cause a wait longer than the present period.
+        # A period that was longer under an earlier share or limit must not prolong the wait.
         next_at = min(self._next_at, now + period)
         if self._permits_expire(share) and now - next_at > PERMIT_LIFETIME_SECONDS:
             next_at += math.ceil((now - PERMIT_LIFETIME_SECONDS - next_at) / period) * period
--- a/libs/gateway/src/headcross_gateway/requestlog.py
+++ b/libs/gateway/src/headcross_gateway/requestlog.py
@@ -21,7 +21,7 @@
     """The weights that a replica held when an attempt was sent to it."""
 
     version: int | None  # None for a service without weights
-    seconds_left: float  # how long the version still took requests; infinite if not superseded
+    seconds_left: float  # how long the version still took requests; infinite if none is newer
 
 
 def log_attempt(
@@ -31,7 +31,10 @@
     weights: AttemptWeights,
     times: AttemptTimes,
 ) -> None:
-    """Log an attempt with the data its replica was picked by; call after recording the outcome."""
+    """Log an attempt with the data by which its replica was picked.
+
+    Must be called after the outcome was recorded in `replica_state`.
+    """
     result, detail = _result_of(outcome)
     fields: dict[str, object] = {
         "request": request.facts.id,
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -2,7 +2,7 @@
 
 The steps in order: read the request and find its route; acquire a slot at a replica; make attempts
 as far as the route, the retry budget and the deadline allow; send the answer, or a refusal that
-says whether the request may have run. A request that the entry gives up on is answered at once.
+says whether the request may have run. A refusal is sent as soon as no further attempt is possible.
 """
 
 import math
@@ -66,10 +66,11 @@
 
 # Queue priority of a request that may have run: ahead of all others.
 RERUN_PRIORITY: Final = -1
-# Retry-after time that a draining entry gives; another entry will serve the caller.
+# Retry-After value that a draining entry sends; another entry will serve the caller.
 DRAINING_RETRY_AFTER_SECONDS: Final = 0.02
 
-Observe = Callable[[str, str, float], None]  # service, verdict, seconds
+# Called with the service, the name of the verdict and the seconds since the request arrived.
+VerdictObserver = Callable[[str, str, float], None]
 
 
 class RequestPath:
@@ -92,7 +93,7 @@
         budget: RetryBudget,
         overload: Overload,
         containment: Containment,
-        observe: Observe,
+        observe_verdict: VerdictObserver,
     ) -> None:
         self.counts = Counter()
         self.in_flight = 0
@@ -107,7 +108,7 @@
         self._overload = overload
         self._containment = containment
         self._retries = Retries(admission, budget, containment)
-        self._observe = observe
+        self._observe_verdict = observe_verdict
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one request: answer it, or refuse it with a reason."""
@@ -138,7 +139,7 @@
     # Admission.
 
     def _admit(self, exchange: Exchange) -> Admitted | NotAdmitted:
-        """Find the route, team and deadline of a request; return why if it is not admitted."""
+        """Find the route, team and deadline of a request, or refuse it."""
         now = trio.current_time()
         request = exchange.request
         facts = self._dialect.read_request(request.headers)
@@ -188,24 +189,28 @@
         requirements = requirements_of(
             request.facts, request.service, request.route.repetition.may_run_again
         )
-        last: Refusal | None = None
+        last_refusal: Refusal | None = None
         while True:
             refusal = self._containment.refusal_of(request)
             if refusal is not None:
-                return self._final_refusal(request, self._stronger_refusal(last, refusal))
+                return self._final_refusal(request, self._stronger_refusal(last_refusal, refusal))
             requirements = replace(
-                requirements, tried=frozenset(request.tried), exact_version=request.bound_version
+                requirements, tried=frozenset(request.tried), exact_version=request.resume_version
             )
             replica_state = await self._acquire_slot(request, requirements)
             if replica_state is None:
-                opening = self._admission.seconds_to_opening(requirements, request.configuration)
+                opening_seconds = self._admission.seconds_to_opening(
+                    requirements, request.configuration
+                )
                 if not request.runs:
                     self._overload.note_refused(
                         request.service,
                         is_caller_retry=request.is_caller_retry,
-                        has_serving_replica=opening < math.inf,
+                        has_serving_replica=opening_seconds < math.inf,
                     )
-                return self._final_refusal(request, self._no_room_refusal(request, last, opening))
+                return self._final_refusal(
+                    request, self._no_room_refusal(request, last_refusal, opening_seconds)
+                )
             if self._containment.refusal_of(request) is not None:
                 self._admission.release_slot(replica_state)
                 continue
@@ -223,8 +228,8 @@
                 seconds = trio.current_time() - assigned_at
                 self._overload.note_answer(request.service, seconds)
             if not isinstance(outcome, DidNotRun):
-                # A replica that refused may have room shortly, so it is not excluded. One that may
-                # have run the request is not tried again.
+                # A replica that may have run the request is not tried again. One that refused it
+                # may have a free slot shortly, so it is not excluded.
                 request.tried.add(replica_state.replica.id)
             match outcome:
                 case CompleteAnswer():
@@ -234,38 +239,44 @@
                 case Streamed():
                     return Completed(200)
                 case DidNotRun(reason=reason, detail=detail):
-                    last = self._stronger_refusal(
-                        last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
+                    last_refusal = self._stronger_refusal(
+                        last_refusal, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
                     )
                     if not self._retries.take_retry_after_refusal(request, outcome):
-                        opening = self._admission.seconds_to_opening(
+                        opening_seconds = self._admission.seconds_to_opening(
                             requirements, request.configuration
                         )
                         return self._final_refusal(
-                            request, self._no_room_refusal(request, last, opening)
+                            request, self._no_room_refusal(request, last_refusal, opening_seconds)
                         )
                 case MayRun(reason=reason, detail=detail):
-                    last = MayHaveRun(reason, detail)
+                    last_refusal = MayHaveRun(reason, detail)
                     if not self._retries.take_retry_to_rerun(request):
-                        return self._final_refusal(request, last)
+                        return self._final_refusal(request, last_refusal)
 
-    def _no_room_refusal(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
+    def _no_room_refusal(
+        self, request: Admitted, last_refusal: Refusal | None, opening_seconds: float
+    ) -> Refusal:
         """Return the refusal of a request that found no slot.
 
-        `opening` is the time until a replica accepts a request, in seconds; infinite if none may
-        serve it.
+        `opening_seconds` is the time until a replica accepts a request, infinite if none may serve
+        it.
         """
-        if isinstance(last, MayHaveRun):
-            return last
-        if opening == math.inf:
-            return last or NotRun(
+        if isinstance(last_refusal, MayHaveRun):
+            return last_refusal
+        if opening_seconds == math.inf:
+            return last_refusal or NotRun(
                 NO_REPLICA, "no replica may serve this now", MAX_RETRY_AFTER_SECONDS
             )
-        seconds = self._overload.retry_after_seconds(request.service, opening)
-        if last is not None:
-            return replace(last, retry_after_seconds=seconds) if opening > 0 else last
-        if opening > 0:
-            detail = f"no replica wants a request for another {opening:.2f} s"
+        seconds = self._overload.retry_after_seconds(request.service, opening_seconds)
+        if last_refusal is not None:
+            return (
+                replace(last_refusal, retry_after_seconds=seconds)
+                if opening_seconds > 0
+                else last_refusal
+            )
+        if opening_seconds > 0:
+            detail = f"no replica wants a request for another {opening_seconds:.2f} s"
             return NotRun(NO_ROOM, detail, seconds)
         return NotRun(NO_ROOM, self._no_room_detail(request), seconds)
 
@@ -281,19 +292,19 @@
         now = trio.current_time()
         priority = request.priority
         is_caller_retry = request.is_caller_retry and not request.tried
-        opening = self._admission.seconds_to_opening(requirements, request.configuration)
-        has_serving_replica = opening < math.inf
+        opening_seconds = self._admission.seconds_to_opening(requirements, request.configuration)
+        has_serving_replica = opening_seconds < math.inf
         wait = self._wait_seconds(request, is_caller_retry, has_serving_replica)
         if request.tried:
-            # It may have run: without a slot it fails for good, so it goes first.
+            # It may have run, so it fails for good without a slot. Therefore it goes first.
             until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
         elif request.refusals or request.unreached:
             until = now + wait
         else:
             until = request.arrived_at + wait
         until = min(until, request.deadline)
-        last = self._overload.queues_last(is_caller_retry=is_caller_retry)
-        order = QueueOrder(priority, last, request.deadline)
+        queues_last = self._overload.queues_last(is_caller_retry=is_caller_retry)
+        order = QueueOrder(priority, queues_last, request.deadline)
         return await self._admission.acquire_slot(
             requirements, request.configuration, order, until, is_caller_retry=is_caller_retry
         )
@@ -305,11 +316,14 @@
         if not is_caller_retry:
             return self._overload.wait_seconds(aim, has_serving_replica=has_serving_replica)
         return self._overload.caller_retry_wait_seconds(
-            request.service, aim, request.remaining, has_serving_replica=has_serving_replica
+            request.service,
+            aim,
+            request.remaining_seconds,
+            has_serving_replica=has_serving_replica,
         )
 
     def _weights_of(self, request: Admitted, replica_state: ReplicaState) -> AttemptWeights:
-        """Return the weights of a replica for a request, and how long they may take requests."""
+        """Return the version that a replica serves, and how long it may still take requests."""
         model = request.facts.model
         version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
@@ -329,7 +343,7 @@
         resume_after = relay.last_id if relay is not None else None
         hand_over = HandOver(
             replica=replica_state.replica.id,
-            remaining_seconds=request.remaining,
+            remaining_seconds=request.remaining_seconds,
             team=request.team.name if request.team is not None else None,
             priority=request.priority,
             weights_version=expected_version,
@@ -357,14 +371,14 @@
     # Answers and refusals.
 
     @staticmethod
-    def _stronger_refusal(last: Refusal | None, now: NotRun) -> Refusal:
-        """Return the refusal to report: once a request may have run, that verdict stays."""
-        return last if isinstance(last, MayHaveRun) else now
+    def _stronger_refusal(last_refusal: Refusal | None, new_refusal: NotRun) -> Refusal:
+        """Return the refusal to report: `last_refusal` if the request may have run by then."""
+        return last_refusal if isinstance(last_refusal, MayHaveRun) else new_refusal
 
-    def _final_refusal(self, request: Admitted, last: Refusal) -> Verdict:
+    def _final_refusal(self, request: Admitted, last_refusal: Refusal) -> Verdict:
         if request.relay is not None and request.relay.started:
-            return MayHaveRun(STREAM_BROKEN, last.detail)
-        return last
+            return MayHaveRun(STREAM_BROKEN, last_refusal.detail)
+        return last_refusal
 
     async def _forward_complete(self, request: Admitted, outcome: CompleteAnswer) -> Verdict:
         if request.relay is not None and request.relay.started:
@@ -376,7 +390,7 @@
     async def _conclude(self, request: Admitted, verdict: Verdict) -> None:
         """Count and log the verdict; send the answer if it has not been sent yet."""
         seconds = trio.current_time() - request.arrived_at
-        self._observe(request.service, verdict_name(verdict), seconds)
+        self._observe_verdict(request.service, verdict_name(verdict), seconds)
         if isinstance(verdict, Completed):
             self.counts["completed"] += 1
             log_completed(request, verdict)
@@ -398,8 +412,8 @@
 
 def _version_to_expect(request: Admitted, replica_state: ReplicaState) -> int | None:
     """Return the weights version that a replica must hold to run a request, None if any may."""
-    if request.bound_version is not None or request.facts.model is None:
-        return request.bound_version
+    if request.resume_version is not None or request.facts.model is None:
+        return request.resume_version
     return replica_state.version_to_expect(request.facts.model)
 
 
--- a/libs/gateway/src/headcross_gateway/retries.py
+++ b/libs/gateway/src/headcross_gateway/retries.py
@@ -1,7 +1,7 @@
-"""Decides whether a request is sent to another replica, or leaves a silent one.
+"""Decides whether an entry sends a request to another replica, also while its replica is silent.
 
 Each retry is taken from the budget that bounds the retries of all entries. A request under which
-replicas were lost gets none.
+replicas were lost gets none. In this module a retry is one of the entry, not of the caller.
 """
 
 from dataclasses import replace
@@ -16,14 +16,17 @@
 from headcross_gateway.picking import requirements_of
 from headcross_gateway.replicastate import ReplicaState
 
-# Refusals by replicas after which a request is still sent elsewhere; each is an arrival at a
-# replica and takes a retry from the budget.
+# A request is sent elsewhere after at most this many refusals by replicas. Each time takes a retry
+# from the budget, since the request arrived at a replica.
 MAX_REFUSALS: Final = 3
+# The same for attempts that did not reach their replica; these take no retries.
 MAX_UNREACHED: Final = 4
-# A repeatable request moves to another replica when its replica has been silent for this long.
+# A repeatable request that is not a stream moves to another replica when its answer is not
+# complete this long after it was sent.
 REPEATABLE_SILENCE_SECONDS: Final = 1.0
 # How long a request that may have run waits for a second replica; it has the highest priority.
 RUN_AGAIN_WAIT_SECONDS: Final = 1.0
+# A stream moves to another replica when its first event, or a later one, takes this long.
 STREAM_FIRST_EVENT_SECONDS: Final = 1.6
 STREAM_SILENCE_SECONDS: Final = 1.1
 
@@ -38,8 +41,8 @@
         self._budget = budget
         self._containment = containment
 
-    def timeouts_for(self, request: Admitted, state: ReplicaState) -> AttemptTimeouts:
-        """Return how long a request waits for a silent replica; forever if it may not move."""
+    def timeouts_for(self, request: Admitted, replica_state: ReplicaState) -> AttemptTimeouts:
+        """Return the time limits of an attempt, infinite if it may not leave a silent replica."""
         if (
             not request.route.repetition.may_run_again
             or request.runs >= request.route.max_attempts
@@ -48,7 +51,7 @@
 
         def should_abandon() -> bool:
             return self._containment.is_clear(request) and self._take_retry_to_leave(
-                request, state
+                request, replica_state
             )
 
         if request.relay is not None:
@@ -59,16 +62,16 @@
             REPEATABLE_SILENCE_SECONDS, REPEATABLE_SILENCE_SECONDS, should_abandon
         )
 
-    def _take_retry_to_leave(self, request: Admitted, state: ReplicaState) -> bool:
-        """Take a retry for a request that leaves a silent replica; False if it has to stay.
+    def _take_retry_to_leave(self, request: Admitted, replica_state: ReplicaState) -> bool:
+        """Take a retry for a request to leave a silent replica; return whether it leaves.
 
         It stays if no other replica could take it soon or no retry is left: otherwise a stream
-        would be lost to a mere pause of its replica, which may still continue. If a saturated link
+        would be lost although its replica only pauses and may still continue. If a saturated link
         silences many replicas at once, only as many requests leave as there are retries.
         """
         requirements = requirements_of(request.facts, request.service, may_run_again=True)
-        tried = frozenset({*request.tried, state.replica.id})
-        requirements = replace(requirements, tried=tried, exact_version=request.bound_version)
+        tried = frozenset({*request.tried, replica_state.replica.id})
+        requirements = replace(requirements, tried=tried, exact_version=request.resume_version)
         opening = self._admission.seconds_to_opening(requirements, request.configuration)
         if opening > RUN_AGAIN_WAIT_SECONDS:
             return False
@@ -78,25 +81,26 @@
         return request.retry_paid
 
     def take_retry_after_failure(self, request: Admitted, outcome: CompleteAnswer) -> bool:
-        """Return whether a failure answered by a replica is retried; takes the retry."""
+        """Take a retry if a replica answered with a failure; return whether it was taken."""
         return outcome.failed and self.take_retry_to_rerun(request)
 
     def take_retry_to_rerun(self, request: Admitted) -> bool:
-        """Return whether a request that may have run may be sent again; takes the retry."""
+        """Take a retry for a request that may have run; return whether it may be sent again."""
         if not request.route.repetition.may_run_again:
             return False
         if request.runs >= request.route.max_attempts:
             return False
         if request.retry_paid:
-            # It was clear when it left the silent replica; that silence now counts against it.
+            # Its standing was checked when it left the silent replica. It is not checked again,
+            # since that silence now counts against the request.
             request.retry_paid = False
             return True
         return self._containment.is_clear(request) and self._budget.spend(request.service)
 
     def take_retry_after_refusal(self, request: Admitted, outcome: DidNotRun) -> bool:
-        """Return whether a request that did not run is sent elsewhere.
+        """Count a refusal of a request that did not run; return whether it is sent elsewhere.
 
-        If it arrived at the replica, this takes a retry.
+        If it arrived at the replica, sending it elsewhere takes a retry.
         """
         request.runs -= 1
         if not outcome.arrived:
--- a/libs/gateway/src/headcross_gateway/subsetting.py
+++ b/libs/gateway/src/headcross_gateway/subsetting.py
@@ -14,11 +14,12 @@
 from headcross_base.hashing import rendezvous_order, rendezvous_weight
 from headcross_ports.published import Replica
 
-# Number of replicas in the subset of one entry. At 7 reports a second from each daemon this makes
-# 160 a second. In fleets of up to this size every entry subscribes to all replicas.
+# Number of replicas in the subset of one entry. With 7 reports a second from each daemon, an entry
+# receives 160 a second. In fleets of up to this size every entry subscribes to all replicas.
 SUBSET_SIZE: Final = 24
-# Maximum number of them in the entry's own zone, which is preferred because traffic between zones
-# is charged and slower. The others are used when the own zone is full or down.
+# Maximum number of replicas of the subset that are in the entry's own zone, which is preferred
+# because traffic between zones is charged and slower. The others are used when the own zone is
+# full or down.
 OWN_ZONE_SIZE: Final = 16
 
 
@@ -30,22 +31,24 @@
 ) -> set[str]:
     """Return the ids of the replicas in the subset of the entry on a host.
 
-    Usable replicas come first, those of the entry's own zone before others. The rest fills up the
-    subset, since it may become usable soon.
+    Usable replicas come first, those of the entry's own zone before others. Unusable ones fill up
+    the subset, since they may become usable soon.
     """
     all_replicas = list(replicas)
     if len(all_replicas) <= SUBSET_SIZE:
         return {replica.id for replica in all_replicas}
     order = rendezvous_order(host, (replica.id for replica in all_replicas))
     by_id = {replica.id: replica for replica in all_replicas}
-    usable = [name for name in order if is_usable(by_id[name])]
-    own_zone = [name for name in usable if by_id[name].zone == zone][:OWN_ZONE_SIZE]
-    other_zones = [name for name in usable if by_id[name].zone != zone]
+    usable = [replica_id for replica_id in order if is_usable(by_id[replica_id])]
+    own_zone = [replica_id for replica_id in usable if by_id[replica_id].zone == zone][
+        :OWN_ZONE_SIZE
+    ]
+    other_zones = [replica_id for replica_id in usable if by_id[replica_id].zone != zone]
     return set(_first_unique(SUBSET_SIZE, [own_zone, other_zones, usable, order]))
 
 
 def every_other(addresses: Iterable[Address], round_number: int) -> list[Address]:
-    """Return the addresses of this round; two successive rounds cover all, whatever their order.
+    """Return about half of the addresses; two successive rounds cover all, in any order.
 
     >>> both = [Address("10.0.0.1", 1), Address("10.0.0.2", 1), Address("10.0.0.3", 1)]
     >>> sorted(every_other(both, 1) + every_other(both, 2)) == both
@@ -55,6 +58,6 @@
 
 
 def _first_unique(count: int, lists: Sequence[list[str]]) -> list[str]:
-    """Return the first `count` distinct names of the concatenated lists."""
-    names = dict.fromkeys(name for each in lists for name in each)
-    return list(names)[:count]
+    """Return the first `count` distinct strings of the concatenated lists."""
+    unique = dict.fromkeys(string for strings in lists for string in strings)
+    return list(unique)[:count]
--- a/libs/gateway/src/headcross_gateway/unbegun.py
+++ b/libs/gateway/src/headcross_gateway/unbegun.py
@@ -1,15 +1,14 @@
 """Withdraws attempts that replicas have not begun shortly before their weights expire.
 
-An entry cannot observe how long a request takes to arrive and waits at its replica. Two streams
-arrived 1.42 s before the bound on their weights, and their replicas began them 1.48 s and 1.63 s
-later, although entries stop sending 1.6 s before the bound. A margin on the time of sending is
-therefore not a bound on the time of beginning. Instead, attempts that have not begun shortly
-before the bound are withdrawn by resetting their connections, upon which replicas drop them from
-the queue.
-
-An attempt has begun when the first piece of its answer's body has arrived. An answer that is not
-streamed arrives only when it is complete, so such an attempt at a model service is withdrawn even
-if its replica may be running it.
+An entry cannot observe how long a request takes to arrive at its replica, nor how long it waits
+there. Although entries stop sending 1.6 s before the bound on the weights, two streams arrived
+1.42 s before it, and their replicas began them 1.48 s and 1.63 s later. A time limit for sending
+is therefore not sufficient. In addition, attempts that have not begun shortly before the bound are
+withdrawn by resetting their connections; replicas then drop them from their queues.
+
+An attempt counts as begun when the first piece of its answer's body has arrived. An answer that is
+not streamed arrives only when it is complete, so such an attempt at a model service is withdrawn
+although its replica may be running it.
 """
 
 from collections.abc import Iterator
@@ -31,13 +30,13 @@
     """One attempt, from its assignment to a replica to the first piece of its answer."""
 
     model: str
-    state: ReplicaState
-    version: int  # the newest the replica was known to hold since then
+    replica_state: ReplicaState
+    version: int  # the newest that the replica was known to hold since the assignment
     scope: trio.CancelScope
 
     def update_version(self) -> None:
         """Raise `version` to the held one; an older version from a stale list is ignored."""
-        self.version = max(self.version, self.state.held_version(self.model) or 0)
+        self.version = max(self.version, self.replica_state.held_version(self.model) or 0)
 
 
 class UnbegunAttempts:
@@ -50,46 +49,48 @@
         self.withdrawn = 0
         self._rules = rules
         self._attempts: set[_WaitingAttempt] = set()
-        self._woken = trio.Event()
+        self._recheck_requested = trio.Event()
         # The time of the next check, on trio's clock.
         self._next_check_at = float("inf")
 
     @contextmanager
-    def waiting(self, model: str | None, state: ReplicaState) -> Iterator[trio.CancelScope]:
-        """Cancel the block once its replica may begin nothing more on the weights it holds.
+    def waiting(
+        self, model: str | None, replica_state: ReplicaState
+    ) -> Iterator[trio.CancelScope]:
+        """Cancel the block when the replica may no longer begin requests on the weights it holds.
 
         The block must end with the first piece of the answer: what has begun to arrive must be
         forwarded completely.
         """
-        version = state.version_of(model) if model is not None else None
-        with trio.CancelScope() as scope, state.waits.waiting():
+        version = replica_state.version_of(model) if model is not None else None
+        with trio.CancelScope() as scope, replica_state.waits.waiting():
             if model is None or version is None:
                 yield scope
                 return
-            attempt = _WaitingAttempt(model, state, version, scope)
+            attempt = _WaitingAttempt(model, replica_state, version, scope)
             self._attempts.add(attempt)
             try:
                 if trio.current_time() + self._withdraw_if_due(attempt) < self._next_check_at:
-                    self._woken.set()
+                    self._recheck_requested.set()
                 yield scope
             finally:
                 self._attempts.discard(attempt)
 
     async def run(self) -> None:
-        """Withdraw attempts whenever the time to begin on their version is over; never returns."""
+        """Withdraw attempts when requests may no longer begin on their version; never returns."""
         async with trio.open_nursery() as nursery:
-            nursery.start_soon(self._wake_on_news)
+            nursery.start_soon(self._recheck_on_news)
             while True:
-                self._woken = trio.Event()
+                self._recheck_requested = trio.Event()
                 seconds = self._withdraw()
                 self._next_check_at = trio.current_time() + seconds
                 with trio.move_on_after(seconds):
-                    await self._woken.wait()
+                    await self._recheck_requested.wait()
 
-    async def _wake_on_news(self) -> None:
+    async def _recheck_on_news(self) -> None:
         while True:
             await self._rules.facts.wait_change()
-            self._woken.set()
+            self._recheck_requested.set()
 
     def _withdraw(self) -> float:
         """Withdraw due attempts; return the seconds until the next may be due, inf if none."""
@@ -97,8 +98,7 @@
 
     def _withdraw_if_due(self, attempt: _WaitingAttempt) -> float:
         """Withdraw an attempt if due; return the seconds until it may be, inf once withdrawn."""
-        # A replica that has loaded a newer version meanwhile begins its waiting requests on that
-        # one.
+        # A replica that has loaded a newer version meanwhile begins its waiting requests on it.
         attempt.update_version()
         seconds = self._rules.seconds_to_begin(attempt.model, attempt.version)
         if seconds > TIMER_TOLERANCE_SECONDS:
--- a/libs/gateway/src/headcross_gateway/waittimes.py
+++ b/libs/gateway/src/headcross_gateway/waittimes.py
@@ -1,8 +1,8 @@
 """Estimates how long requests of one entry wait at one replica until they begin.
 
 A replica's daemon reports the numbers of running and queued requests, which do not show how long
-the queue takes. The waits of this entry's own requests do: those that wait now, and the longest
-recent one.
+the queue takes. The waits of this entry's own requests do: the estimate is the longest of the
+present waits and of the recent ones.
 """
 
 from collections.abc import Iterator
@@ -20,7 +20,9 @@
 class WaitTimes:
     """The waits of one entry's requests at one replica."""
 
-    _since: list[float] = field(default_factory=list)  # start times of present waits, oldest first
+    _start_times: list[float] = field(
+        default_factory=list
+    )  # starts of present waits, oldest first
     _longest: float = 0.0  # in seconds
     _longest_at: float = float("-inf")  # on the monotonic clock
 
@@ -28,17 +30,17 @@
     def waiting(self) -> Iterator[None]:
         """Count a request as waiting during the block."""
         started_at = monotonic()
-        self._since.append(started_at)
+        self._start_times.append(started_at)
         try:
             yield
         finally:
-            self._since.remove(started_at)
+            self._start_times.remove(started_at)
             self._note(monotonic() - started_at)
 
     def expected(self) -> float:
-        """Return how many seconds a request may wait at the replica, 0 if nothing is known."""
-        waits_now = monotonic() - self._since[0] if self._since else 0.0
-        return max(waits_now, self._decayed_longest())
+        """Return the seconds that a request is expected to wait at the replica, 0 if unknown."""
+        longest_current_wait = monotonic() - self._start_times[0] if self._start_times else 0.0
+        return max(longest_current_wait, self._decayed_longest())
 
     def _note(self, seconds: float) -> None:
         if seconds >= self._decayed_longest():
--- a/tests/test_gateway_budget.py
+++ b/tests/test_gateway_budget.py
@@ -7,7 +7,8 @@
 from hypothesis import strategies as st
 
 RATIO = 0.2
-# Numbers of entries with the documented slack, and the most entries that the largest slack allows.
+# Pairs of a number of entries and its documented slack; the last pair is the largest number of
+# entries that the largest slack allows.
 SIZES = [(5, 104.0), (5, 106.0), (14, 130.0), (16, 136.0), (35, 200.0), (38, 200.0)]
 SERVICE = "s"
 
@@ -30,7 +31,7 @@
 def test_the_retries_of_all_entries_together_stay_within_the_common_bound(
     size: tuple[int, float], requests: list[int], seed: int
 ) -> None:
-    """The bound holds for any share of the requests and any spending of each entry."""
+    """The bound holds however the requests and the retries are distributed over the entries."""
     entries, slack = size
     generator = random.Random(seed)
     budgets = full_budgets(entries, slack)
@@ -50,11 +51,11 @@
 def test_the_bound_holds_when_any_entries_restart_repeatedly(
     size: tuple[int, float], history: list[tuple[int, str]], seed: int
 ) -> None:
-    """Requests arrive, one or all entries are killed, and entries learn their number late.
+    """Guards against a grant at each start with which two starts of all entries exceed the bound.
 
-    Each entry spends everything before it is killed, and is killed as often as the window of the
-    bound allows. With a fraction of the slack granted at each start, two starts of all entries
-    exceeded the bound.
+    Requests arrive, one or all entries are killed, and entries learn late how many there are. Each
+    entry spends all its savings before it is killed, and is killed as often as it can be within
+    the window of the bound. The grant at fault was a fraction of the slack.
     """
     entries, slack = size
     generator = random.Random(seed)
@@ -67,24 +68,24 @@
             starts[entry] += 1
             budgets[entry] = RetryBudget(RATIO, slack)
 
-    def spend_all(among: list[RetryBudget]) -> int:
+    def spend_all(chosen_budgets: list[RetryBudget]) -> int:
         count = 0
-        for budget in among:
+        for budget in chosen_budgets:
             while budget.spend(SERVICE):
                 count += 1
         return count
 
     spent += spend_all(budgets)
-    for number, what in history:
+    for number, action in history:
         entry = number % entries
-        if what == "k":  # the restarted entry may not know the number of entries for a while
+        if action == "k":  # the restarted entry may not know the number of entries for a while
             spent += spend_all([budgets[entry]])
             restart(entry)
-        elif what == "K":
+        elif action == "K":
             spent += spend_all(budgets)
-            for each in range(entries):
-                restart(each)
-        elif what == "l":
+            for other_entry in range(entries):
+                restart(other_entry)
+        elif action == "l":
             budgets[entry].note_entries(entries)
         else:
             requests += 1
--- a/tests/test_gateway_lapsed.py
+++ b/tests/test_gateway_lapsed.py
@@ -57,8 +57,8 @@
 
 def lapse(facts: Facts, directory: Directory, replica: Replica) -> None:
     """Remove the list entry of a replica."""
-    gone = Item(f"{names.REPLICA_PREFIX}{replica.id}", 2, None)
-    facts.take_changes(Topic.REPLICAS, Changes((gone,), 2))
+    removal = Item(f"{names.REPLICA_PREFIX}{replica.id}", 2, None)
+    facts.take_changes(Topic.REPLICAS, Changes((removal,), 2))
     directory.update()
 
 
--- a/tests/test_gateway_limited.py
+++ b/tests/test_gateway_limited.py
@@ -26,7 +26,7 @@
 ORDER: Final = QueueOrder(1, False, 100.0)
 
 
-def site(count: int) -> tuple[Admission, Directory]:
+def admission_and_directory(count: int) -> tuple[Admission, Directory]:
     """Return the admission and the directory of an entry with `count` replicas of a service."""
     facts = rules([]).facts
     for number in range(count):
@@ -49,7 +49,7 @@
     mock_clock: trio.testing.MockClock,
 ) -> None:
     mock_clock.autojump_threshold = 0
-    admission, directory = site(2)
+    admission, directory = admission_and_directory(2)
     exhaust(directory, 0.5)
     before = trio.current_time()
     assert await admission.acquire_slot(REQUIREMENTS, CONFIGURATION, ORDER, before + 1.0) is None
@@ -58,19 +58,19 @@
 
 
 async def test_a_request_goes_to_the_one_replica_without_a_limit() -> None:
-    admission, directory = site(3)
+    admission, directory = admission_and_directory(3)
     exhaust(directory, 0.5)
-    free = next(iter(directory.states()))
-    free.note_signals(BackpressureSignals(), monotonic() + 1)
-    for _ in range(free.replica.slots):
+    unlimited = next(iter(directory.states()))
+    unlimited.note_signals(BackpressureSignals(), monotonic() + 1)
+    for _ in range(unlimited.replica.slots):
         acquired = await admission.acquire_slot(
             REQUIREMENTS, CONFIGURATION, ORDER, trio.current_time()
         )
-        assert acquired is free
+        assert acquired is unlimited
 
 
 async def test_a_request_that_waits_is_placed_when_a_limit_allows_it() -> None:
-    admission, directory = site(1)
+    admission, directory = admission_and_directory(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(limit=50.0), 0.0)
     for _ in range(2):
@@ -89,7 +89,7 @@
 
 
 async def test_a_resting_replica_gets_no_request_and_then_one_until_it_has_answered() -> None:
-    admission, directory = site(1)
+    admission, directory = admission_and_directory(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.2), 0.0)
     now = trio.current_time()
@@ -102,7 +102,7 @@
 
 
 async def test_a_trial_request_after_a_rest_that_is_cancelled_allows_another_one() -> None:
-    admission, directory = site(1)
+    admission, directory = admission_and_directory(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=0.0), 0.0)
     acquired = await admission.acquire_slot(
@@ -117,7 +117,7 @@
 
 
 async def test_a_shorter_rest_does_not_end_a_longer_one() -> None:
-    _, directory = site(1)
+    _, directory = admission_and_directory(1)
     state = next(iter(directory.states()))
     state.note_signals(BackpressureSignals(rest_seconds=30.0), 0.0)
     state.note_signals(BackpressureSignals(rest_seconds=1.0), 0.0)
@@ -125,7 +125,7 @@
 
 
 def test_an_entry_outside_the_subset_of_a_limited_replica_does_not_use_it() -> None:
-    _, directory = site(1)
+    _, directory = admission_and_directory(1)
     state = next(iter(directory.states()))
     state.in_subset = False
     assert state.has_room()
--- a/tests/test_gateway_linkproofs.py
+++ b/tests/test_gateway_linkproofs.py
@@ -80,7 +80,7 @@
 async def test_a_connection_that_answers_may_carry_a_request_after_its_proof() -> None:
     link_proofs = proofs()
     async with connection_to(answer_all) as connection:
-        await link_proofs.take(connection)
+        await link_proofs.prove(connection)
         await connection.send("GET", "/", [], b"")
         assert (await connection.receive_answer()).status == 200
     assert (link_proofs.asked, link_proofs.missed) == (1, 0)
@@ -96,7 +96,7 @@
     link_proofs = proofs()
     async with connection_to(serve) as connection:
         with pytest.raises(LinkUnprovenError) as raised:
-            await link_proofs.take(connection)
+            await link_proofs.prove(connection)
     assert raised.value.silent == silent
     assert (link_proofs.asked, link_proofs.missed) == (1, int(silent))
 
@@ -105,6 +105,9 @@
     replica_state = model_replica_state("replica", 1, 0)
     unproven = DidNotRun(UNREACHED, "", arrived=False, unproven=True)
     replica_state.record_outcome(unproven, version_required=False)
-    assert not replica_state.health.is_ejected() and replica_state.health.silent_age() < 1.0
+    assert (
+        not replica_state.health.is_ejected()
+        and replica_state.health.seconds_since_silence() < 1.0
+    )
     replica_state.record_outcome(unproven, version_required=False)
     assert replica_state.health.is_ejected()
--- a/tests/test_gateway_places.py
+++ b/tests/test_gateway_places.py
@@ -236,15 +236,15 @@
             await trio.sleep(0.01)
             admission.release_slot(replica_state)
 
-    any_wish = Requirements("api", None, None, (), True)
+    unconstrained = Requirements("api", None, None, (), True)
     async with trio.open_nursery() as nursery:
-        nursery.start_soon(wait, "first", 1, 9.0, any_wish, 5.0)
+        nursery.start_soon(wait, "first", 1, 9.0, unconstrained, 5.0)
         await trio.testing.wait_all_tasks_blocked()
         for name, priority, deadline, requirements in [
-            ("fresh", 1, 8.0, any_wish),
-            ("returned", 1, 7.0, any_wish),
-            ("urgent", 0, 9.0, any_wish),
-            ("tried there", 0, 1.0, replace(any_wish, tried=("r",))),
+            ("fresh", 1, 8.0, unconstrained),
+            ("returned", 1, 7.0, unconstrained),
+            ("urgent", 0, 9.0, unconstrained),
+            ("tried there", 0, 1.0, replace(unconstrained, tried=("r",))),
         ]:
             nursery.start_soon(wait, name, priority, deadline, requirements, 5.0)
     assert order == ["first", "urgent", "returned", "fresh", "tried there refused"]
@@ -300,11 +300,11 @@
         now += 100.0  # earlier refusals no longer count
         overload.measure(now)
         waits.append([overload.retry_after_seconds("lm") for _ in range(200)])
-    means = [sum(each) / len(each) for each in waits]
+    means = [sum(delays) / len(delays) for delays in waits]
     assert means == sorted(means) and means[2] > 2 * means[0]
-    assert all(0 < seconds <= MAX_RETRY_AFTER_SECONDS for each in waits for seconds in each)
+    assert all(0 < seconds <= MAX_RETRY_AFTER_SECONDS for delays in waits for seconds in delays)
     # The times vary, so that callers do not return all at once.
-    assert all(len(set(each)) > 1 for each in waits)
+    assert all(len(set(delays)) > 1 for delays in waits)
 
 
 def test_ended_requests_do_not_use_up_the_allowance_until_the_next_report() -> None:
--- a/tests/test_gateway_streams.py
+++ b/tests/test_gateway_streams.py
@@ -171,10 +171,10 @@
     data = b"".join(EVENT % number for number in range(count))
     splitter = EventSplitter()
     events = []
-    rest = data
+    remaining = data
     for cut in [*cuts, len(data)]:
-        events += splitter.feed(rest[:cut])
-        rest = rest[cut:]
+        events += splitter.feed(remaining[:cut])
+        remaining = remaining[cut:]
     assert [event.id for event in events] == [str(number) for number in range(count)]
     assert b"".join(event.data for event in events) == data
     assert not splitter.within_event
--- a/tests/test_gateway_subsetting.py
+++ b/tests/test_gateway_subsetting.py
@@ -86,8 +86,8 @@
         zone = f"z{number % 5}"
         chosen = choose_subset(f"entry-{number}", zone, replicas, usable)
         subset_counts.update(chosen)
-        left = choose_subset(f"entry-{number}", zone, replicas[1:], usable)
-        assert len(chosen - left - {replicas[0].id}) == 0
+        chosen_without_first = choose_subset(f"entry-{number}", zone, replicas[1:], usable)
+        assert len(chosen - chosen_without_first - {replicas[0].id}) == 0
     assert len(subset_counts) == len(replicas)
     assert max(subset_counts.values()) <= 20  # the mean is 14; without subsets it would be 35
 
--- a/tests/test_gateway_unbegun.py
+++ b/tests/test_gateway_unbegun.py
@@ -70,10 +70,10 @@
     now = trio.current_time()
     weights_rules = rules([VersionNotice(2, now, False), VersionNotice(3, now + 2, False)])
     unbegun = UnbegunAttempts(weights_rules)
-    found: dict[int, float] = {}
+    seconds_by_version: dict[int, float] = {}
 
     async def wait(version: int) -> None:
-        found[version] = await seconds_until_withdrawn(unbegun, state_of(version))
+        seconds_by_version[version] = await seconds_until_withdrawn(unbegun, state_of(version))
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(unbegun.run)
@@ -82,7 +82,7 @@
                 waiting.start_soon(wait, version)
         nursery.cancel_scope.cancel()
     first = BOUND_SECONDS - WITHDRAWAL_MARGIN_SECONDS
-    assert [found[version] for version in (1, 2, 3)] == pytest.approx(
+    assert [seconds_by_version[version] for version in (1, 2, 3)] == pytest.approx(
         [first, first + 2, 100], abs=0.01
     )
 
