--- a/bench/pool/model.py
+++ b/bench/pool/model.py
@@ -225,23 +225,23 @@
         )
         now = trio.current_time()
         returning = entry.overload.refused.was_refused(fingerprint, now)
-        entry.overload.note_request(SERVICE, returning=returning)
-        queue_last = entry.overload.queues_last(returning=returning)
+        entry.overload.note_request(SERVICE, is_caller_retry=returning)
+        queue_last = entry.overload.queues_last(is_caller_retry=returning)
         aim_seconds = kind.aim_seconds
-        wait_seconds = entry.overload.wait_seconds(aim_seconds, any_serves=True)
+        wait_seconds = entry.overload.wait_seconds(aim_seconds, has_serving_replica=True)
         if returning:
-            wait_seconds = entry.overload.returning_wait_seconds(
-                SERVICE, aim_seconds, seconds_left, any_serves=True
+            wait_seconds = entry.overload.caller_retry_wait_seconds(
+                SERVICE, aim_seconds, seconds_left, has_serving_replica=True
             )
         replica_state = await entry.admission.acquire_slot(
             Requirements(SERVICE, MODEL, None, (), True),
             self._configuration,
             QueueOrder(kind.priority, queue_last, now + seconds_left),
             now + wait_seconds,
-            returning=returning,
+            is_caller_retry=returning,
         )
         if replica_state is None:
-            entry.overload.note_refused(SERVICE, returning=returning)
+            entry.overload.note_refused(SERVICE, is_caller_retry=returning)
             if returning and now >= self._spec.warm_up_seconds:
                 self.tally.held_in_vain_seconds += trio.current_time() - now
             entry.overload.refused.note(fingerprint, trio.current_time())
--- a/libs/gateway/src/headcross_gateway/admission.py
+++ b/libs/gateway/src/headcross_gateway/admission.py
@@ -1,9 +1,10 @@
 """Assigns the slots of replicas to requests, and queues requests that find none.
 
-A request that finds a replica with room gets a slot at once. Otherwise it waits briefly, in order
-of priority, and is refused while its caller still has time to retry. Requests of callers that were
-refused before may queue behind first tries of the same priority, and get a slot only where enough
-are left for first tries (see `overload`). Among equals the earliest deadline goes first.
+A request that finds a replica with a free slot gets it at once. Otherwise it waits briefly, in
+order of priority, and is refused while its caller still has time to retry. A caller's retry after
+a refusal may queue behind first tries of the same priority, and gets a slot only at a replica with
+enough slots left for first tries (see `overload`). Of requests that are otherwise equal, the one
+with the earliest deadline goes first.
 """
 
 import bisect
@@ -25,10 +26,10 @@
 
 @dataclass(order=True, frozen=True, slots=True)
 class QueueOrder:
-    """The position of a request in the queue: the smallest goes first."""
+    """The position of a request in the queue; the smallest value goes first."""
 
     priority: int
-    last: bool  # queues behind all others of its priority
+    queues_last: bool  # behind all others of its priority
     deadline: float  # trio's clock
 
 
@@ -37,12 +38,12 @@
     """A request in the queue."""
 
     order: "QueueOrder"
-    number: int
+    sequence_number: int
     requirements: Requirements = field(compare=False)
     configuration: Configuration = field(compare=False)
     assigned: trio.Event = field(compare=False, default_factory=trio.Event)
     replica_state: ReplicaState | None = field(compare=False, default=None)
-    returning: bool = field(compare=False, default=False)
+    is_caller_retry: bool = field(compare=False, default=False)
     done: bool = field(compare=False, default=False)
 
 
@@ -52,11 +53,11 @@
     def __init__(
         self, picker: Picker, reserved_share: Callable[[str], float] = lambda service: 0.0
     ) -> None:
-        """`reserved_share` gives the share of slots, by service, reserved for first tries."""
+        """`reserved_share` returns the share of a service's slots reserved for first tries."""
         self._picker = picker
         self._reserved_share = reserved_share
         self._queues: dict[str, list[_Waiter]] = {}
-        self._numbers = itertools.count()
+        self._sequence_numbers = itertools.count()
 
     def waiting(self, service: str) -> int:
         """Return how many requests wait for a slot."""
@@ -78,17 +79,17 @@
         order: QueueOrder,
         until: float,
         *,
-        returning: bool = False,
+        is_caller_retry: bool = False,
     ) -> ReplicaState | None:
         """Return a replica with a slot reserved on it, None if there is none by `until`.
 
-        Returns None at once if no replica accepts the request until then. `until` is on trio's
-        clock; `returning` is true if the caller was refused before. The slot must be released with
-        `release_slot`.
+        Returns None at once if no replica accepts the request before `until` (trio's clock).
+        `is_caller_retry` is true if the caller was refused before. The caller of this method must
+        release the slot with `release_slot`.
         """
         queue = self._queues.setdefault(requirements.service, [])
         if not queue:
-            replica_state = self._pick(requirements, configuration, returning)
+            replica_state = self._pick(requirements, configuration, is_caller_retry)
             if replica_state is not None:
                 replica_state.reserve_slot()
                 return replica_state
@@ -97,8 +98,10 @@
             return None
         if seconds_left < self.seconds_to_opening(requirements, configuration) < math.inf:
             return None
-        number = next(self._numbers)
-        waiter = _Waiter(order, number, requirements, configuration, returning=returning)
+        sequence_number = next(self._sequence_numbers)
+        waiter = _Waiter(
+            order, sequence_number, requirements, configuration, is_caller_retry=is_caller_retry
+        )
         bisect.insort(queue, waiter)
         self.notify(requirements.service)
         try:
@@ -116,8 +119,8 @@
         """Wait for a slot until `until`; pick again when a rate limit allows the next request."""
         while waiter.replica_state is None and trio.current_time() < until:
             seconds = self.seconds_to_opening(waiter.requirements, waiter.configuration)
-            opening = trio.current_time() + seconds if seconds > 0 else until
-            with trio.move_on_at(min(until, opening)):
+            opening_at = trio.current_time() + seconds if seconds > 0 else until
+            with trio.move_on_at(min(until, opening_at)):
                 await waiter.assigned.wait()
             if waiter.replica_state is None:
                 self.notify(waiter.requirements.service)
@@ -130,19 +133,21 @@
     def notify(self, service: str) -> None:
         """Assign slots to waiting requests after a change of the service's replicas.
 
-        Called for each load report, 160 times a second, while hundreds of returning requests may
-        wait: once one of them finds no room, the others are skipped.
+        Called for each load report, 160 times a second, while hundreds of callers' retries may be
+        waiting: once one of them finds no free slot, the others are skipped.
         """
-        returning_blocked = False
+        caller_retries_blocked = False
         for waiter in list(self._queues.get(service, [])):
-            if waiter.done or (waiter.returning and returning_blocked):
+            if waiter.done or (waiter.is_caller_retry and caller_retries_blocked):
                 continue
-            replica_state = self._pick(waiter.requirements, waiter.configuration, waiter.returning)
+            replica_state = self._pick(
+                waiter.requirements, waiter.configuration, waiter.is_caller_retry
+            )
             if replica_state is None:
-                if waiter.requirements.is_particular:
+                if waiter.requirements.is_constrained:
                     continue
-                if waiter.returning:
-                    returning_blocked = True
+                if waiter.is_caller_retry:
+                    caller_retries_blocked = True
                     continue
                 break
             replica_state.reserve_slot()
@@ -152,9 +157,9 @@
         self._drop_done(service)
 
     def _pick(
-        self, requirements: Requirements, configuration: Configuration, returning: bool
+        self, requirements: Requirements, configuration: Configuration, is_caller_retry: bool
     ) -> ReplicaState | None:
-        reserved = self._reserved_share(requirements.service) if returning else 0.0
+        reserved = self._reserved_share(requirements.service) if is_caller_retry else 0.0
         return self._picker.pick(requirements, configuration, reserved)
 
     def _drop_done(self, service: str) -> None:
--- a/libs/gateway/src/headcross_gateway/requestpath.py
+++ b/libs/gateway/src/headcross_gateway/requestpath.py
@@ -2,7 +2,7 @@
 
 The steps in order: read the request and find its route; acquire a slot at a replica; make attempts
 as far as the route, the retry budget and the deadline allow; send the answer, or a refusal that
-says whether the request may have run. A request that the entry gives up on is answered at once.
+says whether the request may have run. A refusal is sent as soon as no further attempt is possible.
 """
 
 import math
@@ -66,10 +66,11 @@
 
 # Queue priority of a request that may have run: ahead of all others.
 RERUN_PRIORITY: Final = -1
-# Retry-after time that a draining entry gives; another entry will serve the caller.
+# Retry-After value that a draining entry sends; another entry will serve the caller.
 DRAINING_RETRY_AFTER_SECONDS: Final = 0.02
 
-Observe = Callable[[str, str, float], None]  # service, verdict, seconds
+# Called with the service, the name of the verdict and the seconds since the request arrived.
+VerdictObserver = Callable[[str, str, float], None]
 
 
 class RequestPath:
@@ -92,7 +93,7 @@
         budget: RetryBudget,
         overload: Overload,
         containment: Containment,
-        observe: Observe,
+        observe_verdict: VerdictObserver,
     ) -> None:
         self.counts = Counter()
         self.in_flight = 0
@@ -107,7 +108,7 @@
         self._overload = overload
         self._containment = containment
         self._retries = Retries(admission, budget, containment)
-        self._observe = observe
+        self._observe_verdict = observe_verdict
 
     async def handle(self, exchange: Exchange) -> None:
         """Serve one request: answer it, or refuse it with a reason."""
@@ -138,7 +139,7 @@
     # Admission.
 
     def _admit(self, exchange: Exchange) -> Admitted | NotAdmitted:
-        """Find the route, team and deadline of a request; return why if it is not admitted."""
+        """Find the route, team and deadline of a request, or refuse it."""
         now = trio.current_time()
         request = exchange.request
         facts = self._dialect.read_request(request.headers)
@@ -163,11 +164,11 @@
         relay = StreamRelay(exchange, facts.resume_after) if route.repetition.is_stream else None
         service = route.pick_service()
         fingerprint = _fingerprint_of(request, facts)
-        returning = fingerprint is not None and self._overload.refused.was_refused(
+        is_caller_retry = fingerprint is not None and self._overload.refused.was_refused(
             fingerprint, now
         )
         self.budget.earn(service)
-        self._overload.note_request(service, returning=returning)
+        self._overload.note_request(service, is_caller_retry=is_caller_retry)
         return Admitted(
             exchange,
             facts,
@@ -179,7 +180,7 @@
             now + seconds,
             relay,
             fingerprint,
-            returning,
+            is_caller_retry,
         )
 
     # Attempts.
@@ -188,22 +189,28 @@
         requirements = requirements_of(
             request.facts, request.service, request.route.repetition.may_run_again
         )
-        last: Refusal | None = None
+        last_refusal: Refusal | None = None
         while True:
             refusal = self._containment.refusal_of(request)
             if refusal is not None:
-                return self._final_refusal(request, self._stronger_refusal(last, refusal))
+                return self._final_refusal(request, self._stronger_refusal(last_refusal, refusal))
             requirements = replace(
-                requirements, tried=frozenset(request.tried), exact_version=request.bound_version
+                requirements, tried=frozenset(request.tried), exact_version=request.resume_version
             )
             replica_state = await self._acquire_slot(request, requirements)
             if replica_state is None:
-                opening = self._admission.seconds_to_opening(requirements, request.configuration)
+                opening_seconds = self._admission.seconds_to_opening(
+                    requirements, request.configuration
+                )
                 if not request.runs:
                     self._overload.note_refused(
-                        request.service, returning=request.returning, for_room=opening < math.inf
+                        request.service,
+                        is_caller_retry=request.is_caller_retry,
+                        has_serving_replica=opening_seconds < math.inf,
                     )
-                return self._final_refusal(request, self._no_room_refusal(request, last, opening))
+                return self._final_refusal(
+                    request, self._no_room_refusal(request, last_refusal, opening_seconds)
+                )
             if self._containment.refusal_of(request) is not None:
                 self._admission.release_slot(replica_state)
                 continue
@@ -215,61 +222,67 @@
                 outcome = await self._attempt(request, replica_state, expected_version, times)
             finally:
                 self._admission.release_slot(replica_state)
-            replica_state.record_outcome(outcome, bound=expected_version is not None)
+            replica_state.record_outcome(outcome, version_required=expected_version is not None)
             log_attempt(request, replica_state, outcome, weights, times)
             if isinstance(outcome, CompleteAnswer | Streamed):
                 seconds = trio.current_time() - assigned_at
                 self._overload.note_answer(request.service, seconds)
             if not isinstance(outcome, DidNotRun):
-                # A replica that refused may have room shortly, so it is not excluded. One that may
-                # have run the request is not tried again.
+                # A replica that may have run the request is not tried again. One that refused it
+                # may have a free slot shortly, so it is not excluded.
                 request.tried.add(replica_state.replica.id)
             match outcome:
                 case CompleteAnswer():
-                    if not self._retries.should_retry_failure(request, outcome):
+                    if not self._retries.take_retry_after_failure(request, outcome):
                         return await self._forward_complete(request, outcome)
                     request.failed_answer = outcome
                 case Streamed():
                     return Completed(200)
                 case DidNotRun(reason=reason, detail=detail):
-                    last = self._stronger_refusal(
-                        last, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
+                    last_refusal = self._stronger_refusal(
+                        last_refusal, NotRun(reason, detail, MIN_RETRY_AFTER_SECONDS)
                     )
-                    if not self._retries.may_continue_after_refusal(request, outcome):
-                        opening = self._admission.seconds_to_opening(
+                    if not self._retries.take_retry_after_refusal(request, outcome):
+                        opening_seconds = self._admission.seconds_to_opening(
                             requirements, request.configuration
                         )
                         return self._final_refusal(
-                            request, self._no_room_refusal(request, last, opening)
+                            request, self._no_room_refusal(request, last_refusal, opening_seconds)
                         )
                 case MayRun(reason=reason, detail=detail):
-                    last = MayHaveRun(reason, detail)
-                    if not self._retries.may_run_again(request):
-                        return self._final_refusal(request, last)
+                    last_refusal = MayHaveRun(reason, detail)
+                    if not self._retries.take_retry_to_rerun(request):
+                        return self._final_refusal(request, last_refusal)
 
-    def _no_room_refusal(self, request: Admitted, last: Refusal | None, opening: float) -> Refusal:
+    def _no_room_refusal(
+        self, request: Admitted, last_refusal: Refusal | None, opening_seconds: float
+    ) -> Refusal:
         """Return the refusal of a request that found no slot.
 
-        `opening` is the time until a replica accepts a request, in seconds; infinite if none may
-        serve it.
+        `opening_seconds` is the time until a replica accepts a request, infinite if none may serve
+        it.
         """
-        if isinstance(last, MayHaveRun):
-            return last
-        if opening == math.inf:
-            return last or NotRun(
+        if isinstance(last_refusal, MayHaveRun):
+            return last_refusal
+        if opening_seconds == math.inf:
+            return last_refusal or NotRun(
                 NO_REPLICA, "no replica may serve this now", MAX_RETRY_AFTER_SECONDS
             )
-        seconds = self._overload.retry_after_seconds(request.service, opening)
-        if last is not None:
-            return replace(last, retry_after_seconds=seconds) if opening > 0 else last
-        if opening > 0:
-            detail = f"no replica wants a request for another {opening:.2f} s"
+        seconds = self._overload.retry_after_seconds(request.service, opening_seconds)
+        if last_refusal is not None:
+            return (
+                replace(last_refusal, retry_after_seconds=seconds)
+                if opening_seconds > 0
+                else last_refusal
+            )
+        if opening_seconds > 0:
+            detail = f"no replica wants a request for another {opening_seconds:.2f} s"
             return NotRun(NO_ROOM, detail, seconds)
         return NotRun(NO_ROOM, self._no_room_detail(request), seconds)
 
     def _no_room_detail(self, request: Admitted) -> str:
         reserved = self._overload.reserved_share(request.service)
-        if not request.returning or not reserved:
+        if not request.is_caller_retry or not reserved:
             return "no replica has room"
         return f"no replica has room beside {reserved:.2f} of the places, kept for first tries"
 
@@ -278,34 +291,39 @@
     ) -> ReplicaState | None:
         now = trio.current_time()
         priority = request.priority
-        returning = request.returning and not request.tried
-        opening = self._admission.seconds_to_opening(requirements, request.configuration)
-        any_serves = opening < math.inf
-        wait = self._wait_seconds(request, returning, any_serves)
+        is_caller_retry = request.is_caller_retry and not request.tried
+        opening_seconds = self._admission.seconds_to_opening(requirements, request.configuration)
+        has_serving_replica = opening_seconds < math.inf
+        wait = self._wait_seconds(request, is_caller_retry, has_serving_replica)
         if request.tried:
-            # It may have run: without a slot it fails for good, so it goes first.
+            # It may have run, so it fails for good without a slot. Therefore it goes first.
             until, priority = now + RUN_AGAIN_WAIT_SECONDS, RERUN_PRIORITY
         elif request.refusals or request.unreached:
             until = now + wait
         else:
             until = request.arrived_at + wait
         until = min(until, request.deadline)
-        last = self._overload.queues_last(returning=returning)
-        order = QueueOrder(priority, last, request.deadline)
+        queues_last = self._overload.queues_last(is_caller_retry=is_caller_retry)
+        order = QueueOrder(priority, queues_last, request.deadline)
         return await self._admission.acquire_slot(
-            requirements, request.configuration, order, until, returning=returning
+            requirements, request.configuration, order, until, is_caller_retry=is_caller_retry
         )
 
-    def _wait_seconds(self, request: Admitted, returning: bool, any_serves: bool) -> float:
+    def _wait_seconds(
+        self, request: Admitted, is_caller_retry: bool, has_serving_replica: bool
+    ) -> float:
         aim = request.route.aim_seconds
-        if not returning:
-            return self._overload.wait_seconds(aim, any_serves=any_serves)
-        return self._overload.returning_wait_seconds(
-            request.service, aim, request.remaining, any_serves=any_serves
+        if not is_caller_retry:
+            return self._overload.wait_seconds(aim, has_serving_replica=has_serving_replica)
+        return self._overload.caller_retry_wait_seconds(
+            request.service,
+            aim,
+            request.remaining_seconds,
+            has_serving_replica=has_serving_replica,
         )
 
     def _weights_of(self, request: Admitted, replica_state: ReplicaState) -> AttemptWeights:
-        """Return the weights of a replica for a request, and how long they may take requests."""
+        """Return the version that a replica serves, and how long it may still take requests."""
         model = request.facts.model
         version = replica_state.version_of(model) if model is not None else None
         if model is None or version is None:
@@ -325,7 +343,7 @@
         resume_after = relay.last_id if relay is not None else None
         hand_over = HandOver(
             replica=replica_state.replica.id,
-            remaining_seconds=request.remaining,
+            remaining_seconds=request.remaining_seconds,
             team=request.team.name if request.team is not None else None,
             priority=request.priority,
             weights_version=expected_version,
@@ -353,14 +371,14 @@
     # Answers and refusals.
 
     @staticmethod
-    def _stronger_refusal(last: Refusal | None, now: NotRun) -> Refusal:
-        """Return the refusal to report: once a request may have run, that verdict stays."""
-        return last if isinstance(last, MayHaveRun) else now
+    def _stronger_refusal(last_refusal: Refusal | None, new_refusal: NotRun) -> Refusal:
+        """Return the refusal to report: `last_refusal` if the request may have run by then."""
+        return last_refusal if isinstance(last_refusal, MayHaveRun) else new_refusal
 
-    def _final_refusal(self, request: Admitted, last: Refusal) -> Verdict:
+    def _final_refusal(self, request: Admitted, last_refusal: Refusal) -> Verdict:
         if request.relay is not None and request.relay.started:
-            return MayHaveRun(STREAM_BROKEN, last.detail)
-        return last
+            return MayHaveRun(STREAM_BROKEN, last_refusal.detail)
+        return last_refusal
 
     async def _forward_complete(self, request: Admitted, outcome: CompleteAnswer) -> Verdict:
         if request.relay is not None and request.relay.started:
@@ -372,7 +390,7 @@
     async def _conclude(self, request: Admitted, verdict: Verdict) -> None:
         """Count and log the verdict; send the answer if it has not been sent yet."""
         seconds = trio.current_time() - request.arrived_at
-        self._observe(request.service, verdict_name(verdict), seconds)
+        self._observe_verdict(request.service, verdict_name(verdict), seconds)
         if isinstance(verdict, Completed):
             self.counts["completed"] += 1
             log_completed(request, verdict)
@@ -394,8 +412,8 @@
 
 def _version_to_expect(request: Admitted, replica_state: ReplicaState) -> int | None:
     """Return the weights version that a replica must hold to run a request, None if any may."""
-    if request.bound_version is not None or request.facts.model is None:
-        return request.bound_version
+    if request.resume_version is not None or request.facts.model is None:
+        return request.resume_version
     return replica_state.version_to_expect(request.facts.model)
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -75,14 +75,16 @@
     facts, directory = make_directory(FIRST)
     directory.record_report(load_of(FIRST, m=3))
     before = only_state(directory)
-    before.record_outcome(DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), bound=False)
+    before.record_outcome(
+        DidNotRun(NOT_SERVING, "", arrived=True, elsewhere=True), version_required=False
+    )
     before.reserve_slot()
     before.health.note_failure(certain=True)
     before.waits._note(9.0)
     facts.replicas[FIRST.id] = SECOND
     assert directory.update() == [FIRST.address]
     after = only_state(directory)
-    assert before.gone and not after.gone
+    assert before.replaced_or_unlisted and not after.replaced_or_unlisted
     assert (after.in_flight, after.last_report, after.health.failures) == (0, None, 0)
     assert after.waits.expected() == 0 and after.version_of("m") is None
     assert directory.update() == []
--- a/tests/test_retries.py
+++ b/tests/test_retries.py
@@ -50,7 +50,7 @@
 def may_run_again(request: StubRequest) -> bool:
     budget = RetryBudget(ratio=1.0, slack=100.0)
     retries = Retries(cast(Admission, None), budget, cast(Containment, StubContainment()))
-    return retries.may_run_again(cast(Admitted, request))
+    return retries.take_retry_to_rerun(cast(Admitted, request))
 
 
 def test_a_request_that_left_a_silent_replica_runs_again_although_it_is_suspect() -> None:
@@ -78,7 +78,7 @@
     limits = CallerLimits(1, 1, 1.0, 1.0)
     configuration = Configuration(1, (), {"api": Service("api", 1)}, (), limits)
     *_, answering = directory.states()
-    answering.record_outcome(Streamed(), bound=False)
+    answering.record_outcome(Streamed(), version_required=False)
     second = Requirements("api", None, None, ("r0",), True)
     for _ in range(20):
         assert picker.pick(second, configuration) is answering
