--- a/tests/test_beside_replica.py
+++ b/tests/test_beside_replica.py
@@ -1,8 +1,8 @@
-"""The staged chunks are intact and of one version when a replica accepts an order.
+"""Tests that staged chunks are intact and of one version when a replica accepts an order.
 
 Each test delays something between a put, the read-back and the order: a call that takes effect
 seconds after it was sent, a process or replica that is stopped or slow, a restarted daemon, or a
-power loss. Chunks may be bad for up to 3 s before they are loaded.
+power loss. A chunk that turned bad less than 3 s before its load is allowed.
 """
 
 import signal
@@ -18,7 +18,7 @@
 
 # The longest delay after which an unanswered call took effect at users' replicas.
 LATE_SECONDS = 12.0
-# Longer than a chunk may be bad before it is loaded.
+# Longer than the 3 s for which a chunk may have been bad when it is loaded.
 STALL_SECONDS = 3.5
 
 
@@ -43,7 +43,7 @@
 
 
 async def kill_with_order_in_doubt(site: Machines) -> FakeReplica:
-    """Kill a daemon whose order for version 2 is delayed; return its replica."""
+    """Kill the daemon once its replica holds back the order for version 2; return the replica."""
     replica = model_replica(site).replica
     replica.orders_to_hold = 1
     site.name_version(2)
@@ -60,20 +60,20 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        late: list[tuple[float, DaemonCall]] = []
+        delayed_puts: list[tuple[float, DaemonCall]] = []
 
-        async def hold_back(call: DaemonCall) -> bool:
-            if call.puts_chunk and not late:
-                late.append((trio.current_time(), call))
+        async def delay_first_put(call: DaemonCall) -> bool:
+            if call.puts_chunk and not delayed_puts:
+                delayed_puts.append((trio.current_time(), call))
                 site.name_version(3)
                 return True
-            for at, put in late:
-                within = trio.current_time() - at <= LATE_SECONDS
-                if call.orders and within and replica.staged[put.number] != put.body:
+            for sent_at, put in delayed_puts:
+                may_take_effect = trio.current_time() - sent_at <= LATE_SECONDS
+                if call.orders and may_take_effect and replica.staged[put.number] != put.body:
                     replica.staged[put.number] = put.body
             return False
 
-        replica.drops_call = hold_back
+        replica.drops_call = delay_first_put
         site.name_version(2)
         await wait_loaded([replica], 3)
         check_loads(site)
@@ -92,23 +92,23 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        late: list[tuple[float, DaemonCall]] = []
-        held_back = trio.Event()
+        delayed_puts: list[tuple[float, DaemonCall]] = []
+        put_delayed = trio.Event()
 
-        async def hold_back(call: DaemonCall) -> bool:
-            if call.puts_chunk and not late:
-                late.append((trio.current_time(), call))
-                held_back.set()
+        async def delay_first_put(call: DaemonCall) -> bool:
+            if call.puts_chunk and not delayed_puts:
+                delayed_puts.append((trio.current_time(), call))
+                put_delayed.set()
                 return True
-            for at, put in late:
-                if call.orders and trio.current_time() - at <= LATE_SECONDS:
+            for sent_at, put in delayed_puts:
+                if call.orders and trio.current_time() - sent_at <= LATE_SECONDS:
                     replica.staged[put.number] = put.body
             return False
 
-        replica.drops_call = hold_back
+        replica.drops_call = delay_first_put
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
-            await held_back.wait()
+            await put_delayed.wait()
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
         site.name_version(3)
@@ -130,19 +130,19 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = model_replica(site).replica
-        late: list[tuple[float, DaemonCall]] = []
+        delayed_puts: list[tuple[float, DaemonCall]] = []
 
-        async def hold_back(call: DaemonCall) -> bool:
-            if call.puts_chunk and not late:
-                late.append((trio.current_time(), call))
+        async def delay_first_put(call: DaemonCall) -> bool:
+            if call.puts_chunk and not delayed_puts:
+                delayed_puts.append((trio.current_time(), call))
                 return True
-            for at, put in late:
-                newer = replica.version == 2 and call.orders
-                if newer and trio.current_time() - at <= LATE_SECONDS:
+            for sent_at, put in delayed_puts:
+                is_next_order = replica.version == 2 and call.orders
+                if is_next_order and trio.current_time() - sent_at <= LATE_SECONDS:
                     replica.staged[put.number] = put.body
             return False
 
-        replica.drops_call = hold_back
+        replica.drops_call = delay_first_put
         site.name_version(2)
         await wait_loaded([replica], 2)
         # Entries need this time to learn of the load.
@@ -163,14 +163,14 @@
         replica = model_replica(site).replica
         stopped = trio.Event()
 
-        async def stop(call: DaemonCall) -> bool:
+        async def stop_daemon_at_last_chunk(call: DaemonCall) -> bool:
             if call.reads_chunk and call.number == CHUNKS - 1 and not stopped.is_set():
                 site.signal("daemon0", signal.SIGSTOP)
                 corrupt_chunk(replica, 0)
                 stopped.set()
             return False
 
-        replica.drops_call = stop
+        replica.drops_call = stop_daemon_at_last_chunk
         site.name_version(2)
         with trio.fail_after(LOADED_SECONDS):
             await stopped.wait()
@@ -209,9 +209,9 @@
         replica = await kill_with_order_in_doubt(site)
         site.name_version(3)
         site.start("daemon0")
-        newer = site.origin.versions[3]
+        newer_chunks = site.origin.versions[3]
         with trio.move_on_after(LATE_SECONDS):
-            while not any(newer[number] == data for number, data in replica.staged.items()):
+            while not any(newer_chunks[number] == data for number, data in replica.staged.items()):
                 await trio.sleep(0.005)
         replica.take_held_orders()
         await wait_loaded([replica], 3)
@@ -292,13 +292,13 @@
         replica = model_replica(site).replica
         replica.reports_start = False
         incarnations = 1
-        read: set[int] = set()
+        chunks_read: set[int] = set()
 
         async def lose_power(call: DaemonCall) -> bool:
             nonlocal incarnations
             if call.reads_chunk:
-                read.add(call.number)
-            elif incarnations == 1 and len(read) == CHUNKS:
+                chunks_read.add(call.number)
+            elif incarnations == 1 and len(chunks_read) == CHUNKS:
                 incarnations += 1
                 await replica.lose_power()
                 return True
--- a/tests/test_configuration.py
+++ b/tests/test_configuration.py
@@ -14,40 +14,41 @@
 from testing.small import POOL_PATH, SmallFleet, small_fleet
 
 
-async def fleet_part(small: SmallFleet, name: str) -> dict[str, object]:
+async def fleet_document(small: SmallFleet, name: str) -> dict[str, object]:
+    """Return a process's state of the fleet document; empty if the process does not answer."""
     state = await small.fleet.state(name)
-    part: dict[str, object] = state["documents"]["fleet"] if state else {}
-    return part
+    document: dict[str, object] = state["documents"]["fleet"] if state else {}
+    return document
 
 
 async def test_a_rejected_file_changes_nothing_and_is_seen_everywhere(tmp_path: Path) -> None:
     async with small_fleet(tmp_path) as small:
-        good = await fleet_part(small, "entry0")
+        good = await fleet_document(small, "entry0")
         small.fleet.publish_fleet(str(small.text).replace("replicas = 3", "replicas = 0"))
         for name in small.fleet.nodes:
 
             async def rejected(name: str = name) -> bool:
-                return bool((await fleet_part(small, name)).get("rejection"))
+                return bool((await fleet_document(small, name)).get("rejection"))
 
             await wait_for(rejected, f"{name} shows the rejection")
-            part = await fleet_part(small, name)
-            assert (part["revision"], part["digest"]) == (good["revision"], good["digest"])
-            assert "pools.p.replicas" in str(part["rejection"])
+            document = await fleet_document(small, name)
+            assert (document["revision"], document["digest"]) == (good["revision"], good["digest"])
+            assert "pools.p.replicas" in str(document["rejection"])
         assert (await generate(small.entry(), POOL_PATH))[0].status == 200
         revision = small.fleet.publish_fleet(str(small.text))
         await small.fleet.wait_revision(revision)
-        assert not (await fleet_part(small, "host0"))["rejection"]
+        assert not (await fleet_document(small, "host0"))["rejection"]
 
 
 async def test_a_process_that_starts_after_a_rejection_gets_the_last_good_file(
     tmp_path: Path,
 ) -> None:
     async with small_fleet(tmp_path) as small:
-        good = await fleet_part(small, "entry0")
+        good = await fleet_document(small, "entry0")
         bad = small.fleet.publish_fleet("nonsense")
 
         async def seen() -> bool:
-            return (await fleet_part(small, "host1")).get("newest_revision") == bad
+            return (await fleet_document(small, "host1")).get("newest_revision") == bad
 
         await wait_for(seen, "the bad file is seen")
         small.fleet.kill("host0")
@@ -55,7 +56,7 @@
         small.fleet.start("host0")
 
         async def back() -> bool:
-            return (await fleet_part(small, "host0")).get("revision") == good["revision"]
+            return (await fleet_document(small, "host0")).get("revision") == good["revision"]
 
         await wait_for(back, "the last good file is back")
 
@@ -77,7 +78,7 @@
         loaded = {w.digest for e in small.fleet.engines().values() for w in e.loaded}
         assert loaded == {digest}
         for name in small.fleet.nodes:
-            assert (await fleet_part(small, name))["revision"] == revision
+            assert (await fleet_document(small, name))["revision"] == revision
 
 
 async def test_a_process_that_starts_with_a_stale_service_follows_its_peers(
@@ -154,7 +155,7 @@
 ) -> None:
     async with small_fleet(tmp_path, hosts=2) as small:
         revision = small.fleet.config.documents["fleet"][0]
-        before = await fleet_part(small, "host0")
+        before = await fleet_document(small, "host0")
         small.fleet.publish_fleet(str(small.text) + "\n# other\n", revision=revision)
         # A process that starts now gets the second body from the service, the first from peers.
         small.fleet.kill("host1")
@@ -166,7 +167,7 @@
             return any(s and s["document_events"].get("conflict") for s in states)
 
         await wait_for(conflict, "a conflict is counted")
-        assert (await fleet_part(small, "host0"))["digest"] == before["digest"]
+        assert (await fleet_document(small, "host0"))["digest"] == before["digest"]
 
 
 async def test_the_administration_api_shows_the_file_in_force_and_refuses_writes(
@@ -196,10 +197,10 @@
         padding = "\n".join(f"# {'x' * 90}" for _ in range(10_000))
         revision = small.fleet.publish_fleet(f"{small.text}\n{padding}")
 
-        async def anyone() -> bool:
-            parts = [await fleet_part(small, name) for name in small.fleet.nodes]
-            return any(part.get("revision") == revision for part in parts)
+        async def some_process_has_it() -> bool:
+            documents = [await fleet_document(small, name) for name in small.fleet.nodes]
+            return any(document.get("revision") == revision for document in documents)
 
-        await wait_for(anyone, "the first reader has it", poll=0.001)
+        await wait_for(some_process_has_it, "the first reader has it", poll=0.001)
         small.fleet.config.down = True
         await small.fleet.wait_revision(revision)
--- a/tests/test_confirmation.py
+++ b/tests/test_confirmation.py
@@ -1,4 +1,4 @@
-"""When a daemon and an entry regard a load as intact; runs without network or clock."""
+"""Tests when a daemon and an entry regard a load as intact, without network or clock."""
 
 import pytest
 from headcross_base.addresses import Address
@@ -16,6 +16,7 @@
 from headcross_wire.peermessages import ReplicaLoad
 
 OLDER, NEWER = LoadedModel("m", 1), LoadedModel("m", 2)
+# The chunks that a read-back found bad.
 WHOLE: frozenset[int] = frozenset()
 BAD = frozenset({0})
 
@@ -28,7 +29,7 @@
     return ReplicaReport(loaded, loading, orders, 0, 0, 0, 1, 1.0, started_ms=started_ms)
 
 
-def seen(*reports: ReplicaReport) -> Confirmation:
+def confirmation_after(*reports: ReplicaReport) -> Confirmation:
     """Return the confirmation after some reports, one per second from 1.0 on."""
     confirmation = Confirmation()
     for at, report in enumerate(reports, start=1):
@@ -39,19 +40,19 @@
 def read_back(
     confirmation: Confirmation, report: ReplicaReport, bad: frozenset[int], put_at: float = NEVER
 ) -> LoadStatus:
-    """Return the status after a read-back of the loaded version."""
+    """Return the status after a read-back that found `bad` chunks; `put_at`: the last put."""
     assert confirmation.needs_read_back(report)
     confirmation.note_read_back(key_of(report), bad, put_at)
     return confirmation.status
 
 
 def test_a_load_without_an_order_is_confirmed() -> None:
-    assert seen(report_of(1, 0)).status is LoadStatus.CONFIRMED
-    assert seen(report_of(0, 0)).confirmed(report_of(0, 0)) == {}
+    assert confirmation_after(report_of(1, 0)).status is LoadStatus.CONFIRMED
+    assert confirmation_after(report_of(0, 0)).confirmed(report_of(0, 0)) == {}
 
 
 def test_the_load_of_an_answered_order_is_confirmed_before_it_ends() -> None:
-    confirmation = seen(report_of(1, 0))
+    confirmation = confirmation_after(report_of(1, 0))
     confirmation.record_accepted_order(NEWER, report_of(1, 0))
     loading = report_of(1, 1, loading=True)
     confirmation.observe(loading, 2.0)
@@ -60,7 +61,7 @@
 
 
 def test_an_answer_after_the_report_that_counts_the_order_confirms_the_load() -> None:
-    confirmation = seen(report_of(1, 0), report_of(1, 1, loading=True))
+    confirmation = confirmation_after(report_of(1, 0), report_of(1, 1, loading=True))
     confirmation.record_accepted_order(NEWER, report_of(1, 0))
     assert confirmation.status is LoadStatus.CONFIRMED
 
@@ -80,7 +81,7 @@
 def test_the_read_back_decides_on_a_load_whose_order_was_accepted_late(
     bad: frozenset[int], put_at: float, status: LoadStatus
 ) -> None:
-    confirmation = seen(BEFORE, AFTER)
+    confirmation = confirmation_after(BEFORE, AFTER)
     assert confirmation.status is LoadStatus.UNCONFIRMED
     assert confirmation.confirmed(AFTER) == {}
     assert read_back(confirmation, AFTER, bad, put_at) is status
@@ -99,13 +100,13 @@
 def test_the_read_back_decides_on_a_load_from_before_the_start(
     bad: frozenset[int], put_at: float, status: LoadStatus
 ) -> None:
-    confirmation = seen(AFTER)
+    confirmation = confirmation_after(AFTER)
     assert read_back(confirmation, AFTER, bad, put_at) is status
     assert confirmation.suspect(AFTER) == {}
 
 
 def test_a_suspect_load_stays_suspect_until_the_next_load() -> None:
-    confirmation = seen(BEFORE, AFTER)
+    confirmation = confirmation_after(BEFORE, AFTER)
     assert read_back(confirmation, AFTER, BAD) is LoadStatus.SUSPECT
     confirmation.note_read_back(key_of(AFTER), WHOLE, NEVER)
     confirmation.observe(AFTER, 3.0)
@@ -115,24 +116,26 @@
 
 
 def test_a_read_back_of_an_earlier_load_is_ignored() -> None:
-    confirmation = seen(BEFORE, AFTER, report_of(3, 2))
+    confirmation = confirmation_after(BEFORE, AFTER, report_of(3, 2))
     confirmation.note_read_back(key_of(AFTER), WHOLE, NEVER)
     assert confirmation.status is LoadStatus.UNCONFIRMED
 
 
 def test_an_order_count_that_falls_within_an_incarnation_confirms_nothing() -> None:
-    confirmation = seen(AFTER, report_of(2, 0))
+    confirmation = confirmation_after(AFTER, report_of(2, 0))
     assert confirmation.status is LoadStatus.UNCONFIRMED
     # Without a start time, a smaller count means another incarnation.
-    confirmation = seen(report_of(2, 1, started_ms=None), report_of(0, 0, started_ms=None))
+    confirmation = confirmation_after(
+        report_of(2, 1, started_ms=None), report_of(0, 0, started_ms=None)
+    )
     assert confirmation.status is LoadStatus.CONFIRMED
 
 
 def test_chunks_of_another_version_wait_a_limited_time_for_the_read_back() -> None:
-    confirmation = seen(BEFORE, AFTER)
+    confirmation = confirmation_after(BEFORE, AFTER)
     assert confirmation.blocks_other_versions(2.1)
     assert not confirmation.blocks_other_versions(2.0 + READ_BACK_PRIORITY_SECONDS)
-    assert not seen(BEFORE).blocks_other_versions(1.1)
+    assert not confirmation_after(BEFORE).blocks_other_versions(1.1)
 
 
 # At an entry.
@@ -178,8 +181,8 @@
     messages: list[ReplicaLoad], version: int, serves: bool
 ) -> None:
     loads = ConfirmedLoads([OLDER])
-    for each in messages:
-        loads.record_report(each, 1.0)
+    for message in messages:
+        loads.record_report(message, 1.0)
     assert loads.may_serve("m", version) == serves
 
 
--- a/tests/test_confirmed_loads.py
+++ b/tests/test_confirmed_loads.py
@@ -1,11 +1,10 @@
 """Tests that a replica gets requests only once its load is confirmed to be complete.
 
 Guards against answers from weights with a corrupt chunk. A replica may carry out an order seconds
-after it was sent, when a chunk has become corrupt; that cannot be prevented while the replica
-answers nothing or its daemon is dead. A replica does not verify its load, so neither the list nor
-the replica's report shows whether the load was complete. An entry that relied on the versions
-they report, at one request every 0.1 s, sent all but the first few to the bad load until another
-version was loaded.
+after it was sent, when a chunk has become corrupt; nobody can prevent that while the replica
+answers nothing or its daemon is dead. Replicas do not verify their loads, so the versions in the
+list and in a replica's report do not show it. An entry that relied on them, at one request every
+0.1 s, sent all but the first few to the bad load until another version was loaded.
 """
 
 import hashlib
@@ -28,7 +27,7 @@
 )
 from tests.test_machine_weights import LOADED_SECONDS, check_loads, wait_loaded, wait_offered
 
-ASK_SECONDS = 0.1
+REQUEST_INTERVAL_SECONDS = 0.1
 WATCHED_SECONDS = 3.0
 # Time within which a complete load must take requests again.
 SERVED_SECONDS = 10.0
@@ -42,7 +41,7 @@
     async def send_requests() -> None:
         while True:
             replies.append(await ask(site.callers("entry0"), "/stream/x"))
-            await trio.sleep(ASK_SECONDS)
+            await trio.sleep(REQUEST_INTERVAL_SECONDS)
 
     async with trio.open_nursery() as nursery:
         nursery.start_soon(send_requests)
@@ -67,7 +66,7 @@
 
 
 def check_some_load_was_bad(site: Machines) -> None:
-    """Check that the fault occurred: at least one load was incomplete or corrupt."""
+    """Check that the test produced its fault: at least one load was incomplete or corrupt."""
     loads = [load for r in replicas_of(site, MODEL_SERVICE) for load in r.loads]
     assert not all(is_complete(site, load) for load in loads)
 
--- a/tests/test_digests.py
+++ b/tests/test_digests.py
@@ -105,7 +105,7 @@
 
 @pytest.fixture(autouse=True)
 def virtual_time(autojump_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Let `monotonic` follow trio's clock, which tests must request themselves to use it."""
+    """Let `monotonic` follow trio's clock; tests that use it must request `autojump_clock`."""
     monkeypatch.setattr(digestregistry, "monotonic", trio.current_time)
 
 
@@ -113,7 +113,10 @@
 async def test_two_daemons_of_a_region_read_digests_and_all_others_get_them_from_these(
     autojump_clock: trio.testing.MockClock, daemons: int, entries: int
 ) -> None:
-    """If all 54 processes read digests (0.5 MB), new weights begin 0.1 s to 0.9 s late."""
+    """Guards against reads of the digests (0.5 MB) by all processes of a region.
+
+    With 54 processes, new weights then begin 0.1 s to 0.9 s late.
+    """
     region = Region(daemons, entries)
     seconds = await region.obtain_all()
     assert all(registry.settled[GOAL] == DIGESTS for registry in region.registries.values())
@@ -125,7 +128,7 @@
 async def test_a_process_that_knows_no_daemon_of_its_region_reads_the_origin_itself(
     monkeypatch: pytest.MonkeyPatch, autojump_clock: trio.testing.MockClock
 ) -> None:
-    """With an empty list of replicas, selecting a reader to ask must not divide by zero."""
+    """Guards against a division by zero when a reader is selected from no replicas."""
     readings = itertools.count()
     monkeypatch.setattr(digestregistry, "monotonic", lambda: next(readings) * 1e-6)
     region = Region(0, 1)
@@ -169,7 +172,7 @@
 
 
 def test_daemons_whose_replicas_serve_a_version_are_asked_for_its_digests_first() -> None:
-    """Added replicas that ask other added ones receive their weights 0.35 s later."""
+    """Guards against added replicas that ask one another, which delays their weights by 0.35 s."""
 
     def replica(ip: str, version: int) -> Replica:
         loaded = (LoadedModel("m", version),) if version else ()
--- a/tests/test_foreign_entries.py
+++ b/tests/test_foreign_entries.py
@@ -174,18 +174,18 @@
     items = [item(key, revision, value) for revision, (key, (value, _)) in enumerate(history, 2)]
     newest = {key: valid for key, (_, valid) in history}
     listed = {key for key, valid in newest.items() if valid}
-    last = len(items) + 1
+    last_revision = len(items) + 1
     watched = facts_with()
     for change in items:
         watched.take_changes(Topic.REPLICAS, Changes((change,), change.revision))
     reordered = facts_with()
     shuffled = list(items)
     order.shuffle(shuffled)
-    reordered.take_changes(Topic.REPLICAS, Changes(tuple(shuffled), last))
+    reordered.take_changes(Topic.REPLICAS, Changes(tuple(shuffled), last_revision))
     # A peer sends its items as it read them, including values that it could not decode.
     from_peer = facts_with()
     mirrored = tuple(watched.topics[Topic.REPLICAS].items.values())
-    from_peer.take_listing(Topic.REPLICAS, Listing(mirrored, last), 0.0, "peer")
+    from_peer.take_listing(Topic.REPLICAS, Listing(mirrored, last_revision), 0.0, "peer")
     older = items[: len(items) // 2]
     from_peer.take_listing(Topic.REPLICAS, Listing(tuple(older), 1 + len(older)), 0.0, "peer")
     assert set(watched.replicas) == set(reordered.replicas) == set(from_peer.replicas) == listed
--- a/tests/test_held_links.py
+++ b/tests/test_held_links.py
@@ -1,4 +1,8 @@
-"""Tests requests to old weights over links that delay them until after their withdrawal."""
+"""Tests requests to old weights over links that delay them until after their withdrawal.
+
+A link that holds delivers nothing until it is released, and then also requests whose caller has
+reset the connection since.
+"""
 
 import random
 import signal
@@ -19,8 +23,10 @@
 
 BOUND_SECONDS = 6.0
 
+# Until this long after the naming of a new version, entries send requests to old weights.
 LAST_SENDING_SECONDS = BOUND_SECONDS - SEND_MARGIN_SECONDS
-# Range of the times, around the last sending, at which links begin to hold.
+# Links begin to hold at a random time from HOLD_BEFORE_SECONDS before the last sending until
+# HOLD_AFTER_SECONDS after it.
 HOLD_BEFORE_SECONDS = 3.0
 HOLD_AFTER_SECONDS = 0.5
 LINKS = 4
@@ -39,7 +45,7 @@
 
 
 async def put_links(site: Machines, *, daemons: bool) -> dict[HeldLink, ListedReplica]:
-    """List each replica of the model behind a link of its own; return the links."""
+    """Put a link before each replica of the model; return the links and their replicas."""
     links: dict[HeldLink, ListedReplica] = {}
     for listed in site.replicas.values():
         if listed.service != MODEL_SERVICE:
@@ -87,17 +93,17 @@
 
 
 def stop_daemons(site: Machines, daemons: Daemons) -> None:
-    """Suspend or kill the daemons of a site, as `daemons` says."""
-    number = {Daemons.SILENT: signal.SIGSTOP, Daemons.DEAD: signal.SIGKILL}.get(daemons)
+    """Suspend or kill the daemons of a site if `daemons` says so."""
+    signal_number = {Daemons.SILENT: signal.SIGSTOP, Daemons.DEAD: signal.SIGKILL}.get(daemons)
     for name, machine in site.machines.items():
-        if number is not None and machine.role == "upstream":
-            site.signal(name, number)
+        if signal_number is not None and machine.role == "upstream":
+            site.signal(name, signal_number)
 
 
 async def check_held_links(tmp_path: Path, seed: int, daemons: Daemons) -> None:
-    """Have each link hold from a random moment on; check that no request begins late."""
+    """Let each link hold from a random time on; check that no request begins late."""
     generator = random.Random(seed)
-    moments = [generator.uniform(-HOLD_BEFORE_SECONDS, HOLD_AFTER_SECONDS) for _ in range(LINKS)]
+    offsets = [generator.uniform(-HOLD_BEFORE_SECONDS, HOLD_AFTER_SECONDS) for _ in range(LINKS)]
     async with small_site(
         tmp_path, models=LINKS, plain=0, weights_ms=1000 * BOUND_SECONDS
     ) as site:
@@ -106,19 +112,19 @@
         name_version_without_weights(site, 2)
         stop_daemons(site, daemons)
 
-        async def hold(link: HeldLink, moment: float) -> None:
-            await trio.sleep_until(named_at + LAST_SENDING_SECONDS + moment)
+        async def hold(link: HeldLink, offset: float) -> None:
+            await trio.sleep_until(named_at + LAST_SENDING_SECONDS + offset)
             await link.hold_between_requests()
             await trio.sleep_until(named_at + RELEASE_SECONDS)
             link.release()
 
         async with trio.open_nursery() as nursery:
-            for link, moment in zip(links, moments, strict=True):
-                nursery.start_soon(hold, link, moment)
+            for link, offset in zip(links, offsets, strict=True):
+                nursery.start_soon(hold, link, offset)
             await call_until(site, named_at + BOUND_SECONDS)
         await trio.sleep(0.5)
         late = late_runs(links, named_at)
-        assert not late, (late, moments)
+        assert not late, (late, offsets)
 
 
 @pytest.mark.parametrize("daemons", [Daemons.NONE, Daemons.OTHER_LINK])
@@ -135,7 +141,7 @@
 async def test_no_request_begins_late_on_old_weights_over_a_held_link_without_its_daemon(
     tmp_path: Path, seed: int, daemons: Daemons
 ) -> None:
-    """Without load reports, an entry cannot see from its subscriptions whether a link delivers."""
+    """Guards against late requests while no load report shows an entry whether a link delivers."""
     await check_held_links(tmp_path, seed, daemons)
 
 
@@ -158,7 +164,10 @@
 async def test_a_request_whose_link_holds_right_behind_its_proof_does_not_begin_late(
     tmp_path: Path,
 ) -> None:
-    """The link begins to hold right after the proof, before the request is sent."""
+    """Guards against a late request on a link that holds just after it proved that it delivers.
+
+    An answer over the link is the proof; the link holds the request that is sent right behind it.
+    """
     async with small_site(tmp_path, models=1, plain=0, weights_ms=1000 * BOUND_SECONDS) as site:
         links = await put_links(site, daemons=False)
         (link,) = links
--- a/tests/test_in_doubt.py
+++ b/tests/test_in_doubt.py
@@ -1,4 +1,7 @@
-"""Which versions may be staged and ordered while calls to the replica are in doubt."""
+"""Tests which versions may be staged and ordered while calls to the replica are in doubt.
+
+A call is in doubt while it has no answer and may still take effect.
+"""
 
 import pytest
 from headcross_facts.facts import VersionNotice
@@ -152,12 +155,8 @@
         (1, [GOAL], SOON, False),
         (1, [SKIPPED, GOAL], SOON, True),
         (1, [SKIPPED_AT_START, GOAL], SOON, True),
-        (
-            1,
-            [NAMED_SINCE, GOAL],
-            SOON,
-            False,
-        ),  # named after the start, so only this process can have staged it
+        # Named after the start, so only this process can have staged it.
+        (1, [NAMED_SINCE, GOAL], SOON, False),
         (2, [SKIPPED, GOAL], SOON, False),  # the replica has loaded it
         (1, [SKIPPED, GOAL], START + LATE_SECONDS, False),
     ],
@@ -193,9 +192,8 @@
     doubt.record_loaded_at(OLDER, START - 5.0)
     assert doubt.earlier_put_may_land(NEWER, 2, [GOAL], START - 5.1 + LATE_SECONDS)
     assert not doubt.earlier_put_may_land(NEWER, 2, [GOAL], START - 5.0 + LATE_SECONDS)
-    doubt.record_loaded_at(
-        OLDER, START - 4.0
-    )  # from an entry that observed the load a second later
+    # From an entry that observed the load a second later.
+    doubt.record_loaded_at(OLDER, START - 4.0)
     assert doubt.earlier_put_may_land(NEWER, 2, [GOAL], START - 5.0 + LATE_SECONDS)
 
 
--- a/tests/test_incarnations.py
+++ b/tests/test_incarnations.py
@@ -99,7 +99,10 @@
 def test_no_requests_are_sent_while_list_and_daemon_report_different_incarnations(
     daemon_first: bool,
 ) -> None:
-    """The list showed version 3 as loaded, while the later incarnation had no weights."""
+    """Guards against requests to an incarnation without weights.
+
+    The list still showed version 3 as loaded, which only the earlier incarnation had.
+    """
     facts, directory = make_directory(FIRST)
     directory.record_report(load_of(FIRST, m=3))
     assert not only_state(directory).is_unavailable()
@@ -147,8 +150,8 @@
         outcome = await send_order(local_replica, report)
         assert isinstance(outcome, Ok) and isinstance(outcome.value, OrderRefused)
         assert replica.orders == 0
-        now = replace(report, started_ms=replica.started_ms)
-        outcome = await send_order(local_replica, now)
+        later_report = replace(report, started_ms=replica.started_ms)
+        outcome = await send_order(local_replica, later_report)
         assert isinstance(outcome, Ok) and not isinstance(outcome.value, OrderRefused)
         assert replica.orders == 1
         nursery.cancel_scope.cancel()
@@ -241,7 +244,7 @@
     with trio.fail_after(WAIT_SECONDS):
         while True:
             states = (await site.state("entry0"))["replica_states"]
-            found = [s["between_lives"] for s in states if s["id"] == listed.replica.id]
-            if found == [expected]:
+            conflicts = [s["between_lives"] for s in states if s["id"] == listed.replica.id]
+            if conflicts == [expected]:
                 return
             await trio.sleep(0.02)
--- a/tests/test_incarnations_requests.py
+++ b/tests/test_incarnations_requests.py
@@ -18,8 +18,10 @@
 
 def runs_of(site: Machines, request_id: str) -> list[Run]:
     """Return the runs of a request at all replicas and in all their incarnations."""
-    listed = site.replicas.values()
-    return [run for each in listed for run in each.replica.runs if run.id == request_id]
+    listed_replicas = site.replicas.values()
+    return [
+        run for listed in listed_replicas for run in listed.replica.runs if run.id == request_id
+    ]
 
 
 async def wait_active(replicas: list[ListedReplica]) -> ListedReplica:
--- a/tests/test_linelog.py
+++ b/tests/test_linelog.py
@@ -99,7 +99,7 @@
 async def test_the_log_task_does_not_wake_up_while_nothing_is_logged(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """With a periodic flush, each of a hundred processes woke up 20 times a second."""
+    """Guards against a periodic flush, which woke each of 100 processes 20 times a second."""
     mock_clock.autojump_threshold = 0
     reader, writer = os.pipe()
     log = make_log(writer, 5)
--- a/tests/test_machine_attempts.py
+++ b/tests/test_machine_attempts.py
@@ -45,7 +45,7 @@
 
 
 def inject_fault_once(site: Machines, fault: Fault) -> list[FakeReplica]:
-    """Inject a fault once at every plain replica; return the replicas."""
+    """Let every plain replica inject a fault into its next request; return the replicas."""
     replicas = replicas_of(site, PLAIN_SERVICE)
     for replica in replicas:
         replica.faults.append(fault)
@@ -55,7 +55,10 @@
 async def ask_until_used(
     site: Machines, replica: FakeReplica, path: str, body: bytes = b"hello"
 ) -> list[Reply]:
-    """Send requests until the faults of a replica are used up; picking is partly random."""
+    """Send requests until a replica has used up its faults; return the replies.
+
+    How many requests that takes varies, since entries pick replicas partly at random.
+    """
     replies: list[Reply] = []
     with trio.fail_after(20):
         while replica.faults:
--- a/tests/test_machine_callers.py
+++ b/tests/test_machine_callers.py
@@ -34,16 +34,16 @@
     """Send text to the entry; return the bytes received until it closes, within 8 s."""
     address = site.callers("entry0")
     stream = await trio.open_tcp_stream(address.ip, address.port)
-    got = b""
+    received = b""
     with trio.move_on_after(8):
         async with stream:
             try:
                 await stream.send_all(text.encode("latin-1"))
                 while data := await stream.receive_some(65536):
-                    got += data
+                    received += data
             except trio.BrokenResourceError:
                 pass
-    return got
+    return received
 
 
 @pytest.mark.parametrize("case", HOSTILE)
@@ -52,9 +52,9 @@
 ) -> None:
     text, status = HOSTILE[case]
     async with small_site(tmp_path, models=0, plain=1) as site:
-        got = await send_raw(site, text)
-        assert got.startswith(b"HTTP/1.1 %d " % status), (case, got[:200])
-        assert got.count(b"HTTP/1.1") == 1
+        received = await send_raw(site, text)
+        assert received.startswith(b"HTTP/1.1 %d " % status), (case, received[:200])
+        assert received.count(b"HTTP/1.1") == 1
         replica = replicas_of(site, PLAIN_SERVICE)[0]
         assert not replica.runs
         assert (await ask(site.callers("entry0"), "/again/x")).status == 200
@@ -64,9 +64,9 @@
     async with small_site(tmp_path, models=0, plain=1) as site:
         one = HEAD + "Content-Length: 3\r\n\r\none"
         two = HEAD.replace("r-1", "r-2") + "Content-Length: 3\r\nConnection: close\r\n\r\ntwo"
-        got = await send_raw(site, one + two)
-        assert got.count(b"HTTP/1.1 200") == 2
-        assert got.index(b"one") < got.index(b"two")
+        received = await send_raw(site, one + two)
+        assert received.count(b"HTTP/1.1 200") == 2
+        assert received.index(b"one") < received.index(b"two")
 
 
 async def test_a_key_that_no_team_holds_gets_401_and_a_public_route_asks_for_none(
--- a/tests/test_machine_facts.py
+++ b/tests/test_machine_facts.py
@@ -1,4 +1,8 @@
-"""Tests that facts take effect in time and never revert, whatever the store does."""
+"""Tests that facts take effect in time and never revert, whatever the store does.
+
+Facts are what processes read from the platform's store: the configuration, the list of replicas
+and the named versions.
+"""
 
 import itertools
 from dataclasses import dataclass, field, replace
@@ -90,7 +94,7 @@
         site.store.put(f"{names.VERSION_PREFIX}m", b"no json")
         with trio.fail_after(IN_FORCE_SECONDS):
             while True:
-                lines = [x for x in site.log("entry0") if x["message"] == "fact rejected"]
+                lines = [line for line in site.log("entry0") if line["message"] == "fact rejected"]
                 if len(lines) == 3:
                     break
                 await trio.sleep(0.03)
@@ -226,8 +230,8 @@
 ) -> None:
     """Applies listings of any age, and changes requested before newer listings arrived."""
     events = [
-        Item(key, revision, b"" if there else None)
-        for revision, (key, there) in enumerate(history, start=1)
+        Item(key, revision, b"" if is_set else None)
+        for revision, (key, is_set) in enumerate(history, start=1)
     ]
 
     def items_at(revision: int) -> dict[str, Item]:
@@ -269,7 +273,7 @@
 
 
 class CountingStore:
-    """A store with empty listings that counts them."""
+    """A store that counts the listings requested from it, all of which are empty."""
 
     def __init__(self) -> None:
         self.listings = 0
@@ -283,7 +287,7 @@
     async def watch(
         self, topic: Topic, after: int, wait_seconds: float, answer_seconds: float
     ) -> Ok[Changes] | HistoryLost | Failure:
-        """Return no changes after the full wait."""
+        """Wait for `wait_seconds` and return no changes."""
         await trio.sleep(wait_seconds)
         return Ok(Changes((), after))
 
@@ -291,11 +295,11 @@
         """Ignore the address."""
 
     def covers(self, topic: Topic, key: str) -> bool:
-        """Return that no key belongs to a topic."""
+        """Return False: no key belongs to a topic."""
         return False
 
     def replica_id(self, key: str) -> str | None:
-        """Return that no key belongs to a replica."""
+        """Return None: no key belongs to a replica."""
         return None
 
     def decode(self, item: Item) -> Ok[Fact | None] | Failure:
@@ -350,7 +354,10 @@
 async def test_an_idle_daemon_delays_reading_changes_of_the_list(
     mock_clock: trio.testing.MockClock,
 ) -> None:
-    """Guards against a call per change by every daemon: half of all calls with 102 daemons."""
+    """Guards against a call to the store by every daemon for each change of the replica list.
+
+    With 102 daemons, these were half of all calls.
+    """
     mock_clock.autojump_threshold = 0
     store = ChangingStore()
     polling = daemon_polling(FactBounds())
@@ -372,12 +379,12 @@
 def test_a_call_that_a_silent_store_holds_ends_before_a_bound_could_be_missed(
     configuration: float, leaving: float, reached: float
 ) -> None:
-    """The bounds apply `reached` seconds after the store's return, whenever the call began."""
+    """Bounds apply from `reached` seconds after the store answers again, whenever a call began."""
     polling = entry_polling(FactBounds(configuration, leaving, reached))
-    until = max(reached, min(configuration, leaving))
+    first_bound = max(reached, min(configuration, leaving))
     for topic in polling.watched:
         watch = polling.watch_limits(topic, lost=False)
-        assert watch.longest + FIRST_RETRY_SECONDS * (1 + RETRY_SPREAD) < until or (
+        assert watch.longest + FIRST_RETRY_SECONDS * (1 + RETRY_SPREAD) < first_bound or (
             watch.wait == MIN_WATCH_SECONDS
         )
     assert (
@@ -391,9 +398,9 @@
     polling = entry_polling(FactBounds())
     longest_pause = max(polling.pause_after(failures) for failures in range(100))
     assert longest_pause <= polling.max_retry_seconds * (1 + RETRY_SPREAD)
-    until = FactBounds().reached - CHANGE_MARGIN_SECONDS
+    available_seconds = FactBounds().reached - CHANGE_MARGIN_SECONDS
     for longest in (polling.watch_limits(Topic.CONTROL, lost=True).longest, store.READ_SECONDS):
-        assert longest + polling.max_retry_seconds * (1 + RETRY_SPREAD) <= until
+        assert longest + polling.max_retry_seconds * (1 + RETRY_SPREAD) <= available_seconds
 
 
 def test_a_version_reported_by_a_daemon_counts_from_its_naming() -> None:
@@ -405,27 +412,27 @@
     facts.record_named_version("m", 3, 0.0)
     notice = facts.versions["m"][-1]
     assert [n.version for n in facts.versions["m"]] == [3] and facts.named_since_start(notice)
-    named = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":3}')
-    facts.take_listing(Topic.CONTROL, Listing((named,), 9), 0.0, "store")
+    version_item = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":3}')
+    facts.take_listing(Topic.CONTROL, Listing((version_item,), 9), 0.0, "store")
     assert facts.versions["m"] == [notice]
     # A version named before this process started is already with the daemons and is not mirrored.
     facts.record_named_version("m", 4, 60.0)
-    before = facts.versions["m"][-1]
-    assert before.version == 4 and not facts.named_since_start(before)
-    assert before.seen_at < notice.seen_at - 50
+    earlier_notice = facts.versions["m"][-1]
+    assert earlier_notice.version == 4 and not facts.named_since_start(earlier_notice)
+    assert earlier_notice.seen_at < notice.seen_at - 50
 
 
 def test_the_earliest_report_of_a_version_counts() -> None:
     """The bound on older weights runs from the naming of a version, however late that is known."""
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
-    named = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":2}')
-    facts.take_listing(Topic.CONTROL, Listing((named,), 9), 0.0, "store")
+    version_item = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":2}')
+    facts.take_listing(Topic.CONTROL, Listing((version_item,), 9), 0.0, "store")
     assert facts.versions["m"][0].at_start
     facts.record_named_version("m", 2, 3.0)
-    earlier = facts.versions["m"][0]
-    assert not earlier.at_start and monotonic() - earlier.seen_at == pytest.approx(3.0, abs=0.5)
+    notice = facts.versions["m"][0]
+    assert not notice.at_start and monotonic() - notice.seen_at == pytest.approx(3.0, abs=0.5)
     facts.record_named_version("m", 2, 1.0)  # from a daemon that learned of it later
-    assert facts.versions["m"] == [earlier]
+    assert facts.versions["m"] == [notice]
 
 
 def test_a_version_that_was_followed_by_another_keeps_its_own_bound() -> None:
@@ -434,8 +441,8 @@
     An entry that lists the topic again sees only the newest version.
     """
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
-    named = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":3}')
-    facts.take_listing(Topic.CONTROL, Listing((named,), 9), 0.0, "store")
+    version_item = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":3}')
+    facts.take_listing(Topic.CONTROL, Listing((version_item,), 9), 0.0, "store")
     rules = WeightsRules(facts, 8.0)
     facts.record_named_version("m", 2, 7.0)
     assert facts.newest_version("m") == 3
@@ -446,15 +453,15 @@
 def test_an_entry_takes_the_named_versions_from_the_control_topic() -> None:
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
     assert not facts.topic_state(Topic.VERSIONS).known
-    name = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":2}')
-    other = Item(f"{names.CONTROL_PREFIX}else", 7, b"{}")
-    facts.take_listing(Topic.CONTROL, Listing((name, other), 9), 0.0, "store")
-    known = facts.topic_state(Topic.VERSIONS)
-    assert known.known and known.revision == 9 and list(known.items) == [name.key]
+    version_item = Item(f"{names.VERSION_PREFIX}m", 5, b'{"model":"m","version":2}')
+    other_item = Item(f"{names.CONTROL_PREFIX}else", 7, b"{}")
+    facts.take_listing(Topic.CONTROL, Listing((version_item, other_item), 9), 0.0, "store")
+    topic = facts.topic_state(Topic.VERSIONS)
+    assert topic.known and topic.revision == 9 and list(topic.items) == [version_item.key]
 
 
 class RecordingNode:
-    """A node that records what is sent; the first message to each peer only opens the link."""
+    """A node that records sent messages; the first message to a peer only opens the link."""
 
     def __init__(self) -> None:
         self.sent: list[tuple[float, Address]] = []
@@ -526,9 +533,9 @@
         # A topic that arrives resets the timeout.
         rejected_process.peers.receive(TopicFacts(Topic.CONTROL.value, 7, 0.1, []), "peer")
         rejected_process.deliver_revision(7, 0.1)
-        asked = len(rejected_process.transfers)
+        transfers_before = len(rejected_process.transfers)
         rejected_process.deliver_revision(8, 0.1)
-        assert [held for _, held in rejected_process.transfers[asked:]] == [7]
+        assert [held for _, held in rejected_process.transfers[transfers_before:]] == [7]
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_machine_weights.py
+++ b/tests/test_machine_weights.py
@@ -1,4 +1,4 @@
-"""New weights on machines: complete, verified and in time, while requests are served."""
+"""Tests that new weights arrive complete, verified and in time while requests are served."""
 
 import hashlib
 import signal
@@ -92,12 +92,12 @@
             while not all(r.version == 2 for r in replicas_of(site, MODEL_SERVICE)):
                 replies.append(await ask(entry, "/stream/x"))
         replies += [await ask(entry, "/stream/x") for _ in range(5)]
-        bad = [r for r in replies if r.status != 200 or not r.whole or r.events != [0, 1, 2, 3]]
+        failed = [r for r in replies if r.status != 200 or not r.whole or r.events != [0, 1, 2, 3]]
         log_lines = [
-            line for r in bad for line in site.log("entry0") if line.get("request") == r.id
+            line for r in failed for line in site.log("entry0") if line.get("request") == r.id
         ]
-        if bad:
-            pytest.fail(f"{bad}\n" + "\n".join(map(str, log_lines)))
+        if failed:
+            pytest.fail(f"{failed}\n" + "\n".join(map(str, log_lines)))
         check_loads(site)
 
 
@@ -105,7 +105,7 @@
     async with small_site(tmp_path, models=1, daemons=True) as site:
         await wait_offered(site)
         replica = replicas_of(site, MODEL_SERVICE)[0]
-        put = replica.staged
+        staged_chunks = replica.staged
 
         class CorruptingChunks(dict[int, bytes]):
             """Corrupts the first copy of one chunk as it is staged."""
@@ -118,7 +118,7 @@
                     data = bytes([data[0] ^ 0xFF]) + data[1:]
                 super().__setitem__(number, data)
 
-        replica.staged = CorruptingChunks(put)
+        replica.staged = CorruptingChunks(staged_chunks)
         site.name_version(2)
         await wait_loaded([replica], 2)
         check_loads(site)
@@ -259,11 +259,11 @@
         site.signal("daemon0", signal.SIGKILL)
         await site.wait_exit("daemon0")
         await trio.sleep(2 * site.origin.seconds_per_chunk)  # the chunks in transit
-        lost = site.origin.sent_chunks - staged()
+        lost_chunks = site.origin.sent_chunks - staged()
         site.start("daemon0")
         await wait_loaded([replica], 2)
         check_loads(site)
-        assert site.origin.sent_chunks <= CHUNKS + lost
+        assert site.origin.sent_chunks <= CHUNKS + lost_chunks
 
 
 async def test_corrupt_digests_are_not_used(tmp_path: Path) -> None:
--- a/tests/test_mirrors.py
+++ b/tests/test_mirrors.py
@@ -72,7 +72,7 @@
 
 
 async def test_an_entry_with_a_narrow_link_leaves_weights_to_the_daemons(tmp_path: Path) -> None:
-    """Daemons ask mirrors first, so a mirror that is too slow would delay all of them."""
+    """Guards against a slow mirror that delays all daemons, since they ask mirrors first."""
     async with small_site(
         tmp_path, models=3, entries=1, daemons=True, link_mbits=1.0, entry_link_mbits=0.25
     ) as site:
@@ -120,11 +120,11 @@
 
 def test_one_late_mirror_marks_the_link_of_the_requester_as_slow() -> None:
     """A mirror's link is wide, so late chunks are held up in the requester's own narrow link."""
-    settings = SMALL_WEIGHTS
-    mirror = NeighbourView("mirror", lambda message: True, settings, is_mirror=True)
-    other = NeighbourView("other", lambda message: True, settings)
+    pace = SMALL_WEIGHTS
+    mirror = NeighbourView("mirror", lambda message: True, pace, is_mirror=True)
+    other = NeighbourView("other", lambda message: True, pace)
     views = {"mirror": mirror, "other": other}
-    mirror.in_flight[0] = monotonic() - 2 * settings.slow_request_seconds
+    mirror.in_flight[0] = monotonic() - 2 * pace.slow_request_seconds
     assert is_link_slow(views, monotonic())
     # Chunks of other hosts that arrive in time show that the mirror has stalled.
     other.in_flight[1] = monotonic()
@@ -134,43 +134,43 @@
 
 def test_chunks_are_requested_from_mirrors_first() -> None:
     stored = StoredArtifact("d", Manifest(1, 1, [ManifestFile("f", 8, ["0" * 64] * 8)]), b"")
-    settings = SMALL_WEIGHTS
+    pace = SMALL_WEIGHTS
     views = {
-        name: NeighbourView(name, lambda message: True, settings, is_mirror=name == "mirror")
+        name: NeighbourView(name, lambda message: True, pace, is_mirror=name == "mirror")
         for name in ("a", "mirror", "b")
     }
     for view in views.values():
         view.has = set(range(8))
     for asked in range(REQUESTS_PER_HOST):
-        choice = choose_chunk(stored, views, set(), settings.requests_in_flight)
+        choice = choose_chunk(stored, views, set(), pace.requests_in_flight)
         assert choice is not None and choice[0].is_mirror
         choice[0].in_flight[choice[1]] = monotonic()
         assert len(views["mirror"].in_flight) == asked + 1
-    choice = choose_chunk(stored, views, set(), settings.requests_in_flight)
+    choice = choose_chunk(stored, views, set(), pace.requests_in_flight)
     assert choice is not None and not choice[0].is_mirror
 
 
 def test_one_mirror_imports_each_chunk_and_other_hosts_are_its_backups() -> None:
-    def host(name: str, role: Role, region: str) -> Host:
+    def make_host(name: str, role: Role, region: str) -> Host:
         return Host(name, role, region, region, "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:3")
 
-    mirrors = [host(f"m{i}", "entry", f"r{i % 2}") for i in range(3)]
-    daemons = [host(f"d{i}", "upstream", f"r{i % 2}") for i in range(6)]
+    mirrors = [make_host(f"m{i}", "entry", f"r{i % 2}") for i in range(3)]
+    daemons = [make_host(f"d{i}", "upstream", f"r{i % 2}") for i in range(6)]
     hosts = [*daemons, *mirrors]
-    orders = {each.name: ImportOrder("a", hosts, each.name, 1) for each in hosts}
+    orders = {host.name: ImportOrder("a", hosts, host.name, 1) for host in hosts}
     for index in range(40):
         duties = {name: order.duty(index) for name, order in orders.items()}
         first = [name for name, duty in duties.items() if duty.rank == 0 and not duty.from_peer]
         assert len(first) == 1 and first[0] in ("m0", "m1", "m2")
-        home = next(each.region for each in mirrors if each.name == first[0])
+        home_region = next(host.region for host in mirrors if host.name == first[0])
         # A mirror of the other region fetches the chunk from there; daemons are backups of both.
         crossing = [name for name, duty in duties.items() if duty.rank == 0 and duty.from_peer]
         assert len(crossing) == 1 and crossing[0].startswith("m")
-        for each in daemons:
-            duty = duties[each.name]
-            assert duty.from_peer == (each.region != home)
+        for host in daemons:
+            duty = duties[host.name]
+            assert duty.from_peer == (host.region != home_region)
             assert duty.rank is None or duty.rank >= 1
-        assert sum(duties[each.name].rank is not None for each in daemons) >= STAND_IN_COUNT - 1
+        assert sum(duties[host.name].rank is not None for host in daemons) >= STAND_IN_COUNT - 1
     # Without mirrors, only daemons import chunks.
     alone = ImportOrder("a", daemons, "d0", 1)
     assert all(not name.startswith("m") for i in range(40) for name in alone.duty(i).predecessors)
@@ -196,7 +196,7 @@
 
 async def test_a_mirrors_uploads_are_paced_separately_for_each_requester() -> None:
     """A mirror must not fill a requester's narrow link, nor let one requester delay others."""
-    settings = SMALL_WEIGHTS
+    pace = SMALL_WEIGHTS
     chunks = [bytes([index]) * 32 * KIB for index in range(2)]
     file = ManifestFile("f", 64 * KIB, [digest_of(chunk) for chunk in chunks])
     store = ChunkStore(1 << 20)
@@ -204,7 +204,7 @@
     assert isinstance(admitted, Ok)
     for index, chunk in enumerate(chunks):
         admitted.value.add(index, chunk)
-    uploads = Uploads("me", store, LinkRate(0, 0), settings, lane_per_requester=True)
+    uploads = Uploads("me", store, LinkRate(0, 0), pace, lane_per_requester=True)
     order: list[str] = []
     async with trio.open_nursery() as nursery:
         for host, rate in (("slow", 32.0 * KIB), ("fast", 1024.0 * KIB)):
@@ -212,7 +212,7 @@
             def reply(
                 message: peermessages.PeerMessage, payload: bytes | None, host: str = host
             ) -> bool:
-                assert payload is not None and len(payload) <= settings.part_bytes
+                assert payload is not None and len(payload) <= pace.part_bytes
                 order.append(host)
                 return True
 
@@ -239,7 +239,7 @@
 def test_links_opened_ahead_of_a_transfer_do_not_grow_with_the_fleet(
     regions: int, in_each: int
 ) -> None:
-    """Without a bound, each of 60 daemons keeps links to all 94 other processes."""
+    """Guards against links from each of 60 daemons to all 94 other processes."""
     hosts = [
         Host(
             name=f"10.{region}.0.{number}",
@@ -266,7 +266,10 @@
 
 
 def test_small_changes_of_the_fleet_do_not_make_mirroring_start_and_stop() -> None:
-    """With one limit, entries with 40 Mbit/s start and stop mirroring 10 to 15 times a day."""
+    """Guards against entries that often start and stop mirroring.
+
+    With one limit for both, entries with 40 Mbit/s did so 10 to 15 times a day.
+    """
     layout = WeightsLayout(("m",), 64, 32768)
     services = {"lm": Service("lm", 100, layout)}
     facts = Facts(MetadataStore(Address("127.0.0.1", 1)))
@@ -279,12 +282,12 @@
             address = Address(f"10.0.0.{number + 1}", 80)
             facts.replicas[f"i-{number}"] = Replica(f"i-{number}", "lm", address, "z", 8, False)
 
-    missing = cast(Any, None)
-    mirror = Mirror({}, SwarmPorts(1, 2), facts, missing, missing, missing, missing, 2.5e6, 8.0)
+    unused = cast(Any, None)
+    mirror = Mirror({}, SwarmPorts(1, 2), facts, unused, unused, unused, unused, 2.5e6, 8.0)
     mirror.mirror_count = 10
-    decided = []
+    decisions = []
     for count in (40, 45, 50, 47, 55, 70, 75, 70, 50, 47):
         have_replicas(count)
-        decided.append(mirror.decide_to_mirror())
+        decisions.append(mirror.decide_to_mirror())
     # It uploads 2 MB to a tenth of the replicas at 2.5 MB/s: 4 s with 47 replicas, 6 s with 71.
-    assert decided == [True, True, True, True, True, True, False, False, False, True]
+    assert decisions == [True, True, True, True, True, True, False, False, False, True]
--- a/tests/test_news_after_outage.py
+++ b/tests/test_news_after_outage.py
@@ -1,11 +1,11 @@
 """Tests that changes published right after an outage of the store take effect within their bound.
 
-Guards against an entry that uses an old configuration for 3.9 s or more, past the bound of 2 s: it
-ran a request that a newer version routed elsewhere, and refused a new route with 404. Its calls
-had begun within the second before the end of an outage of eight seconds and were never answered. A
-watch of 3 s with 1.5 s more for its answer kept it from calling again, while the store answered
-other entries. Peers did not help either: a process that knew nothing did not answer, not even once
-it knew more, and the next question waited for up to 5 s.
+Guards against an entry that uses an old configuration for 3.9 s or more, past the bound of 2 s.
+Such an entry ran a request that a newer version routed elsewhere, and refused a new route with
+404. Its calls had begun in the last second of an outage of 8 s and were never answered; it waited
+for them for up to 4.5 s (a watch of 3 s and 1.5 s for the answer) while the store answered other
+entries. Peers did not help: a process without a configuration did not answer, not even once it had
+one, and was asked again only after up to 5 s.
 """
 
 from pathlib import Path
@@ -33,7 +33,7 @@
 async def wait_new_call(site: Machines, name: str, *, failing: bool) -> None:
     """Wait until a process has just begun a watch of the configuration.
 
-    `failing` says whether its previous call must have failed.
+    If `failing`, its previous call must have failed; otherwise, it must not have failed.
     """
     with trio.fail_after(WAIT_SECONDS):
         while True:
--- a/tests/test_old_weights.py
+++ b/tests/test_old_weights.py
@@ -23,9 +23,11 @@
 BOUND_SECONDS = 4.0
 # Entries send to an old version until 1.6 s before the bound, so a request that waits at its
 # replica for longer than that would begin too late.
-WAIT_SECONDS = 2.0
-# One caller comes early; the others come from shortly before entries stop sending until after it.
-# A stream abandons a silent replica after 1.6 s, which is later than its withdrawal.
+REPLICA_WAIT_SECONDS = 2.0
+# When callers send, in seconds after the new version is named: one early, the others from shortly
+# before entries stop sending to the old version until after that. A stream abandons a silent
+# replica after 1.6 s. Streams sent from FIRST_CALLER_SECONDS on are withdrawn before that; the one
+# sent at LEAVING_CALLER_SECONDS is withdrawn at the same time.
 EARLY_CALLER_SECONDS = 0.2
 FIRST_CALLER_SECONDS = 1.9
 LEAVING_CALLER_SECONDS = 1.6
@@ -47,7 +49,7 @@
     ) as site:
         replicas = replicas_of(site, MODEL_SERVICE)
         for replica in replicas:
-            replica.wait_seconds = WAIT_SECONDS
+            replica.wait_seconds = REPLICA_WAIT_SECONDS
         replies: list[Reply] = []
         ended: dict[str, float] = {}
 
@@ -65,18 +67,18 @@
                 delay = FIRST_CALLER_SECONDS + number * CALLER_GAP_SECONDS
                 nursery.start_soon(call, delay, path)
         began = {run.id: run.began_at - named_at for r in replicas for run in r.runs}
-        began_at = {name: round(seconds, 2) for name, seconds in began.items()}
-        assert began_at, "the early caller's request did not run on the old version"
-        assert all(seconds <= BOUND_SECONDS for seconds in began_at.values()), began_at
-        dropped = {name for replica in replicas for name in replica.cancelled}
-        assert dropped and not dropped & set(began)
-        assert (await site.state("entry0"))["attempts_withdrawn"] >= len(dropped)
-        promised = {reply.id for reply in replies if reply.status == 503}
-        assert not promised & set(began), "a request that ran was promised not to have"
+        rounded = {request_id: round(seconds, 2) for request_id, seconds in began.items()}
+        assert rounded, "the early caller's request did not run on the old version"
+        assert all(seconds <= BOUND_SECONDS for seconds in rounded.values()), rounded
+        withdrawn = {request_id for replica in replicas for request_id in replica.cancelled}
+        assert withdrawn and not withdrawn & set(began)
+        assert (await site.state("entry0"))["attempts_withdrawn"] >= len(withdrawn)
+        refused = {reply.id for reply in replies if reply.status == 503}
+        assert not refused & set(began), "a request that ran was promised not to have"
         # The entry cannot know whether the withdrawn requests ran.
-        assert {reply.status for reply in replies if reply.id in dropped} == {502}
+        assert {reply.status for reply in replies if reply.id in withdrawn} == {502}
         if path == STRICT:
-            moments = [ended[name] for name in dropped]
+            moments = [ended[request_id] for request_id in withdrawn]
             assert min(moments) > BOUND_SECONDS - WITHDRAWAL_MARGIN_SECONDS - 0.1, moments
             assert max(moments) < BOUND_SECONDS, moments
 
@@ -91,7 +93,7 @@
     ) as site:
         replicas = replicas_of(site, MODEL_SERVICE)
         for replica in replicas:
-            replica.wait_seconds = WAIT_SECONDS
+            replica.wait_seconds = REPLICA_WAIT_SECONDS
         replies: list[Reply] = []
 
         async def call(delay: float) -> None:
@@ -104,11 +106,11 @@
             for number in range(CALLERS):
                 nursery.start_soon(call, LEAVING_CALLER_SECONDS + number * CALLER_GAP_SECONDS)
         began = {run.id: run.began_at - named_at for r in replicas for run in r.runs}
-        late = {name: round(seconds, 2) for name, seconds in began.items()}
+        rounded = {request_id: round(seconds, 2) for request_id, seconds in began.items()}
         assert sum(replica.arrivals for replica in replicas) > 0
-        assert all(seconds <= BOUND_SECONDS for seconds in late.values()), late
-        promised = {reply.id for reply in replies if reply.status == 503}
-        assert not promised & set(began), "a request that ran was promised not to have"
+        assert all(seconds <= BOUND_SECONDS for seconds in rounded.values()), rounded
+        refused = {reply.id for reply in replies if reply.status == 503}
+        assert not refused & set(began), "a request that ran was promised not to have"
 
 
 async def test_a_withdrawn_stream_is_served_by_a_replica_with_the_new_weights(
@@ -168,7 +170,7 @@
 async def test_a_request_that_a_link_delivers_after_its_withdrawal_does_not_start_on_old_weights(
     tmp_path: Path,
 ) -> None:
-    """Guards against a slow link that delivers a stream 2.9 s late, 1.3 s after its reset."""
+    """Guards against a stream that begins late, delivered 2.9 s late and 1.3 s after its reset."""
     async with small_site(tmp_path, models=1, plain=0, weights_ms=1000 * BOUND_SECONDS) as site:
         listed = next(iter(site.replicas.values()))
         link = HeldLink(Address(site.new_ip(), listed.address.port), listed.address)
@@ -180,7 +182,7 @@
             # From now on requests use the link.
             while not link.connections:
                 await ask(site.callers("entry0"), STRICT)
-        served = len(listed.replica.runs)
+        runs_before = len(listed.replica.runs)
         named_at = trio.current_time()
         name_version_without_weights(site, 2)
         link.hold()
@@ -190,5 +192,5 @@
             await trio.sleep_until(named_at + BOUND_SECONDS + 0.3)
             link.release()
         await trio.sleep(0.3)
-        late = [run.began_at - named_at for run in listed.replica.runs[served:]]
+        late = [run.began_at - named_at for run in listed.replica.runs[runs_before:]]
         assert link.held and not late, late
--- a/tests/test_orders_in_doubt.py
+++ b/tests/test_orders_in_doubt.py
@@ -1,10 +1,10 @@
-"""No chunk of another version is staged while a replica may still accept an order.
+"""Tests that no chunk of another version is staged while a replica may still accept an order.
 
-The failure: a replica reports a version but has loaded chunks of two. Version 2 is staged and its
-order gets no answer within 1 s; version 3 has been named meanwhile. If the daemon takes the
-missing answer for a refusal, it stages version 3 over version 2, and the replica accepts the order
-seconds later with chunks of both. The order count that an order carries does not prevent this,
-since no other order was accepted in between. Orders have reached replicas 2.3 to 12.1 s late.
+Guards against a replica that reports one version but has loaded chunks of two. Version 2 is
+staged and its order gets no answer within 1 s; version 3 has been named meanwhile. If the daemon
+takes the missing answer for a refusal, it stages version 3 over version 2, and the replica accepts
+the order seconds later with chunks of both. The order count that an order carries does not prevent
+that, since no other order was accepted in between. Orders reached replicas 2.3 to 12.1 s late.
 """
 
 from pathlib import Path
--- a/tests/test_overload.py
+++ b/tests/test_overload.py
@@ -31,6 +31,7 @@
 from tests.test_gateway_rules import rules
 
 EXPERIMENT = Path(__file__).parent.parent / "bench" / "experiments" / "overload.toml"
+# Orders waiting requests by deadline alone, without priority for first tries.
 BY_DEADLINE = OverloadSettings(
     fresh_first=False,
     full_reservation_share=float("inf"),
@@ -54,7 +55,7 @@
 
 
 def small_overload() -> ExperimentSpec:
-    """Return the experiment with a quarter of its fleet and load."""
+    """Return the overload experiment with a quarter of its fleet and load, and shorter."""
     full = read_experiment(EXPERIMENT)
     fleet = FleetSpec(zones=2, entries=4, replicas=6)
     kinds = tuple(
@@ -86,7 +87,7 @@
 
 @pytest.mark.parametrize("seed", [11, 12])
 def test_under_overload_first_tries_are_answered_within_their_target_time(seed: int) -> None:
-    """Without priority for first tries, retries take the slots and nearly all answers are late."""
+    """Guards against retries that take first tries' slots, so that nearly all answers are late."""
     spec = small_overload()
     before, worth_before = shares(simulate(spec, BY_DEADLINE, 1.2, seed))
     after, worth_after = shares(simulate(spec, OverloadSettings(), 1.2, seed))
@@ -102,15 +103,15 @@
 
 
 def test_a_caller_that_retries_at_another_entry_is_recognized_for_a_while() -> None:
-    here, there = RefusedRequests(), RefusedRequests()
-    here.note(7, 10.0)
-    assert here.was_refused(7, 10.5) and not here.was_refused(8, 10.5)
-    there.receive(here.take_pending(), 10.2)
-    assert there.was_refused(7, 10.5) and not here.take_pending()
-    assert not there.was_refused(7, 10.3 + REFUSAL_RETENTION_SECONDS)
+    first_entry, second_entry = RefusedRequests(), RefusedRequests()
+    first_entry.note(7, 10.0)
+    assert first_entry.was_refused(7, 10.5) and not first_entry.was_refused(8, 10.5)
+    second_entry.receive(first_entry.take_pending(), 10.2)
+    assert second_entry.was_refused(7, 10.5) and not first_entry.take_pending()
+    assert not second_entry.was_refused(7, 10.3 + REFUSAL_RETENTION_SECONDS)
     for fingerprint in range(100, 101 + MAX_FINGERPRINTS):
-        there.receive([fingerprint], 10.4)
-    assert not there.was_refused(7, 10.5) and there.was_refused(101, 10.5)
+        second_entry.receive([fingerprint], 10.4)
+    assert not second_entry.was_refused(7, 10.5) and second_entry.was_refused(101, 10.5)
 
 
 def test_slots_are_reserved_for_first_tries_as_long_as_some_of_them_are_refused() -> None:
@@ -152,9 +153,10 @@
 def test_a_caller_retry_waits_only_if_it_is_likely_to_be_served(
     refused: int, seconds_left: float, waited: float
 ) -> None:
-    """Under lasting overload two in three retries waited for a second and were then refused.
+    """Guards against waits in vain of retries under lasting overload.
 
-    Others began streams that broke off at the callers' deadlines, 6 s after the first try.
+    Two in three retries waited for a second and were then refused. Others began streams that broke
+    off at the callers' deadlines, 6 s after the first try.
     """
     overload = Overload()
     overload.measure(0.0)
@@ -170,14 +172,17 @@
 
 
 def test_a_request_waits_while_all_replicas_load_for_a_moment() -> None:
-    """A stream to be answered in 0.5 s was refused after 0.056 s; a replica served at 0.094 s."""
+    """Guards against a refusal just before a replica finishes its load and serves.
+
+    A stream with a target time of 0.5 s was refused after 0.056 s; a replica served at 0.094 s.
+    """
     overload = Overload()
     assert overload.wait_seconds(0.5, any_serves=False) > 0.1
     assert overload.wait_seconds(0.5, any_serves=True) < 0.06
 
 
 def test_under_lasting_overload_few_callers_wait_before_a_refusal() -> None:
-    """Half of the retries that were refused had waited for 0.98 s or longer."""
+    """Guards against long waits in vain: half of the refused retries had waited 0.98 s or more."""
     tally = simulate(small_overload(), OverloadSettings(), 1.5, 11)
     assert tally.refused_again > 50
     held = tally.held_in_vain_seconds / tally.refused_again
--- a/tests/test_platform_store.py
+++ b/tests/test_platform_store.py
@@ -41,7 +41,10 @@
 
 
 async def test_a_slow_listing_is_read_to_its_end() -> None:
-    """Complete answers took longer than 1.5 s when hundreds of hosts read over one link."""
+    """Guards against a time limit on the whole answer.
+
+    Complete answers took longer than 1.5 s when hundreds of hosts read over one link.
+    """
     assert PART_COUNT * PAUSE_SECONDS > store.READ_SECONDS
     async with slow_store(PART_COUNT) as address:
         outcome = await MetadataStore(address).read(Topic.CONTROL)
--- a/tests/test_readiness.py
+++ b/tests/test_readiness.py
@@ -24,7 +24,10 @@
 
 
 def test_an_entry_is_ready_once_it_has_most_reports_and_stays_ready() -> None:
-    """An entry that was ready earlier had a request refused by two replicas that were loading."""
+    """Guards against an entry that is ready too early.
+
+    Without load reports, it sent a request to two replicas that were loading; both refused it.
+    """
     knowledge = Knowledge(complete=True)
     readiness = knowledge.readiness()
     assert not readiness.is_ready(0.0)
--- a/tests/test_recovery_moments.py
+++ b/tests/test_recovery_moments.py
@@ -1,8 +1,8 @@
-"""A staged chunk turns bad around a daemon's restart, with its earlier order in doubt.
+"""Tests that a chunk that turns bad around a restart of the daemon is repaired before its load.
 
-The daemon cannot prevent the load of a bad chunk in three cases: the chunk turned bad less than
-3 s before, or while no process was running, or while the replica did not answer. It must prevent
-all others.
+An order of the daemon's earlier process is in doubt meanwhile: the replica may still accept it. A
+daemon cannot prevent the load of a chunk that turned bad less than 3 s before, or while no process
+was running, or while the replica did not answer. It must prevent all others.
 """
 
 import random
@@ -24,7 +24,7 @@
 REPAIR_SECONDS = 1.0
 # A chunk turns bad at some time between the kill and this long after the next process's start.
 AFTER_START_SECONDS = 0.5
-# A chunk that has been bad for less may be loaded.
+# A chunk that has been bad for less than this may be loaded.
 ALLOWED_SECONDS = 3.0
 
 
@@ -36,10 +36,10 @@
     turns_bad: float
 
     @staticmethod
-    def drawn(draw: random.Random) -> "History":
+    def drawn(generator: random.Random) -> "History":
         """Return a random history."""
-        starts = draw.uniform(*AWAY_SECONDS)
-        return History(starts, draw.uniform(0.0, starts + AFTER_START_SECONDS))
+        starts = generator.uniform(*AWAY_SECONDS)
+        return History(starts, generator.uniform(0.0, starts + AFTER_START_SECONDS))
 
 
 async def wait_started(site: Machines, times: int) -> None:
@@ -78,12 +78,12 @@
     tmp_path: Path, seed: int
 ) -> None:
     """Guards against loading a chunk that has been bad for over 3 s by a killed daemon's order."""
-    draw = random.Random(seed)
+    generator = random.Random(seed)
     directories = [tmp_path / str(number) for number in range(HISTORIES)]
     for directory in directories:
         await trio.Path(directory).mkdir()
     async with trio.open_nursery() as nursery:
         for number in range(HISTORIES):
-            history = History.drawn(draw)
+            history = History.drawn(generator)
             print(seed, history)
             nursery.start_soon(run_history, directories[number], history)
--- a/tests/test_renewal_histories.py
+++ b/tests/test_renewal_histories.py
@@ -46,13 +46,13 @@
 CHUNK_BYTES = len(chunk_of(1, 0))
 BOUND_SECONDS = 8.0
 FAULT_PHASE_SECONDS = 40.0
-RESTARTS = 0.1  # restarts of the process per second
+RESTARTS_PER_SECOND = 0.1  # of the daemon's process
 # After the last fault: time for late calls to take effect, for a process to wait for them before
 # its order, and for a version to be fetched.
 RECOVERY_SECONDS = 45.0
 
 
-class Swarm:
+class StubSwarm:
     """Fetches a version's chunks one after the other."""
 
     def __init__(self, store: ChunkStore, generator: random.Random) -> None:
@@ -96,7 +96,7 @@
         return self.settled.setdefault(goal, ChunkDigests(CHUNK_BYTES, digests))
 
     def settled_within(self, goal: LoadedModel, seconds: float) -> bool:
-        """Return that the origin answers."""
+        """Return True, as if the digests had been settled just now."""
         return True
 
 
@@ -135,7 +135,7 @@
     place = DaemonLocation(ADDRESS.ip, {"z": "r"}, str(ADDRESS), SERVICE, SwarmPorts(1, 2), 1e6)
     digests = cast(Any, StubDigestRegistry(first_digests_seconds))
     goal_selector = GoalSelector(SERVICE, 1e6, facts, reporter, store, digests, loading, plans)
-    swarm = cast(Any, Swarm(store, generator))
+    swarm = cast(Any, StubSwarm(store, generator))
     fetcher = Fetcher(
         place, store, swarm, plans, digests, MirrorRegistry(), loading, goal_selector
     )
@@ -156,13 +156,13 @@
     async with trio.open_nursery() as nursery:
         nursery.start_soon(reporter.run)
         nursery.start_soon(renewer.run)
-        nursery.start_soon(check_confirmed_loads, replica, reporter)
+        nursery.start_soon(record_false_confirmations, replica, reporter)
 
 
-async def check_confirmed_loads(replica: LateReplica, reporter: Reporter) -> None:
-    """Check, as a subscribed entry, that no bad load is ever reported as confirmed."""
+async def record_false_confirmations(replica: LateReplica, reporter: Reporter) -> None:
+    """Record, as a subscribed entry, each report that confirms a bad load."""
 
-    def check_report(message: PeerMessage, payload: bytes | None) -> bool:
+    def receive_report(message: PeerMessage, payload: bytes | None) -> bool:
         assert isinstance(message, ReplicaLoad)
         version = message.confirmed.get(MODEL)
         if not replica.whole and message.reachable and version == replica.loaded:
@@ -170,33 +170,33 @@
         return True
 
     while True:
-        reporter.add_listener("entry", check_report)
+        reporter.add_listener("entry", receive_report)
         await trio.sleep(1.0)
 
 
 @dataclass(frozen=True)
-class Restarts:
-    """How often the process restarts; times in seconds."""
+class RestartTiming:
+    """How often the process restarts, and how long it runs and pauses."""
 
     per_second: float
-    min_uptime: float = 0.0
-    longest_pause: float = 2.0
+    min_uptime_seconds: float = 0.0
+    max_pause_seconds: float = 2.0
 
 
 async def restart_at_random(
-    start: Callable[[], Any], generator: random.Random, restarts: Restarts, until: float
+    start: Callable[[], Any], generator: random.Random, restarts: RestartTiming, until: float
 ) -> None:
-    """Run a daemon until cancelled, restarting its process at random until `until`."""
+    """Run a daemon until cancelled; restart its process at random until the time `until`."""
     while True:
-        seconds = (
+        uptime = (
             generator.expovariate(restarts.per_second) if restarts.per_second else float("inf")
         )
-        seconds = max(seconds, restarts.min_uptime)
-        if trio.current_time() + seconds > until:
-            seconds = float("inf")
-        with trio.move_on_after(seconds):
+        uptime = max(uptime, restarts.min_uptime_seconds)
+        if trio.current_time() + uptime > until:
+            uptime = float("inf")
+        with trio.move_on_after(uptime):
             await start()
-        await trio.sleep(generator.uniform(0.2, restarts.longest_pause))
+        await trio.sleep(generator.uniform(0.2, restarts.max_pause_seconds))
 
 
 def facts_of_one_replica() -> Facts:
@@ -208,19 +208,19 @@
 
 
 def draw_fault_rates(generator: random.Random) -> FaultRates:
-    """Draw the rate of each kind of fault; about half of the kinds are left out."""
+    """Draw the rate of each kind of fault; about half of the rates are zero."""
 
-    def some(most: float) -> float:
-        return generator.uniform(0, most) if generator.random() < 0.5 else 0.0
+    def draw_rate(maximum: float) -> float:
+        return generator.uniform(0, maximum) if generator.random() < 0.5 else 0.0
 
     return FaultRates(
-        lost=some(0.2),
-        unanswered=some(0.2),
-        late=some(0.3),
-        corruption=some(1.0),
-        crash=some(0.15),
-        power=some(0.1),
-        slow_seconds=some(0.2),
+        lost=draw_rate(0.2),
+        unanswered=draw_rate(0.2),
+        late=draw_rate(0.3),
+        corruption=draw_rate(1.0),
+        crash=draw_rate(0.15),
+        power=draw_rate(0.1),
+        slow_seconds=draw_rate(0.2),
     )
 
 
@@ -230,48 +230,52 @@
 
     seed: int
     fault_rates: FaultRates | None = None
-    restarts: float | None = None  # restarts of the process per second
-    ends: bool = True  # whether the newest version must be loaded at the end
-    # Whether to leave out faults during which no process can repair a chunk that turns bad: the
-    # replica does not answer (has its own test in test_beside_replica, a known failure), or no
-    # process runs for seconds.
-    narrowed: bool = True
+    restarts_per_second: float | None = None
+    ends_with_newest: bool = True  # whether the newest version must be loaded at the end
+    # Whether to inject only faults under which a process can repair a chunk that turns bad. Left
+    # out are a replica that does not answer (tested in test_beside_replica, a known failure) and
+    # seconds without a running process.
+    only_repairable: bool = True
 
 
 async def simulate(history: History) -> LateReplica:
-    """Simulate a history and return its replica."""
+    """Simulate a history; return its replica, which has recorded violations."""
     seed = history.seed
     generator = random.Random(seed)
     facts = facts_of_one_replica()
-    version = 1
+    newest_version = 1
     async with trio.open_nursery() as nursery:
         fault_rates = history.fault_rates or draw_fault_rates(generator)
-        restarts = history.restarts or generator.choice([0.0, 0.0, RESTARTS])
-        if fault_rates.corruption and history.narrowed:
+        restarts_per_second = history.restarts_per_second or generator.choice(
+            [0.0, 0.0, RESTARTS_PER_SECOND]
+        )
+        if fault_rates.corruption and history.only_repairable:
             fault_rates = replace(fault_rates, orders_only=True)
-        restarted = Restarts(restarts)
-        if fault_rates.corruption and history.narrowed:
-            restarted = Restarts(restarts, min_uptime=4.0, longest_pause=0.5)
+        restarts = RestartTiming(restarts_per_second)
+        if fault_rates.corruption and history.only_repairable:
+            restarts = RestartTiming(
+                restarts_per_second, min_uptime_seconds=4.0, max_pause_seconds=0.5
+            )
         replica = LateReplica(generator, nursery, fault_rates)
         nursery.start_soon(replica.inject_faults)
         nursery.start_soon(
             restart_at_random,
             lambda: run_daemon(replica, facts, generator),
             generator,
-            restarted,
+            restarts,
             FAULT_PHASE_SECONDS,
         )
         while trio.current_time() < FAULT_PHASE_SECONDS:
             await trio.sleep(generator.uniform(0.5, 8.0))
-            version += 1
-            facts.record_named_version(MODEL, version, 0.0)
+            newest_version += 1
+            facts.record_named_version(MODEL, newest_version, 0.0)
         replica.fault_rates = FaultRates()
-        with trio.move_on_after(RECOVERY_SECONDS if history.ends else 0):
-            while replica.loaded != version:
+        with trio.move_on_after(RECOVERY_SECONDS if history.ends_with_newest else 0):
+            while replica.loaded != newest_version:
                 await trio.sleep(0.1)
         assert (
-            not history.ends or replica.loaded == version
-        ), f"version {replica.loaded} of {version}, seed {seed}"
+            not history.ends_with_newest or replica.loaded == newest_version
+        ), f"version {replica.loaded} of {newest_version}, seed {seed}"
         nursery.cancel_scope.cancel()
     return replica
 
@@ -304,12 +308,15 @@
 @given(seed=st.integers(0, 2**32 - 1))
 def test_no_history_confirms_a_bad_load(seed: int) -> None:
     """Includes the faults under which a bad load cannot be prevented."""
-    replica = run_history(History(seed, narrowed=False, ends=False))
+    replica = run_history(History(seed, only_repairable=False, ends_with_newest=False))
     assert not replica.false_confirmations, f"seed {seed}: {replica.false_confirmations[:3]}"
 
 
 def test_a_version_named_right_after_the_start_does_not_wait_for_earlier_processes() -> None:
-    """The version of the chunks staged at the start becomes known only after 4 s."""
+    """Guards against a needless wait until calls of an earlier process can no longer take effect.
+
+    The version of the chunks that were staged at the start becomes known only after 4 s.
+    """
 
     async def start() -> None:
         generator, facts = random.Random(1), facts_of_one_replica()
@@ -334,11 +341,12 @@
     return False
 
 
-async def never_done(*arguments: object) -> None:
+async def do_nothing(*arguments: object) -> None:
     pass
 
 
-# Guards to disable, each with faults under which versions soon get mixed, and a restart rate.
+# For each mistake: fault rates under which it soon leads to a load of mixed versions, and the
+# restarts of the process per second, drawn from the seed if None.
 MISTAKES = {
     "stages too early": (FaultRates(late=0.3), None),
     "forgets an earlier process": (FaultRates(late=0.2), 0.3),
@@ -352,19 +360,21 @@
 
 @pytest.mark.parametrize("mistake", MISTAKES)
 def test_an_injected_mistake_is_found(mistake: str, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without one of the guards, some of these histories load a mixture of versions."""
+    """Shows that the checks above detect mixed versions: each mistake disables one safeguard."""
     match mistake:
         case "stages too early":
             monkeypatch.setattr(InDoubtCalls, "may_stage", always)
         case "forgets an earlier process":
             monkeypatch.setattr(indoubt, "LATE_SECONDS", 0.0)
         case "lets turn bad what an earlier process ordered":
-            monkeypatch.setattr(Recovery, "_keep_whole", never_done)
+            monkeypatch.setattr(Recovery, "_keep_whole", do_nothing)
         case "forgets the puts of an earlier process":
             monkeypatch.setattr(InDoubtCalls, "earlier_put_may_land", never)
-    fault_rates, restarts = MISTAKES[mistake]
+    fault_rates, restarts_per_second = MISTAKES[mistake]
     assert any(
-        run_history(History(seed, fault_rates, restarts, ends=False)).violations
+        run_history(
+            History(seed, fault_rates, restarts_per_second, ends_with_newest=False)
+        ).violations
         for seed in range(60)
     )
 
@@ -373,11 +383,13 @@
 def test_bad_loads_are_not_confirmed_when_nothing_prevents_them(
     reads_back: bool, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without repairs by a restarted process bad loads happen, and the read-back detects them."""
-    monkeypatch.setattr(Recovery, "_keep_whole", never_done)
+    """Without repairs, bad loads happen, and only the read-back keeps them from confirmation."""
+    monkeypatch.setattr(Recovery, "_keep_whole", do_nothing)
     if not reads_back:
         monkeypatch.setattr(Confirmation, "note_read_back", lambda self, *about: self._confirm())
     fault_rates = FaultRates(late=0.3, corruption=1.0, orders_only=True)
-    played = [run_history(History(seed, fault_rates, 0.3, ends=False)) for seed in range(60)]
-    assert any(replica.violations for replica in played)
-    assert any(replica.false_confirmations for replica in played) != reads_back
+    replicas = [
+        run_history(History(seed, fault_rates, 0.3, ends_with_newest=False)) for seed in range(60)
+    ]
+    assert any(replica.violations for replica in replicas)
+    assert any(replica.false_confirmations for replica in replicas) != reads_back
--- a/tests/test_renewal_plan.py
+++ b/tests/test_renewal_plan.py
@@ -68,7 +68,7 @@
 async def test_daemons_that_receive_the_plan_from_an_entry_do_not_list_the_configuration(
     tmp_path: Path,
 ) -> None:
-    """A listing may take hundreds of kilobytes over a daemon's link of 3.8 Mbit/s."""
+    """Guards against listings of hundreds of kilobytes over a daemon's link of 3.8 Mbit/s."""
     async with small_site(tmp_path, models=3, daemons=True) as site:
         await wait_offered(site)
         # One listing for each topic that daemons watch: the named versions and the replicas.
@@ -111,7 +111,10 @@
 async def test_daemons_that_restart_together_with_empty_replicas_ask_entries_and_list_nothing(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a power loss all replicas are empty; without an order every daemon lists at once."""
+    """Guards against listings by all daemons at once after a power loss, which empties replicas.
+
+    The rank of a daemon decides when it lists, if no entry has answered by then.
+    """
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
     entries = [Address("10.0.0.1", 1), Address("10.0.0.2", 1)]
@@ -150,7 +153,7 @@
     with trio.move_on_after(60):
         await obtain_plan(silent, node, list, lambda: 0, list_now)
     assert 60 / (2 * LISTING_RETRY_SECONDS) - 2 <= len(listed) <= 60 / LISTING_RETRY_SECONDS + 1
-    # The first daemon of a region's order lists within a second.
+    # The daemon with rank 0 lists within a second.
     listed.clear()
     with trio.move_on_after(1):
         await obtain_plan(silent, node, list, lambda: 0, list_now)
@@ -160,11 +163,11 @@
 async def test_the_daemons_of_a_region_learn_the_plan_from_the_first_that_lists_it(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """After a restart of all processes entries are unavailable too, and 41 daemons need the plan.
+    """Guards against 41 daemons that all list the configuration after a restart of all processes.
 
-    If each daemon lists half a megabyte over a link of 13.5 Mbit/s between regions, the last ones
-    have it 16 s and 24 s after their start. Until then they fetch no weights, not even from
-    neighbours that have them.
+    The entries are unavailable then, too. If each daemon lists half a megabyte over a link of
+    13.5 Mbit/s between regions, the last ones have the plan 16 s and 24 s after their start. Until
+    then they fetch no weights, not even from neighbours that have them.
     """
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
@@ -217,7 +220,7 @@
 async def test_entries_are_asked_for_the_plan_before_the_list_of_replicas_is_available(
     mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Otherwise, with a slow store, added replicas wait for two of its answers in sequence."""
+    """Guards against added replicas that wait for two answers of a slow store in sequence."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr("headcross_renewal.plan.monotonic", trio.current_time)
     registry = PlanRegistry(Facts(MetadataStore(Address("127.0.0.1", 1))))
@@ -281,7 +284,7 @@
 async def test_the_rate_of_load_messages_is_bounded_for_any_number_of_entries(
     listeners: int, idle: bool, mock_clock: trio.testing.MockClock, monkeypatch: pytest.MonkeyPatch
 ) -> None:
-    """Without a bound, each of 60 daemons sends its load to 35 entries seven times a second."""
+    """Guards against 60 daemons that each send their load to 35 entries seven times a second."""
     mock_clock.autojump_threshold = 0
     monkeypatch.setattr(reporting, "monotonic", trio.current_time)
     replica = BusyReplica(idle=idle)
@@ -307,16 +310,16 @@
             sent <= 1.1 * 10 * LISTENERS_PER_READING / reporting.READ_INTERVAL_SECONDS + listeners
         )
         assert sent <= 10 * listeners / reporting.READ_INTERVAL_SECONDS * (0.5 if idle else 1.1)
-        longest = max(
-            b - a for each in messages.values() for a, b in zip(each, each[1:], strict=False)
+        longest_gap = max(
+            b - a for times in messages.values() for a, b in zip(times, times[1:], strict=False)
         )
-        assert longest <= 0.8  # after that, an entry regards the load as late
+        assert longest_gap <= 0.8  # after that, an entry regards the load as late
         # An urgent change is sent to all listeners immediately.
-        for each in messages.values():
-            each.clear()
+        for times in messages.values():
+            times.clear()
         reporter.diverting = True
         reporter.notify_listeners()
-        assert all(len(each) == 1 for each in messages.values())
+        assert all(len(times) == 1 for times in messages.values())
         nursery.cancel_scope.cancel()
 
 
--- a/tests/test_replica_leaving.py
+++ b/tests/test_replica_leaving.py
@@ -22,18 +22,18 @@
     "/once/x": PLAIN_SERVICE,
 }
 REQUEST_SECONDS: Final = 1 / 60
-# Requirement: no request reaches the replica that was sent later than this after the announcement.
+# The requirement: no new request reaches the replica later than this after the announcement.
 DRAIN_SECONDS: Final = 2.0
-LEAVING_SECONDS: Final = 6.0
+LEAVING_SECONDS: Final = 6.0  # how long the replica is watched after that
 
 
 async def ask_until_answered_by(
     site: Machines, path: str, leaving: FakeReplica, entry: str
 ) -> None:
     """Send requests to an entry until the replica has received one of them."""
-    arrived = leaving.arrivals
+    arrivals_before = leaving.arrivals
     with trio.fail_after(WAIT_SECONDS):
-        while leaving.arrivals == arrived:
+        while leaving.arrivals == arrivals_before:
             await ask(site.callers(entry), path)
 
 
--- a/tests/test_replica_limits.py
+++ b/tests/test_replica_limits.py
@@ -1,7 +1,7 @@
 """Tests of replicas that limit the requests per second of all entries together.
 
-Entries run as real processes before a few replicas. Requests arrive at a constant rate, at every
-entry in turn.
+A replica names its limit in its answers. Entries run as real processes before a few replicas.
+Requests arrive at a constant rate, at every entry in turn.
 """
 
 import itertools
@@ -28,11 +28,11 @@
 }
 REPLICAS: Final = 4
 REQUEST_SECONDS: Final = 1 / 60
-BEFORE_SECONDS: Final = 1.0
+UNLIMITED_SECONDS: Final = 1.0
 LIMITED_SECONDS: Final = 11.0
-# The requirement: from CONTACT_SECONDS after the limit was first named, the number of requests in
-# each window of WINDOW_SECONDS is bounded.
-CONTACT_SECONDS: Final = 3.0
+# The requirement: from PROPAGATION_SECONDS after the limit was first named on, the number of
+# requests in each window of WINDOW_SECONDS is bounded; see allowed_in_window.
+PROPAGATION_SECONDS: Final = 3.0
 WINDOW_SECONDS: Final = 4.0
 ALLOWED_FACTOR: Final = 1.5
 ALLOWED_EXTRA: Final = 5
@@ -42,6 +42,7 @@
 NEWS_SECONDS: Final = 5.0
 # The time after which a replica without a limit must have its full share again.
 FULL_SHARE_SECONDS: Final = 4.0
+# How long an entry is suspended, and how long it runs before the next kill or suspension.
 SUSPENDED_SECONDS: Final = 2.0
 RUNNING_SECONDS: Final = 1.5
 
@@ -50,10 +51,10 @@
 
 @dataclass
 class LoadResult:
-    """The observations of one run of the load."""
+    """When a limit applied during one load, and the replies to callers."""
 
     limited_at: float = 0.0  # trio's clock
-    until: float = 0.0  # trio's clock
+    ended_at: float = 0.0  # trio's clock
     replies: list[Reply] = field(default_factory=list)
 
     def served(self) -> int:
@@ -61,22 +62,25 @@
         return sum(reply.status == 200 and reply.whole for reply in self.replies)
 
     def max_in_window(self, replica: FakeReplica) -> int:
-        """Return the most requests that a replica got in any window under the requirement."""
-        first = self.limited_at + CONTACT_SECONDS
-        moments = [r.at for r in replica.arrived if first <= r.at < self.until]
+        """Return the most requests that a replica got in any window, once the limit must hold."""
+        first = self.limited_at + PROPAGATION_SECONDS
+        arrival_times = [r.at for r in replica.arrived if first <= r.at < self.ended_at]
         return max(
-            (sum(start <= at < start + WINDOW_SECONDS for at in moments) for start in moments),
+            (
+                sum(start <= at < start + WINDOW_SECONDS for at in arrival_times)
+                for start in arrival_times
+            ),
             default=0,
         )
 
     def rate(self, replica: FakeReplica) -> float:
-        """Return the requests per second that a replica got while the requirement applied."""
-        first = self.limited_at + CONTACT_SECONDS
-        arrived = sum(first <= r.at < self.until for r in replica.arrived)
-        return arrived / (self.until - first)
+        """Return the requests per second that a replica got, once the limit must hold."""
+        first = self.limited_at + PROPAGATION_SECONDS
+        arrived = sum(first <= r.at < self.ended_at for r in replica.arrived)
+        return arrived / (self.ended_at - first)
 
 
-def allowed(limit: float) -> int:
+def allowed_in_window(limit: float) -> int:
     """Return how many requests a replica may get in one window."""
     return math.floor(ALLOWED_FACTOR * WINDOW_SECONDS * limit + ALLOWED_EXTRA)
 
@@ -114,12 +118,12 @@
     stop = trio.Event()
     async with trio.open_nursery() as nursery:
         nursery.start_soon(keep_asking, site, path, result.replies, stop)
-        await trio.sleep(BEFORE_SECONDS)
+        await trio.sleep(UNLIMITED_SECONDS)
         for replica in limited:
             replica.limit = limit
         result.limited_at = trio.current_time()
         await trio.sleep(LIMITED_SECONDS)
-        result.until = trio.current_time()
+        result.ended_at = trio.current_time()
         stop.set()
     return result
 
@@ -132,7 +136,7 @@
         limited, *_ = replicas_of(site, SERVICES[path])
         result = await run_load(site, path, [limited], "2.0")
     print(result.max_in_window(limited), result.rate(limited), result.served())
-    assert result.max_in_window(limited) <= allowed(2.0)
+    assert result.max_in_window(limited) <= allowed_in_window(2.0)
     assert result.rate(limited) >= MIN_USED_FRACTION * 2.0
     assert result.served() == len(result.replies)
 
@@ -146,7 +150,7 @@
         result = await run_load(site, path, limited, "2.0")
     print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert result.max_in_window(replica) <= allowed(2.0)
+        assert result.max_in_window(replica) <= allowed_in_window(2.0)
         assert result.rate(replica) >= MIN_USED_FRACTION * 2.0
 
 
@@ -159,7 +163,7 @@
         result = await run_load(site, "/stream/x", limited, limit)
     print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert result.max_in_window(replica) <= allowed(float(limit))
+        assert result.max_in_window(replica) <= allowed_in_window(float(limit))
     assert result.served() == len(result.replies)
 
 
@@ -195,7 +199,7 @@
         site.signal("entry2", signal.SIGCONT)
     print([(result.max_in_window(r), result.rate(r)) for r in limited], result.served())
     for replica in limited:
-        assert result.max_in_window(replica) <= allowed(2.0)
+        assert result.max_in_window(replica) <= allowed_in_window(2.0)
 
 
 @pytest.mark.parametrize("path", list(SERVICES))
@@ -208,7 +212,7 @@
         stop = trio.Event()
         async with trio.open_nursery() as nursery:
             nursery.start_soon(keep_asking, site, path, [], stop)
-            await trio.sleep(CONTACT_SECONDS)
+            await trio.sleep(PROPAGATION_SECONDS)
             limited.limit = None
             await trio.sleep(FULL_SHARE_SECONDS)
             before = [replica.arrivals for replica in (limited, *others)]
@@ -222,7 +226,7 @@
     assert own >= 0.5 * sum(theirs) / len(theirs)
 
 
-async def limits_known(site: Machines, entry: str) -> list[float]:
+async def applied_limits(site: Machines, entry: str) -> list[float]:
     """Return the limits of the model's replicas that an entry applies."""
     states = (await site.state(entry)).get("replica_states", [])
     return [state["limit"] for state in states if state["limit"] is not None]
@@ -231,14 +235,14 @@
 async def wait_limits(site: Machines, entry: str, expected: list[float]) -> None:
     """Wait until an entry applies exactly these limits."""
     with trio.fail_after(NEWS_SECONDS):
-        while await limits_known(site, entry) != expected:
+        while await applied_limits(site, entry) != expected:
             await trio.sleep(0.05)
 
 
 async def ask_until_limits(site: Machines, entry: str, expected: list[float]) -> None:
     """Send requests to an entry until it applies exactly these limits."""
     with trio.fail_after(WAIT_SECONDS):
-        while await limits_known(site, entry) != expected:
+        while await applied_limits(site, entry) != expected:
             await ask(site.callers(entry), "/stream/x")
             await trio.sleep(0.02)
 
--- a/tests/test_replica_losses.py
+++ b/tests/test_replica_losses.py
@@ -28,8 +28,8 @@
     return RequestIdentity(bytes(8), number.to_bytes(8, "big"), bytes(8))
 
 
-def lost(number: int) -> LossKey:
-    """Return the loss key of the replica with this number."""
+def loss_key(number: int) -> LossKey:
+    """Return the key of the loss of the replica with this number."""
     return LossKey(f"i-{number}", None)
 
 
@@ -39,14 +39,14 @@
 
 
 def with_losses(*losses: Iterable[int]) -> ReplicaLosses:
-    """Return the state after certain losses, one per second from 1 s on.
+    """Return the losses known after some replicas have ended, one per second from 1 s on.
 
-    Each argument lists the requests that ran on one lost replica.
+    Each argument lists the numbers of the requests that ran on one of these replicas.
     """
     known = ReplicaLosses()
     for number, requests in enumerate(losses):
-        known.blame(lost(number), [request(each) for each in requests], number + 1.0)
-        confirm(known, lost(number))
+        known.blame(loss_key(number), [request(n) for n in requests], number + 1.0)
+        confirm(known, loss_key(number))
     return known
 
 
@@ -70,10 +70,10 @@
 def test_silent_replicas_make_a_request_suspect_and_never_bar_it() -> None:
     known = ReplicaLosses()
     for number in range(5):
-        known.blame(lost(number), [request(CRASHING)], 1.0, Evidence.SILENT)
+        known.blame(loss_key(number), [request(CRASHING)], 1.0, Evidence.SILENT)
     assert known.standing(request(CRASHING), 2.0) is Standing.SUSPECT
     for number in range(3):
-        confirm(known, lost(number))
+        confirm(known, loss_key(number))
     assert known.standing(request(CRASHING), 2.0) is Standing.BARRED
 
 
@@ -81,17 +81,21 @@
     known = ReplicaLosses()
     known.note_answer(request(CRASHING), 1.0)
     for number in range(2):
-        known.blame(lost(number), [request(CRASHING)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.SILENT)
+        known.blame(
+            loss_key(number), [request(CRASHING)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.SILENT
+        )
     assert known.standing(request(CRASHING), 62.0) is Standing.CLEAR
     for number in range(2):
-        known.blame(lost(number), [request(CRASHING)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.ENDED)
+        known.blame(
+            loss_key(number), [request(CRASHING)], 1.0 + KNOWN_GOOD_SECONDS, Evidence.ENDED
+        )
     assert known.standing(request(CRASHING), 62.0) is Standing.SUSPECT
 
 
 def test_a_loss_that_several_entries_report_counts_once() -> None:
     known = ReplicaLosses()
     for at in (1.0, 1.1, 1.2):
-        known.blame(lost(0), [request(CRASHING)], at)
+        known.blame(loss_key(0), [request(CRASHING)], at)
     assert known.standing(request(CRASHING), 2.0) is Standing.CLEAR
 
 
@@ -121,32 +125,34 @@
 def test_late_news_of_a_loss_before_a_complete_answer_are_ignored() -> None:
     known = with_losses([CRASHING], [CRASHING], [CRASHING])
     known.note_answer(request(CRASHING), 3.5)
-    assert not known.blame(lost(8), [request(CRASHING)], 3.4)
-    assert known.blame(lost(9), [request(CRASHING)], 3.6)
+    assert not known.blame(loss_key(8), [request(CRASHING)], 3.4)
+    assert known.blame(loss_key(9), [request(CRASHING)], 3.6)
 
 
 def test_broken_connections_to_running_replicas_bar_no_request() -> None:
     """Connections also break by a network cut, or because a replica resets some requests."""
     known = ReplicaLosses()
     for number in range(5):
-        known.blame(lost(number), [request(CRASHING)], 1.0)
+        known.blame(loss_key(number), [request(CRASHING)], 1.0)
     for number in range(3):
-        assert known.retract(lost(number), 1.6)
+        assert known.retract(loss_key(number), 1.6)
     assert known.standing(request(CRASHING), 1.7) is Standing.SUSPECT
     for number in range(3, 5):
-        assert known.retract(lost(number), 1.6)
+        assert known.retract(loss_key(number), 1.6)
     assert known.standing(request(CRASHING), 1.7) is Standing.CLEAR
-    assert not known.blame(lost(0), [request(CRASHING)], 1.0), "older news of a running replica"
+    assert not known.blame(
+        loss_key(0), [request(CRASHING)], 1.0
+    ), "older news of a running replica"
 
 
 def test_an_unconfirmed_loss_expires_sooner_than_a_certain_one() -> None:
     known = ReplicaLosses()
     for number in range(3):
-        known.blame(lost(number), [request(CRASHING)], 1.0)
-    confirm(known, lost(0))
+        known.blame(loss_key(number), [request(CRASHING)], 1.0)
+    confirm(known, loss_key(0))
     known.expire(1.0 + UNCONFIRMED_LOSS_SECONDS)
     blamed = [key for key, loss in known.losses().items() if request(CRASHING) in loss.requests]
-    assert blamed == [lost(0)]
+    assert blamed == [loss_key(0)]
 
 
 def test_the_time_for_which_a_request_is_barred_doubles_with_each_further_loss() -> None:
@@ -154,8 +160,8 @@
     tried_at = 3.0 + BARRED_SECONDS
     assert known.standing(request(CRASHING), tried_at - 1) is Standing.BARRED
     assert known.standing(request(CRASHING), tried_at) is Standing.SUSPECT
-    known.blame(lost(9), [request(CRASHING)], tried_at)
-    confirm(known, lost(9))
+    known.blame(loss_key(9), [request(CRASHING)], tried_at)
+    confirm(known, loss_key(9))
     assert known.standing(request(CRASHING), tried_at + 2 * BARRED_SECONDS - 1) is Standing.BARRED
     assert known.standing(request(CRASHING), tried_at + 2 * BARRED_SECONDS) is Standing.SUSPECT
 
@@ -168,13 +174,13 @@
     for number in range(40):
         at = 1.5 * number
         running = generator.sample(range(6), generator.randint(0, 4))
-        known.blame(lost(number), [request(each) for each in running], at)
-        confirm(known, lost(number))
-        for each in range(6):
-            assert known.standing(request(each), at) is not Standing.BARRED
+        known.blame(loss_key(number), [request(n) for n in running], at)
+        confirm(known, loss_key(number))
+        for request_number in range(6):
+            assert known.standing(request(request_number), at) is not Standing.BARRED
             for attempt in range(5):
                 if generator.random() < 0.8:
-                    known.note_answer(request(each), at + 0.3 * attempt)
+                    known.note_answer(request(request_number), at + 0.3 * attempt)
 
 
 def test_many_other_losses_evict_no_barred_request_and_stay_within_bounds() -> None:
@@ -182,13 +188,13 @@
     assert known.standing(request(CRASHING), 4.0) is Standing.BARRED
     for number in range(10, 3 * MAX_LOSSES):
         running = [request(1000 * number + n) for n in range(100)]
-        known.blame(lost(number), running, 10.0, Evidence.ENDED)
+        known.blame(loss_key(number), running, 10.0, Evidence.ENDED)
     assert known.standing(request(CRASHING), 11.0) is Standing.BARRED
     assert len(known.losses()) <= MAX_LOSSES
     assert max(len(loss.requests) for loss in known.losses().values()) <= MAX_REQUESTS_PER_LOSS
 
 
-# News.
+# News that entries exchange.
 
 
 @given(st.integers(0, 1 << 30))
@@ -199,7 +205,7 @@
     now = 100.0
     for _ in range(12):
         now += 0.1
-        key = lost(generator.randrange(5))
+        key = loss_key(generator.randrange(5))
         running = [request(n) for n in generator.sample(range(4), 2)]
         sender.blame(key, running, now, generator.choice(list(Evidence)))
         if generator.random() < 0.2:
@@ -207,24 +213,24 @@
         pending = sender.take_pending(now)
         if pending is not None:
             news.append((pending, now))
-    for other in receivers:
+    for receiver in receivers:
         order = news + generator.sample(news, len(news) // 2)
         generator.shuffle(order)
         for pending, sent_at in order:
-            other.receive(_aged(pending, now - sent_at), now)
+            receiver.receive(_aged(pending, now - sent_at), now)
         all_known = sender.all_news(now)
         if all_known is not None:
-            other.receive(all_known, now)
+            receiver.receive(all_known, now)
         for number in range(4):
             expected = sender.losses.standing(request(number), now)
-            assert other.losses.standing(request(number), now) is expected
+            assert receiver.losses.standing(request(number), now) is expected
 
 
 def _aged(news: LossNews, seconds: float) -> LossNews:
     """Return news with the ages that they have when they arrive late."""
-    lost_ = [msgspec.structs.replace(each, age=each.age + seconds) for each in news.lost]
-    answered = [AnsweredRequest(each.request, each.age + seconds) for each in news.answered]
-    return LossNews(lost_, [], answered)
+    lost = [msgspec.structs.replace(loss, age=loss.age + seconds) for loss in news.lost]
+    answered = [AnsweredRequest(answer.request, answer.age + seconds) for answer in news.answered]
+    return LossNews(lost, [], answered)
 
 
 @pytest.mark.parametrize(
@@ -247,7 +253,7 @@
 
 def test_encoded_news_decode_to_the_same_news() -> None:
     shared = SharedLosses()
-    shared.blame(lost(1), [request(1)], 1.0, Evidence.BROKEN)
+    shared.blame(loss_key(1), [request(1)], 1.0, Evidence.BROKEN)
     news = shared.take_pending(2.0)
     assert news is not None and decode(encode(news)) == news
     assert shared.take_pending(2.0) is None
@@ -255,21 +261,21 @@
 
 def test_pending_news_hold_own_observations_and_not_those_of_other_entries() -> None:
     shared = SharedLosses()
-    shared.blame(lost(1), [request(1)], 1.0, Evidence.BROKEN)
+    shared.blame(loss_key(1), [request(1)], 1.0, Evidence.BROKEN)
     shared.take_pending(1.0)
     other = LostReplica("i-1", None, 0.5, 1, [request(2).to_bytes()])
     shared.receive(LossNews([other]), 1.5)
-    shared.blame(lost(1), [request(3)], 1.5, Evidence.BROKEN)
+    shared.blame(loss_key(1), [request(3)], 1.5, Evidence.BROKEN)
     news = shared.take_pending(2.0)
     assert news is not None
-    assert [each.requests for each in news.lost] == [[request(3).to_bytes()]]
+    assert [loss.requests for loss in news.lost] == [[request(3).to_bytes()]]
 
 
 def test_suspect_news_hold_only_losses_of_suspect_requests() -> None:
     shared = SharedLosses()
     for number in range(2):
         running = [request(CRASHING), request(number + 1)]
-        shared.blame(lost(number), running, 1.0, Evidence.BROKEN)
+        shared.blame(loss_key(number), running, 1.0, Evidence.BROKEN)
     news = shared.suspect_news(2.0)
     assert news is not None
-    assert [each.requests for each in news.lost] == [[request(CRASHING).to_bytes()]] * 2
+    assert [loss.requests for loss in news.lost] == [[request(CRASHING).to_bytes()]] * 2
--- a/tests/test_request_limit.py
+++ b/tests/test_request_limit.py
@@ -1,4 +1,4 @@
-"""Tests of the pacing of requests to the limit of a replica, with a simulated clock."""
+"""Tests that entries together pace requests to the limit of a replica, with a simulated clock."""
 
 import itertools
 import math
@@ -29,7 +29,7 @@
 
     entries: int
     limit: float
-    moments: list[float] = field(default_factory=list)  # when requests were sent
+    sent_at: list[float] = field(default_factory=list)
     states: list[RequestLimit] = field(default_factory=list)
 
     def __post_init__(self) -> None:
@@ -44,20 +44,21 @@
             for number, state in enumerate(self.states):
                 if demand(number, now) and not state.seconds_to_next(1 / self.entries, now):
                     state.count(1 / self.entries, now)
-                    self.moments.append(now)
+                    self.sent_at.append(now)
 
     def max_in_window(self) -> int:
         """Return the most requests in any window."""
         return max(
             (
-                bisect_left(self.moments, a + WINDOW_SECONDS) - bisect_left(self.moments, a)
-                for a in self.moments
+                bisect_left(self.sent_at, start + WINDOW_SECONDS)
+                - bisect_left(self.sent_at, start)
+                for start in self.sent_at
             ),
             default=0,
         )
 
 
-def allowed(limit: float) -> int:
+def allowed_in_window(limit: float) -> int:
     return math.floor(1.5 * WINDOW_SECONDS * limit + 5)
 
 
@@ -72,8 +73,8 @@
 ) -> None:
     fleet = Fleet(entries, limit)
     fleet.run(lambda number, now: True, LONG_SECONDS)
-    assert fleet.max_in_window() <= allowed(limit)
-    assert len(fleet.moments) >= MIN_USED_FRACTION * limit * LONG_SECONDS
+    assert fleet.max_in_window() <= allowed_in_window(limit)
+    assert len(fleet.sent_at) >= MIN_USED_FRACTION * limit * LONG_SECONDS
 
 
 @pytest.mark.parametrize(
@@ -85,7 +86,7 @@
     random.seed(seed)
     fleet = Fleet(entries, limit)
     fleet.run(lambda number, now: True)
-    assert fleet.max_in_window() <= allowed(limit)
+    assert fleet.max_in_window() <= allowed_in_window(limit)
 
 
 @pytest.mark.parametrize("limit", LIMITS)
@@ -95,7 +96,7 @@
 ) -> None:
     fleet = Fleet(entries, limit)
     fleet.run(lambda number, now: now % 13 > 9)
-    assert fleet.max_in_window() <= allowed(limit)
+    assert fleet.max_in_window() <= allowed_in_window(limit)
 
 
 @given(
@@ -110,7 +111,7 @@
     random.seed(seed)
     fleet = Fleet(entries, limit)
     fleet.run(lambda number, now: not quiet[number][0] <= now < quiet[number][1])
-    assert fleet.max_in_window() <= allowed(limit)
+    assert fleet.max_in_window() <= allowed_in_window(limit)
 
 
 def test_a_limit_of_zero_allows_a_probe_now_and_then() -> None:
@@ -129,9 +130,9 @@
     random.seed(seed)
     fleet = Fleet(entries, limit)
     fleet.run(lambda number, now: True)
-    pauses = [b - a for a, b in itertools.pairwise([0.0, *fleet.moments, RUN_SECONDS])]
+    pauses = [b - a for a, b in itertools.pairwise([0.0, *fleet.sent_at, RUN_SECONDS])]
     assert max(pauses) < WINDOW_SECONDS
-    assert fleet.max_in_window() <= allowed(limit)
+    assert fleet.max_in_window() <= allowed_in_window(limit)
 
 
 def test_an_answer_without_a_limit_ends_it() -> None:
@@ -179,5 +180,5 @@
         for state in fleet.states:
             if not state.seconds_to_next(share, now):
                 state.count(share, now)
-                fleet.moments.append(now)
-    assert fleet.max_in_window() <= allowed(limit) + len(starts)
+                fleet.sent_at.append(now)
+    assert fleet.max_in_window() <= allowed_in_window(limit) + len(starts)
--- a/tests/test_requests.py
+++ b/tests/test_requests.py
@@ -11,8 +11,8 @@
 from testing.fleet import HTTP, wait_for
 from testing.small import POOL_PATH, SERVICE_PATH, SmallFleet, small_fleet
 
-NO = [("headcross-repeatable", "no")]
-YES = [("headcross-repeatable", "yes")]
+NOT_REPEATABLE = [("headcross-repeatable", "no")]
+REPEATABLE = [("headcross-repeatable", "yes")]
 TOKENS = 40
 
 
@@ -22,16 +22,16 @@
 
 async def wait_run(small: SmallFleet, prompt: str) -> str:
     """Wait until an engine runs a prompt; return its host."""
-    found: list[str] = []
+    hosts: list[str] = []
 
     async def running() -> bool:
         for name, engine in small.fleet.engines().items():
             if any(run.prompt == prompt for run in engine.runs):
-                found.append(name)
-        return bool(found)
+                hosts.append(name)
+        return bool(hosts)
 
     await wait_for(running, f"{prompt} runs")
-    return found[0]
+    return hosts[0]
 
 
 async def generate_while(small: SmallFleet, headers: list[tuple[str, str]], act) -> Reply:  # type: ignore[no-untyped-def]  # noqa: ANN001
@@ -68,7 +68,7 @@
     async with small_fleet(tmp_path) as small:
         for engine in small.fleet.engines().values():
             engine.break_after = 5
-        reply, prompt = await generate(small.entry(), POOL_PATH, tokens=TOKENS, headers=YES)
+        reply, prompt = await generate(small.entry(), POOL_PATH, tokens=TOKENS, headers=REPEATABLE)
         digest = small.text.digests["v1"]
         assert check_tokens(reply, prompt, TOKENS, [digest]) == digest
         first_tokens = [r.first_token for e in small.fleet.engines().values() for r in e.runs]
@@ -81,7 +81,9 @@
     async with small_fleet(tmp_path) as small:
         for engine in small.fleet.engines().values():
             engine.break_after = 5
-        reply, prompt = await generate(small.entry(), POOL_PATH, tokens=TOKENS, headers=NO)
+        reply, prompt = await generate(
+            small.entry(), POOL_PATH, tokens=TOKENS, headers=NOT_REPEATABLE
+        )
         assert not reply.whole
         assert b"event: error" in reply.body
         assert b"may-have-run" in reply.body
@@ -94,7 +96,7 @@
         async def act(host: str) -> None:
             small.fleet.kill(host)
 
-        reply = await generate_while(small, YES, act)
+        reply = await generate_while(small, REPEATABLE, act)
         digest = small.text.digests["v1"]
         assert check_tokens(reply, "p1", TOKENS, [digest]) == digest
 
@@ -105,7 +107,7 @@
         async def act(host: str) -> None:
             small.fleet.kill(host)
 
-        reply = await generate_while(small, NO, act)
+        reply = await generate_while(small, NOT_REPEATABLE, act)
         assert b"may-have-run" in reply.body
         assert runs_of(small, "p1") == 1
 
@@ -113,7 +115,7 @@
 async def test_a_caller_that_leaves_cancels_its_stream_at_the_engine(tmp_path: Path) -> None:
     async with small_fleet(tmp_path) as small:
         with trio.move_on_after(0.5):
-            await generate(small.entry(), POOL_PATH, "p1", 10_000, headers=YES)
+            await generate(small.entry(), POOL_PATH, "p1", 10_000, headers=REPEATABLE)
         engine = small.fleet.engines()[await wait_run(small, "p1")]
 
         async def cancelled() -> bool:
@@ -124,25 +126,25 @@
 
 async def test_a_key_runs_once_over_both_entries_even_with_a_dead_entry(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, entries=2, settings=QUICK_LEDGER) as small:
-        headers = [*NO, ("idempotency-key", "k1"), ("headcross-resubmission", "no")]
+        headers = [*NOT_REPEATABLE, ("idempotency-key", "k1"), ("headcross-resubmission", "no")]
         with trio.move_on_after(0.3):
             await generate(small.entry(0), POOL_PATH, "p1", 200, headers=headers)
         await wait_run(small, "p1")
         small.fleet.kill("entry0")
-        again = [*NO, ("idempotency-key", "k1")]
-        reply, _ = await generate(small.entry(1), POOL_PATH, "p1", 200, headers=again)
+        resubmission = [*NOT_REPEATABLE, ("idempotency-key", "k1")]
+        reply, _ = await generate(small.entry(1), POOL_PATH, "p1", 200, headers=resubmission)
         assert (reply.status, reply.code, reply.verdict) == (409, "duplicate-key", "may-have-run")
         assert runs_of(small, "p1") == 1
 
 
 async def test_a_new_key_owner_refuses_a_possible_resubmission(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, settings="[ledger]\nremember_seconds = 600\n") as small:
-        headers = [*NO, ("idempotency-key", "k1")]
+        headers = [*NOT_REPEATABLE, ("idempotency-key", "k1")]
         reply, prompt = await generate(small.entry(), POOL_PATH, headers=headers)
         assert (reply.status, reply.code, reply.verdict) == (503, "ledger-young", "not-run")
         assert "retry-after" in reply.headers
-        first = [*headers, ("headcross-resubmission", "no")]
-        reply, _ = await generate(small.entry(), POOL_PATH, prompt, headers=first)
+        first_submission = [*headers, ("headcross-resubmission", "no")]
+        reply, _ = await generate(small.entry(), POOL_PATH, prompt, headers=first_submission)
         assert reply.status == 200
         assert runs_of(small, prompt) == 1
 
@@ -151,7 +153,7 @@
     async with small_fleet(tmp_path, settings=QUICK_LEDGER) as small:
         for engine in small.fleet.engines().values():
             engine.loaded = []
-        headers = [*NO, ("idempotency-key", "k1"), ("headcross-resubmission", "no")]
+        headers = [*NOT_REPEATABLE, ("idempotency-key", "k1"), ("headcross-resubmission", "no")]
         reply, prompt = await generate(small.entry(), POOL_PATH, headers=headers)
         assert (reply.status, reply.verdict) == (503, "not-run")
         await small.fleet.wait_serving(small.text.digests["v1"], 3)
@@ -198,7 +200,7 @@
             small.fleet.kill(name)
         statuses: Counter[int] = Counter()
         for _ in range(200):
-            reply, _ = await generate(small.entry(), POOL_PATH, headers=YES)
+            reply, _ = await generate(small.entry(), POOL_PATH, headers=REPEATABLE)
             statuses[reply.status] += 1
         state = await small.fleet.state("entry0")
         # An entry starts with twenty saved retries; see headcross_routing.retry.
--- a/tests/test_requests_that_end_replicas.py
+++ b/tests/test_requests_that_end_replicas.py
@@ -1,7 +1,7 @@
 """Tests of requests that crash replicas, and of their effect on other requests.
 
-Two entries run as real processes before ten replicas, each of which restarts three seconds after
-it ended.
+Entries run as real processes, in most tests two before ten replicas of a service, each of which
+restarts 3 s after it ended.
 """
 
 import random
@@ -28,8 +28,9 @@
 CRASHING_INTERVAL_SECONDS: Final = 0.3
 OTHERS_INTERVAL_SECONDS: Final = 0.05
 LOAD_SECONDS: Final = 15.0
-# The requirement: at most LATE_ARRIVALS arrivals later than this after the third crash.
-CONTACT_SECONDS: Final = 3.0
+# The requirement: later than PROPAGATION_SECONDS after the third crash, the crashing request
+# arrives at most LATE_ARRIVALS times.
+PROPAGATION_SECONDS: Final = 3.0
 LATE_ARRIVALS: Final = 3
 SERVED_SHARE: Final = 0.9
 
@@ -38,18 +39,18 @@
 
 @dataclass
 class LoadResult:
-    """The observations of one run of the load."""
+    """The crashing requests that began, and the replies to all others, under one load."""
 
-    ends: list[float] = field(default_factory=list)  # trio's clock
+    ends: list[float] = field(default_factory=list)  # of replicas; trio's clock
     crashing_arrivals: list[float] = field(default_factory=list)
     others: list[Reply] = field(default_factory=list)
 
     def late_arrivals(self) -> int:
-        """Return how often the crashing request began after the allowed time."""
+        """Return how often the crashing request began later than PROPAGATION_SECONDS."""
         if len(self.ends) < 3:
             return 0
-        third = sorted(self.ends)[2]
-        return sum(at > third + CONTACT_SECONDS for at in self.crashing_arrivals)
+        third_end = sorted(self.ends)[2]
+        return sum(at > third_end + PROPAGATION_SECONDS for at in self.crashing_arrivals)
 
     def served_share(self) -> float:
         """Return the share of the other requests that were answered."""
@@ -58,7 +59,7 @@
 
 @asynccontextmanager
 async def crashing_site(directory: Path, service: str, ending: Ending) -> AsyncIterator[Machines]:
-    """Run two entries before ten replicas of a service, which the crashing body terminates."""
+    """Run two entries before ten replicas of a service, which end as soon as they run CRASHING."""
     models, plain = (10, 2) if service == MODEL_SERVICE else (2, 10)
     async with small_site(directory, models=models, plain=plain, entries=2) as site:
         for listed in site.replicas.values():
@@ -71,8 +72,10 @@
 
 def crashing_runs(site: Machines) -> list[Run]:
     """Return the runs of the crashing request."""
-    listed = site.replicas.values()
-    return [run for each in listed for run in each.replica.runs if run.body == CRASHING]
+    listed_replicas = site.replicas.values()
+    return [
+        run for listed in listed_replicas for run in listed.replica.runs if run.body == CRASHING
+    ]
 
 
 async def run_load(site: Machines, path: str) -> LoadResult:
@@ -87,8 +90,8 @@
     async def repeat(body: bytes, seconds: float) -> None:
         number = 0
         while True:
-            own = body or b"innocent %d" % number
-            nursery.start_soon(call, number % 2, own)
+            request_body = body or b"innocent %d" % number
+            nursery.start_soon(call, number % 2, request_body)
             number += 1
             await trio.sleep(seconds)
 
@@ -235,13 +238,20 @@
         async with trio.open_nursery() as calls:
             for number in range(int(CRASHING_SECONDS / OTHERS_INTERVAL_SECONDS)):
                 calls.start_soon(call, number, OTHER_KEY, b"innocent %d" % number)
-                every = int(CRASHING_SECONDS / OTHERS_INTERVAL_SECONDS / CRASHING_BODIES)
-                if number % every == 0:
-                    crashing = number // every
+                others_per_crashing = int(
+                    CRASHING_SECONDS / OTHERS_INTERVAL_SECONDS / CRASHING_BODIES
+                )
+                if number % others_per_crashing == 0:
+                    crashing = number // others_per_crashing
                     calls.start_soon(call, crashing, KEY, CRASHING + b" %d" % crashing)
                 await trio.sleep(OTHERS_INTERVAL_SECONDS)
-        listed = site.replicas.values()
-        ended = [r for each in listed for r in each.replica.runs if r.body.startswith(CRASHING)]
+        listed_replicas = site.replicas.values()
+        ended = [
+            r
+            for listed in listed_replicas
+            for r in listed.replica.runs
+            if r.body.startswith(CRASHING)
+        ]
         answered = sum(reply.status == 200 and reply.whole for reply in others)
         print(len(ended), "ended;", answered, "of", len(others), "answered")
         assert len(ended) <= MAX_ENDED
--- a/tests/test_rules.py
+++ b/tests/test_rules.py
@@ -208,13 +208,13 @@
 VIEW = DocumentRevisions(5, 2)
 
 
-def row(name: str, digest: str = "old", state: str = "serving", **more: object) -> PoolRow:
-    fields = {"revision": 5, "hosts_revision": 2, "age": 0.1, "silent": False, **more}
+def row(name: str, digest: str = "old", state: str = "serving", **changes: object) -> PoolRow:
+    fields = {"revision": 5, "hosts_revision": 2, "age": 0.1, "silent": False, **changes}
     return PoolRow(name, "p", state, digest, **fields)  # type: ignore[arg-type]
 
 
-def rows(*found: PoolRow) -> dict[str, PoolRow]:
-    return {r.upstream: r for r in found}
+def rows(*pool_rows: PoolRow) -> dict[str, PoolRow]:
+    return {r.upstream: r for r in pool_rows}
 
 
 @pytest.mark.parametrize(
@@ -283,13 +283,13 @@
     events = [f"id: {i}\ndata: t{i}\n\n" for i in range(tokens)] + ["data: [DONE]\n\n"]
     data = "".join(events).encode()
     splitter = EventSplitter()
-    out, rest = b"", data
+    output, remaining = b"", data
     for cut in cuts:
-        piece, rest = rest[:cut], rest[cut:]
-        out += splitter.feed(piece)
-        assert out == b"" or out.endswith(b"\n\n")
-    out += splitter.feed(rest)
-    assert (out, splitter.tokens, splitter.done) == (data, tokens, True)
+        piece, remaining = remaining[:cut], remaining[cut:]
+        output += splitter.feed(piece)
+        assert output == b"" or output.endswith(b"\n\n")
+    output += splitter.feed(remaining)
+    assert (output, splitter.tokens, splitter.done) == (data, tokens, True)
 
 
 def test_damaged_messages_are_rejected_or_decoded_to_peer_messages() -> None:
@@ -313,19 +313,19 @@
     views = {name: NeighbourView(name, lambda message: True, pace) for name in "abc"}
     for view in views.values():
         view.has = set(range(8))
-    most = pace.requests_in_flight
-    assert choose_chunk(stored, views, set(), most) is not None
-    late = monotonic() - 2 * pace.slow_request_seconds
-    views["a"].in_flight[0] = late
-    assert choose_chunk(stored, views, set(), most) is not None
-    views["b"].in_flight[1] = late
-    assert choose_chunk(stored, views, set(), most) is None
+    max_in_flight = pace.requests_in_flight
+    assert choose_chunk(stored, views, set(), max_in_flight) is not None
+    asked_at = monotonic() - 2 * pace.slow_request_seconds
+    views["a"].in_flight[0] = asked_at
+    assert choose_chunk(stored, views, set(), max_in_flight) is not None
+    views["b"].in_flight[1] = asked_at
+    assert choose_chunk(stored, views, set(), max_in_flight) is None
     # A timeout does not empty the link, so only one chunk at a time is requested.
     for view in views.values():
         view.note_timeout()
     assert is_link_slow(views, monotonic())
     views["c"].in_flight[2] = monotonic()
-    assert choose_chunk(stored, views, set(), most) is None
+    assert choose_chunk(stored, views, set(), max_in_flight) is None
     # A chunk that arrives on time shows that the link is not slow.
     views["c"].note_received(2)
     assert not is_link_slow(views, monotonic())
--- a/tests/test_soak.py
+++ b/tests/test_soak.py
@@ -83,14 +83,14 @@
     public: Address
     proxy: Proxy
     private: Address
-    got: bytes = b""
+    received: bytes = b""
     ended: list[str] = field(default_factory=list)
 
     async def serve(self, stream: trio.SocketStream) -> None:
         """Echo the bytes of one connection until it ends."""
         try:
             while data := await stream.receive_some():
-                self.got += data
+                self.received += data
                 await stream.send_all(data)
             self.ended.append("end")
         except trio.BrokenResourceError:
@@ -119,7 +119,10 @@
         nursery.cancel_scope.cancel()
 
 
-def fault(echo: Echo, kind: LinkKind, amount: float = 0.0, *, back: bool = False) -> LinkFault:
+def link_fault(
+    echo: Echo, kind: LinkKind, amount: float = 0.0, *, back: bool = False
+) -> LinkFault:
+    """Return a fault of the link from the caller to the server, or `back` to the caller."""
     first, second = (echo.public.ip, CALLER_IP) if back else (CALLER_IP, echo.public.ip)
     return LinkFault(kind, frozenset({first}), frozenset({second}), amount)
 
@@ -137,15 +140,15 @@
             assert await stream.receive_some() == b"hello"
             await stream.send_eof()
             assert await stream.receive_some() == b""
-        assert echo.got == b"hello" and echo.ended == ["end"]
+        assert echo.received == b"hello" and echo.ended == ["end"]
 
 
 async def test_a_cut_holds_bytes_back_and_delivers_them_afterwards() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
-        with echo.links.active(fault(echo, LinkKind.CUT)):
+        with echo.links.active(link_fault(echo, LinkKind.CUT)):
             await stream.send_all(b"held")
             assert await receives_nothing(stream)
-            assert echo.got == b""
+            assert echo.received == b""
         assert await stream.receive_some() == b"held"
 
 
@@ -153,10 +156,10 @@
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
-        with echo.links.active(fault(echo, LinkKind.CUT)):
+        with echo.links.active(link_fault(echo, LinkKind.CUT)):
             await stream.send_all(b"b")
             assert await receives_nothing(stream)
-            assert echo.got == b"a"
+            assert echo.received == b"a"
         assert await stream.receive_some() == b"b"
 
 
@@ -164,10 +167,10 @@
     async with proxied_echo() as echo, await echo.connect() as stream:
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
-        with echo.links.active(fault(echo, LinkKind.SILENCE, back=True)):
+        with echo.links.active(link_fault(echo, LinkKind.SILENCE, back=True)):
             await stream.send_all(b"b")
             assert await receives_nothing(stream)
-            assert echo.got == b"ab"
+            assert echo.received == b"ab"
         assert await stream.receive_some() == b"b"
 
 
@@ -176,7 +179,7 @@
         stream = await echo.connect()
         await stream.send_all(b"a")
         assert await stream.receive_some() == b"a"
-        with echo.links.active(fault(echo, LinkKind.CUT)):
+        with echo.links.active(link_fault(echo, LinkKind.CUT)):
             await stream.send_all(b"lost")
             await trio.sleep(0.1)
             stream.setsockopt(SOL_SOCKET, SO_LINGER, struct.pack("ii", 1, 0))
@@ -185,14 +188,14 @@
             assert not echo.ended
         while not echo.ended:
             await trio.sleep(0.01)
-        assert echo.ended == ["reset"] and echo.got == b"a"
+        assert echo.ended == ["reset"] and echo.received == b"a"
 
 
 async def test_a_delay_and_a_narrow_link_slow_the_bytes_down() -> None:
     async with proxied_echo() as echo, await echo.connect() as stream:
         for kind, amount in ((LinkKind.DELAY, 0.2), (LinkKind.NARROW, 1000.0)):
             began_at = trio.current_time()
-            with echo.links.active(fault(echo, kind, amount)):
+            with echo.links.active(link_fault(echo, kind, amount)):
                 await stream.send_all(b"x" * 100)
                 got = b""
                 while len(got) < 100:
@@ -253,7 +256,9 @@
     return Draft("r-1", kind, 3, 2.0, None, False, False, True)
 
 
-def judged(kind: RequestKind, body: bytes, *, status: int = 200, named: str = "r-1") -> bool:
+def is_judged_own(
+    kind: RequestKind, body: bytes, *, status: int = 200, named: str = "r-1"
+) -> bool:
     headers = [(names.REQUEST_ID, named), (names.SEAL, "s")]
     request = CallerRequest("r-1", kind, "entry0", 0.0, whole=True, sealed=True)
     judge(draft(kind), Answer(status, headers), body, request)
@@ -262,15 +267,15 @@
 
 def test_callers_recognize_their_own_answers() -> None:
     own = b"r-1 xxx"
-    assert judged(RequestKind.ONCE, own)
-    assert not judged(RequestKind.ONCE, own + b"more")
-    assert not judged(RequestKind.ONCE, own[:-1])
-    assert not judged(RequestKind.ONCE, own, named="r-2")
+    assert is_judged_own(RequestKind.ONCE, own)
+    assert not is_judged_own(RequestKind.ONCE, own + b"more")
+    assert not is_judged_own(RequestKind.ONCE, own[:-1])
+    assert not is_judged_own(RequestKind.ONCE, own, named="r-2")
     event = b"id: 0\ndata: r-1 0 v2\n\n"
-    assert judged(RequestKind.STREAM, event)
-    assert not judged(RequestKind.STREAM, event.replace(b"r-1", b"r-2"))
-    assert not judged(RequestKind.STREAM, event + b"id: 1")
-    assert not judged(RequestKind.STREAM, event.replace(b"0 v2", b"1 v2"))
+    assert is_judged_own(RequestKind.STREAM, event)
+    assert not is_judged_own(RequestKind.STREAM, event.replace(b"r-1", b"r-2"))
+    assert not is_judged_own(RequestKind.STREAM, event + b"id: 1")
+    assert not is_judged_own(RequestKind.STREAM, event.replace(b"0 v2", b"1 v2"))
 
 
 # Findings beyond the promises.
@@ -308,8 +313,8 @@
     replica.staged[1] = versions[1][1]
     replica.held_orders.append({"op": "start", "version": 2})
     replica.take_held_orders()
-    (found,) = find_mixed_loads([replica], versions, 9.0)
-    assert (found.subject, found.detail) == ("i-1", "version 2")
+    (finding,) = find_mixed_loads([replica], versions, 9.0)
+    assert (finding.subject, finding.detail) == ("i-1", "version 2")
 
 
 def test_a_request_that_ran_on_a_bad_load_is_found() -> None:
@@ -318,8 +323,8 @@
     bad[1] = valid[1]
     replica = FakeReplica("i-1", model="m", loads=[(1, valid), (2, bad)])
     replica.runs = [Run(f"r-{load}", "POST", "/", {}, b"", load, 1.0, load) for load in range(3)]
-    (found,) = find_answers_of_bad_loads([replica], versions)
-    assert (found.subject, found.detail) == ("r-2", "version 2, load 2 of i-1")
+    (finding,) = find_answers_of_bad_loads([replica], versions)
+    assert (finding.subject, finding.detail) == ("r-2", "version 2, load 2 of i-1")
 
 
 def test_bad_requests_that_are_not_refused_are_found() -> None:
--- a/tests/test_soak_checks.py
+++ b/tests/test_soak_checks.py
@@ -49,7 +49,7 @@
 )
 # Less than any bound. All times are binary fractions, so their sums are exact.
 SHORT_SECONDS = 1 / 64
-JUDGED_ONCE = [RequestKind.ONCE, RequestKind.STRICT_STREAM]
+AT_MOST_ONCE = [RequestKind.ONCE, RequestKind.STRICT_STREAM]
 REPEATABLE = [RequestKind.REPEATABLE, RequestKind.STREAM]
 STREAMS = [RequestKind.STREAM, RequestKind.STRICT_STREAM]
 
@@ -120,8 +120,8 @@
 
 @pytest.mark.parametrize("kind", RequestKind)
 def test_a_complete_answer_of_another_request_is_found(kind: RequestKind) -> None:
-    found = check_complete_answers(record_of(replace(served(kind), own=False)))
-    assert [(v.promise, v.at, v.subject) for v in found] == [
+    violations = check_complete_answers(record_of(replace(served(kind), own=False)))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
         (Promise.COMPLETE_ANSWERS, 101.0, "r")
     ]
 
@@ -180,17 +180,19 @@
     return record
 
 
-@pytest.mark.parametrize("kind", JUDGED_ONCE)
+@pytest.mark.parametrize("kind", AT_MOST_ONCE)
 @pytest.mark.parametrize("replica", ["i-1", "i-2"])
 def test_a_second_run_is_found_at_any_replica_and_however_late(
     kind: RequestKind, replica: str
 ) -> None:
     runs = [run(at=5000.0, replica=replica), run(at=100.0)]
-    found = check_at_most_once(record_with_runs(served(kind), *runs))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.AT_MOST_ONCE, 5000.0, "r")]
+    violations = check_at_most_once(record_with_runs(served(kind), *runs))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
+        (Promise.AT_MOST_ONCE, 5000.0, "r")
+    ]
 
 
-@pytest.mark.parametrize("kind", JUDGED_ONCE)
+@pytest.mark.parametrize("kind", AT_MOST_ONCE)
 def test_one_run_of_each_of_two_requests_is_accepted(kind: RequestKind) -> None:
     record = record_of(served(kind), served(kind, "s"))
     record.runs.extend([run(), ReplicaRun("s", "i-1", "model", 1, 100.0)])
@@ -202,14 +204,16 @@
     assert check_at_most_once(record_with_runs(served(kind), run(), run(replica="i-2"))) == []
 
 
-@pytest.mark.parametrize("kind", JUDGED_ONCE)
+@pytest.mark.parametrize("kind", AT_MOST_ONCE)
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
 @pytest.mark.parametrize("at", [100.5, 5000.0])
 def test_a_run_before_or_after_a_refusal_is_found(
     kind: RequestKind, status: int, at: float
 ) -> None:
-    found = check_refused_not_run(record_with_runs(refused(kind, status), run(at=at)))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.REFUSED_NOT_RUN, at, "r")]
+    violations = check_refused_not_run(record_with_runs(refused(kind, status), run(at=at)))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
+        (Promise.REFUSED_NOT_RUN, at, "r")
+    ]
 
 
 @pytest.mark.parametrize("status", [408, 421, 429, 503])
@@ -243,8 +247,8 @@
     kind: RequestKind, versions: list[int]
 ) -> None:
     request = replace(served(kind), event_versions=versions)
-    found = check_one_version(record_with_runs(request, run(), run(2, 100.5, "i-2")))
-    assert [(v.promise, v.subject) for v in found] == [(Promise.ONE_VERSION, "r")]
+    violations = check_one_version(record_with_runs(request, run(), run(2, 100.5, "i-2")))
+    assert [(v.promise, v.subject) for v in violations] == [(Promise.ONE_VERSION, "r")]
 
 
 def test_a_stream_resumed_elsewhere_on_the_same_version_is_accepted() -> None:
@@ -278,8 +282,8 @@
 
 def test_a_start_on_old_weights_is_found_just_after_the_bound_and_not_at_it() -> None:
     assert check_old_weights(record_of_naming(run(1, 104.0))) == []
-    found = check_old_weights(record_of_naming(run(1, 104.0 + SHORT_SECONDS)))
-    assert [(v.promise, v.at, v.subject) for v in found] == [
+    violations = check_old_weights(record_of_naming(run(1, 104.0 + SHORT_SECONDS)))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
         (Promise.OLD_WEIGHTS, 104.0 + SHORT_SECONDS, "i-1")
     ]
 
@@ -314,8 +318,8 @@
     record = record_of_naming(run(1, 140.0))
     record.versions.append(VersionNamed(3, 130.0))
     record.disturbances = [fault_on("i-2", began_at=99.0, ended_at=101.0)]
-    (found,) = check_old_weights(record)
-    assert "version 3" in found.detail
+    (violation,) = check_old_weights(record)
+    assert "version 3" in violation.detail
     record.versions.pop()
     assert check_old_weights(record) == []
 
@@ -345,8 +349,8 @@
 
 def test_an_arrival_is_found_just_after_the_bound_and_not_at_it() -> None:
     assert check_leaving(record_of_leaving(103.0)) == []
-    found = check_leaving(record_of_leaving(103.0 + SHORT_SECONDS))
-    assert [(v.promise, v.at, v.subject) for v in found] == [
+    violations = check_leaving(record_of_leaving(103.0 + SHORT_SECONDS))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
         (Promise.LEAVING, 103.0 + SHORT_SECONDS, "i-1")
     ]
 
@@ -404,7 +408,7 @@
 
 
 def record_of_limit(count: int, *, ended_at: float = 200.0) -> Record:
-    """Return a record of arrivals under a limit of 1 a second, which allows 11 in a span."""
+    """Return a record of arrivals under a limit of 1 per second, which allows 11 in 4 s."""
     record = record_of_arrivals(100.0, *(104.0 + number / 4 for number in range(count)))
     record.limits.append(ReplicaLimit("i-1", 1.0, 100.0, ended_at))
     return record
@@ -412,8 +416,8 @@
 
 def test_more_requests_than_a_limit_allows_are_found() -> None:
     assert check_limits(record_of_limit(11)) == []
-    found = check_limits(record_of_limit(12))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.LIMIT, 104.0, "i-1")]
+    violations = check_limits(record_of_limit(12))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [(Promise.LIMIT, 104.0, "i-1")]
 
 
 def test_requests_before_a_limit_counts_or_after_its_end_are_accepted() -> None:
@@ -431,18 +435,18 @@
 
 
 def record_of_rest(count: int, *, entry: str = "entry") -> Record:
-    """Return a record of a 3 s rest, asked of one entry, with arrivals from `entry` in it."""
+    """Return a record of arrivals from `entry` during a 3 s rest that was asked of one entry."""
     record = record_of_arrivals(*(101.0 + number / 4 for number in range(count)), entry=entry)
-    asked = served(request_id="asked", sent_at=100.0)
-    record.requests[asked.id] = asked
+    request = served(request_id="asked", sent_at=100.0)
+    record.requests[request.id] = request
     record.arrivals.append(Arrival("asked", "i-1", 100.0, rest_seconds=3.0))
     return record
 
 
 def test_requests_within_a_rest_are_found() -> None:
     assert check_rests(record_of_rest(2)) == []
-    found = check_rests(record_of_rest(3))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.REST, 100.0, "i-1")]
+    violations = check_rests(record_of_rest(3))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [(Promise.REST, 100.0, "i-1")]
 
 
 def test_requests_of_another_entry_within_a_rest_are_accepted() -> None:
@@ -458,8 +462,8 @@
 
 def test_a_late_request_to_a_replica_that_announces_its_leaving_is_found() -> None:
     assert check_announced_leaving(record_of_announced_leaving(103.0 + SHORT_SECONDS)) == []
-    found = check_announced_leaving(record_of_announced_leaving(103.0 + 2 * SHORT_SECONDS))
-    assert [(v.promise, v.at, v.subject) for v in found] == [
+    violations = check_announced_leaving(record_of_announced_leaving(103.0 + 2 * SHORT_SECONDS))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
         (Promise.ANNOUNCED_LEAVING, 103.0 + 2 * SHORT_SECONDS, "i-1")
     ]
 
@@ -494,8 +498,10 @@
 
 
 def test_a_request_that_a_planned_stop_cuts_off_is_found() -> None:
-    found = check_planned_stop(record_of_stop(lost()))
-    assert [(v.promise, v.at, v.subject) for v in found] == [(Promise.PLANNED_STOP, 101.0, "r")]
+    violations = check_planned_stop(record_of_stop(lost()))
+    assert [(v.promise, v.at, v.subject) for v in violations] == [
+        (Promise.PLANNED_STOP, 101.0, "r")
+    ]
 
 
 @pytest.mark.parametrize("status", [200, 429, 500, 503])
@@ -521,15 +527,15 @@
 
 
 def test_only_requests_sent_before_the_process_ended_count() -> None:
-    for sent_at, found in ((102.0 - SHORT_SECONDS, 1), (102.0, 0)):
+    for sent_at, expected in ((102.0 - SHORT_SECONDS, 1), (102.0, 0)):
         record = record_of_stop(lost(sent_at, 102.0))
         record.arrivals.append(Arrival("r", "i-1", sent_at))
-        assert len(check_planned_stop(record)) == found
+        assert len(check_planned_stop(record)) == expected
 
 
 def test_a_request_that_crossed_an_idle_close_and_reached_no_replica_does_not_count() -> None:
     """The entry closed the idle connection before it read the request."""
-    for ended_at, arrived, found in (
+    for ended_at, arrived, expected in (
         (101.25, False, 0),
         (101.25 + SHORT_SECONDS, False, 1),
         (101.25, True, 1),
@@ -537,7 +543,7 @@
         record = record_of_stop(lost(101.0, ended_at))
         if arrived:
             record.arrivals.append(Arrival("r", "i-1", 101.0))
-        assert len(check_planned_stop(record)) == found, (ended_at, arrived)
+        assert len(check_planned_stop(record)) == expected, (ended_at, arrived)
 
 
 def test_a_request_lost_before_the_stop_does_not_count() -> None:
@@ -689,8 +695,8 @@
 def test_a_route_that_is_lost_again_is_found_within_any_bound_and_under_any_fault() -> None:
     record = record_of_probes(probe(True, 101.0), probe(False, 101.0 + SHORT_SECONDS))
     record.disturbances = [fault_on(began_at=0.0, ended_at=1000.0)]
-    (found,) = check_configuration(record)
-    assert (found.promise, found.at, found.subject) == (
+    (violation,) = check_configuration(record)
+    assert (violation.promise, violation.at, violation.subject) == (
         Promise.CONFIGURATION,
         101.0 + SHORT_SECONDS,
         "entry",
@@ -704,10 +710,10 @@
 
 
 def test_a_route_counts_as_present_only_from_its_answer_on() -> None:
-    there = replace(probe(True, 101.0), answered_at=103.0)
-    assert check_configuration(record_of_probes(there, probe(False, 103.0))) == []
+    first = replace(probe(True, 101.0), answered_at=103.0)
+    assert check_configuration(record_of_probes(first, probe(False, 103.0))) == []
     assert (
-        len(check_configuration(record_of_probes(there, probe(False, 103.0 + SHORT_SECONDS)))) == 1
+        len(check_configuration(record_of_probes(first, probe(False, 103.0 + SHORT_SECONDS)))) == 1
     )
 
 
@@ -740,7 +746,10 @@
 
 
 def violates_by_exhaustive_search(requests: list[float], repeats: list[float]) -> bool:
-    """Check the windows at all starts on a half-second grid; times are whole seconds."""
+    """Return whether any window with a start on a half-second grid breaks the bound.
+
+    That covers all windows, since the times are whole seconds.
+    """
 
     def count(moments: list[float], start: float) -> int:
         return sum(start <= at < start + BOUNDS.retry_window for at in moments)
@@ -767,15 +776,15 @@
 def test_the_bound_on_retries_agrees_with_an_exhaustive_search(
     requests: list[float], repeats: list[float]
 ) -> None:
-    found = check_retry_bound(record_of_retries(requests, repeats))
-    assert bool(found) == violates_by_exhaustive_search(requests, repeats)
+    violations = check_retry_bound(record_of_retries(requests, repeats))
+    assert bool(violations) == violates_by_exhaustive_search(requests, repeats)
 
 
 def test_one_repeat_beyond_ratio_and_slack_is_found() -> None:
     requests = [100.0] * 8
     assert check_retry_bound(record_of_retries(requests, [104.0] * 4)) == []
-    found = check_retry_bound(record_of_retries(requests, [104.0] * 5))
-    assert {v.promise for v in found} == {Promise.RETRY_BOUND}
+    violations = check_retry_bound(record_of_retries(requests, [104.0] * 5))
+    assert {v.promise for v in violations} == {Promise.RETRY_BOUND}
 
 
 def test_repeats_a_window_apart_are_not_counted_together() -> None:
@@ -807,15 +816,17 @@
 
 def test_a_burst_of_retries_is_reported_once_per_window() -> None:
     burst = [100.0 + step / 4 for step in range(4 * 16)]
-    found = check_retry_bound(record_of_retries([], burst))
-    gaps = [later.at - earlier.at for earlier, later in zip(found, found[1:], strict=False)]
-    assert len(found) >= 2
+    violations = check_retry_bound(record_of_retries([], burst))
+    gaps = [
+        later.at - earlier.at for earlier, later in zip(violations, violations[1:], strict=False)
+    ]
+    assert len(violations) >= 2
     assert all(gap >= BOUNDS.retry_window for gap in gaps)
 
 
 def test_adjacent_windows_are_both_reported() -> None:
-    found = check_retry_bound(record_of_retries([], [100.0] * 3 + [108.0] * 3))
-    assert [violation.at for violation in found] == [100.0, 108.0]
+    violations = check_retry_bound(record_of_retries([], [100.0] * 3 + [108.0] * 3))
+    assert [violation.at for violation in violations] == [100.0, 108.0]
 
 
 # Recovery.
@@ -836,8 +847,8 @@
 
 def test_less_than_half_of_ordinary_service_is_found() -> None:
     assert check_recovery(record_of_recovery(10, 10)) == []
-    found = check_recovery(record_of_recovery(10, 11))
-    assert [(v.promise, v.at) for v in found] == [(Promise.RECOVERY, 105.0)]
+    violations = check_recovery(record_of_recovery(10, 11))
+    assert [(v.promise, v.at) for v in violations] == [(Promise.RECOVERY, 105.0)]
 
 
 @pytest.mark.parametrize("changes", [{"status": 0}, {"whole": False}, {"ended_at": None}])
@@ -915,8 +926,8 @@
 
 @pytest.mark.parametrize("promise", Promise)
 def test_all_checks_together_find_each_broken_promise_and_only_that(promise: Promise) -> None:
-    found = check_all(broken_records()[promise])
-    assert {violation.promise for violation in found} == {promise}
+    violations = check_all(broken_records()[promise])
+    assert {violation.promise for violation in violations} == {promise}
 
 
 def test_each_promise_has_a_check() -> None:
--- a/tests/test_soak_plan.py
+++ b/tests/test_soak_plan.py
@@ -76,20 +76,20 @@
         plan = draw_plan(seed, 120.0)
         spans = quiet_phases(plan)
         assert len(spans) >= 3, (seed, spans)
-        settled = [
+        quiet_kinds = [
             action.kind
             for since, until in spans
             for action in plan.actions
             if since + BOUNDS.reached <= action.at <= until - BOUNDS.weights
         ]
-        assert ActionKind.NAME_VERSIONS in settled and ActionKind.PUBLISH in settled, seed
+        assert ActionKind.NAME_VERSIONS in quiet_kinds and ActionKind.PUBLISH in quiet_kinds, seed
         assert any(action.kind is ActionKind.STOP for action in plan.actions), seed
 
 
 def test_faults_overlap() -> None:
     for seed in SEEDS:
-        found = faults(draw_plan(seed, 120.0))
-        pairs = zip(found, found[1:], strict=False)
+        plan_faults = faults(draw_plan(seed, 120.0))
+        pairs = zip(plan_faults, plan_faults[1:], strict=False)
         assert sum(b.at < a.at + a.seconds for a, b in pairs) >= 5, seed
 
 
--- a/tests/test_stopping.py
+++ b/tests/test_stopping.py
@@ -137,7 +137,7 @@
 
 
 async def generate_during_pause(small: SmallFleet, paused: str, seconds: float) -> list[str]:
-    """Request long repeatable streams and pause a process meanwhile; return their results."""
+    """Pause a process during long repeatable streams; return "whole" or "cut" for each stream."""
     digest = small.text.digests["v1"]
     results: list[str] = []
 
--- a/tests/test_swarm.py
+++ b/tests/test_swarm.py
@@ -18,7 +18,7 @@
 SLOW_LINK = 256 * KIB  # bytes a second; a transfer of 1 MiB then takes some seconds
 
 
-async def loaded_nowhere(fleet: Fleet, digest: str) -> bool:
+async def is_loaded_nowhere(fleet: Fleet, digest: str) -> bool:
     return not any(w.digest == digest for e in fleet.engines().values() for w in e.loaded)
 
 
@@ -63,8 +63,8 @@
 
 async def test_all_hosts_together_fetch_one_copy_from_the_origin(tmp_path: Path) -> None:
     async with small_fleet(tmp_path, hosts=6) as small:
-        manifest = len(small.fleet.origin.versions["m-v1"][0])
-        assert small.fleet.origin.sent_bytes == WEIGHTS_BYTES, manifest
+        manifest_bytes = len(small.fleet.origin.versions["m-v1"][0])
+        assert small.fleet.origin.sent_bytes == WEIGHTS_BYTES, manifest_bytes
 
 
 async def test_a_host_killed_during_its_transfer_only_delays_the_others(
@@ -152,7 +152,7 @@
             return bool(state["swarm"]["source_corrupt"].get("origin"))
 
         await wait_for(reported, "the change is reported")
-        assert await loaded_nowhere(small.fleet, digest)
+        assert await is_loaded_nowhere(small.fleet, digest)
         assert (await generate(small.entry(), POOL_PATH))[0].status == 200
         small.fleet.origin.versions["m-v2"] = (manifest, data)
         await small.fleet.wait_serving(digest, 3)
@@ -166,14 +166,14 @@
         await wait_transfer_anywhere(small, 0.1)
         digest = await small.move_to("v2")
         await wait_no_transfer(small, superseded)
-        read = reads_of(small, "m-v1")
+        reads_at_cancellation = reads_of(small, "m-v1")
         await small.fleet.wait_serving(digest, 3)
-        assert await loaded_nowhere(small.fleet, superseded)
+        assert await is_loaded_nowhere(small.fleet, superseded)
         orders = [o for e in small.fleet.engines().values() for o in e.orders]
         assert {w.digest for order in orders for w in order.weights} == {digest}
         # The first version was not fetched completely, and not read after the cancellation.
-        assert read < MIB // CHUNK_BYTES
-        assert reads_of(small, "m-v1") == read
+        assert reads_at_cancellation < MIB // CHUNK_BYTES
+        assert reads_of(small, "m-v1") == reads_at_cancellation
         assert small.fleet.origin.sent_bytes < 2 * MIB
 
 
--- a/tests/test_swarm_silence.py
+++ b/tests/test_swarm_silence.py
@@ -1,4 +1,4 @@
-"""When an importing host counts as silent, so that another host takes over its chunks."""
+"""Tests when an importing host counts as silent, so that another host takes over its chunks."""
 
 import random
 from types import SimpleNamespace
--- a/tests/test_version_choice.py
+++ b/tests/test_version_choice.py
@@ -1,4 +1,4 @@
-"""Tests of which versions are fetched or skipped when they are named in quick succession."""
+"""Tests which versions are fetched or skipped when they are named in quick succession."""
 
 from typing import Any, cast
 
@@ -24,10 +24,10 @@
 def test_an_older_version_is_finished_only_if_it_serves_for_longer_than_that_takes(
     missing_share: float, worth: bool
 ) -> None:
-    """Versions 2 and 3 are named 3 s apart; the origin is reachable again 8.5 s after the first.
+    """Guards against fetching a version that can no longer serve when it is complete.
 
-    If version 2 is fetched first, it may be complete only when its bound no longer lets it serve,
-    and nothing is served for 9 s.
+    Versions 2 and 3 are named 3 s apart; the origin is reachable again 8.5 s after the first.
+    Fetching all of version 2 before version 3 left the replicas without service for 9 s.
     """
     notices = [VersionNotice(2, 0.0, False), VersionNotice(3, 3.0, False)]
     estimate = FetchEstimate(
@@ -60,10 +60,8 @@
     facts.replicas["i"] = Replica("i", "lm", Address("10.0.0.1", 80), "z", 8, False, loaded)
     facts.topics[Topic.REPLICAS].known = True
     facts.versions["m"] = notices
-    missing = cast(Any, None)
-    return Mirror(
-        {}, SwarmPorts(1, 2), facts, missing, missing, missing, missing, 1e9, BOUND_SECONDS
-    )
+    unused = cast(Any, None)
+    return Mirror({}, SwarmPorts(1, 2), facts, unused, unused, unused, unused, 1e9, BOUND_SECONDS)
 
 
 @pytest.mark.parametrize(
