--- a/bench/soak/proxies.py
+++ b/bench/soak/proxies.py
@@ -18,9 +18,7 @@
 from testing.rawhttp import reset
 
 PIECE_BYTES: Final = 64 * 1024
-NARROW_INTERVAL_SECONDS: Final = (
-    0.1  # time of which a narrow link forwards the bytes at once
-)
+NARROW_INTERVAL_SECONDS: Final = 0.1  # time of which a narrow link forwards the bytes at once
 BLOCK_POLL_SECONDS: Final = 0.02  # how often a held connection checks its link
 
 
